--- /dev/null
+++ b/tests/behaviour_digest.cpp
@@ -0,0 +1,173 @@
+// Plays seeded days of a kind and prints one line for each: its seed, and the digest of all that
+// controllers of the present version said on it. Equal lines for two versions of the sources mean
+// that both behaved alike on that day.
+#include "support/behaviour_digest.hpp"
+
+#include <CLI/CLI.hpp>
+#include <cstdint>
+#include <cstdio>
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+
+#include "sim/federated_day.hpp"
+#include "support/scenarios.hpp"
+#ifdef SAILREEL_HAS_PRODUCTION
+#include "production/production_controller.hpp"
+#endif
+
+namespace sailreel::sim {
+namespace {
+
+using DigestPointer = std::shared_ptr<BehaviourDigest>;
+
+void record(DayPlan& plan, const DigestPointer& digest) {
+  plan.controllers = [digest, options = plan.options](std::size_t, const Settings& settings,
+                                                      std::uint64_t seed) {
+    return std::make_unique<DigestedController>(settings, options, seed, digest);
+  };
+}
+
+void play(DayPlan plan, const DigestPointer& digest) {
+  record(plan, digest);
+  World world(plan);
+  world.run();
+}
+
+void play_plain(std::uint64_t seed, const DigestPointer& digest) {
+  DayPlan plan;
+  plan.seed = seed;
+  play(plan, digest);
+}
+
+void play_gangs(std::uint64_t seed, const DigestPointer& digest) {
+  DayPlan plan;
+  plan.seed = seed;
+  plan.gangs = true;
+  plan.fault_pairs = true;
+  plan.length = 300'000;
+  if (seed % 3 == 1) plan.cancel_s = 14;
+  if (seed % 4 == 0) plan.boots_ms = 1'500;
+  play(plan, digest);
+}
+
+void play_large(std::uint64_t seed, const DigestPointer& digest) {
+  DayPlan plan;
+  plan.seed = seed;
+  plan.scale = 17;
+  plan.jobs = 700;
+  plan.length = 200'000;
+  plan.troubles_until = 130'000;
+  plan.fault_pairs = seed % 2 == 0;
+  play(plan, digest);
+}
+
+void play_federated(std::uint64_t seed, const DigestPointer& digest) {
+  constexpr double kRedLimit = 30, kBlueLimit = 12;
+  const auto regions = 2 + seed % 2;
+  const auto share = [regions](double limit) { return limit / static_cast<double>(regions); };
+  FederationPlan plan;
+  plan.seed = seed;
+  plan.regions = regions;
+  plan.first_gpus = {{"red", share(kRedLimit)}, {"blue", share(kBlueLimit)}};
+  plan.length = 240'000;
+  plan.troubles = true;
+  plan.adjust = [&digest](std::size_t, DayPlan& day) {
+    day.troubles = true;
+    day.gangs = true;
+    day.jobs = 30;
+    record(day, digest);
+  };
+  FederatedDay day(plan);
+  pcg32 random(seed * 31);
+  for (std::size_t n = 0; n < 24; ++n) {
+    JobSpec spec = service(job_id(n), 1 + random(8));
+    spec.priority = static_cast<Priority>(random(4));
+    spec.spot = true;
+    World& world = day.region(random(static_cast<std::uint32_t>(day.regions())));
+    world.submit(spec, world.now() + 10'000 + random(40'000));
+    day.run_until(day.now() + random(8'000));
+  }
+  day.run_until(230'000);
+}
+
+// Controllers of the version in production are replaced one by one; what these say isn't recorded.
+#ifdef SAILREEL_HAS_PRODUCTION
+void play_upgrade(std::uint64_t seed, const DigestPointer& digest) {
+  DayPlan plan = quiet(seed);
+  plan.length = 300'000;
+  plan.next_value_kb = 2;
+  plan.next_txn_ops = 5;
+  plan.next_write_rps = 20;
+  plan.production = make_production_controller;
+  record(plan, digest);
+  World world(plan);
+  world.run_until(1'000);
+  submit_mixed_jobs(world, 0, 40, seed);
+  world.run_until(55'000);
+  world.poll_closely(200'000);
+  for (std::size_t step = 0; step < 3; ++step) {
+    if (seed % 2 == 0) world.late_writes(0.5, 6'000, step % 2 == 0);
+    if (seed % 3 == 0) world.kill(leader_of(world), 500);
+    world.run_until(world.now() + 1'000);
+    world.upgrade((step + seed) % 3, 3'000);
+    world.run_until(world.now() + 12'000);
+  }
+  world.lower_limits();
+  for (std::size_t n = 200; n < 206; ++n) world.submit(gang(job_id(n), 2 + n % 5, 3, 10));
+  world.run_until(world.now() + 5'000);
+  world.kill(leader_of(world), 4'000);
+  world.run();
+}
+#endif
+
+using Player = std::function<void(std::uint64_t seed, const DigestPointer& digest)>;
+
+const std::map<std::string, Player>& players() {
+  static const std::map<std::string, Player> kPlayers = {{"plain", play_plain},
+                                                         {"gangs", play_gangs},
+                                                         {"large", play_large},
+                                                         {"federated", play_federated},
+#ifdef SAILREEL_HAS_PRODUCTION
+                                                         {"upgrade", play_upgrade}
+#endif
+  };
+  return kPlayers;
+}
+
+int run(int argc, char** argv) {
+  constexpr int kUsageError = 2;
+  std::string kind;
+  std::uint64_t first = 1, count = 1;
+  CLI::App app("Digests of what controllers say on seeded days");
+  app.add_option("--kind", kind, "plain, gangs, large, federated or upgrade")->required();
+  app.add_option("--first", first, "first seed");
+  app.add_option("--count", count, "number of seeds")->check(CLI::PositiveNumber);
+  try {
+    app.parse(argc, argv);
+  } catch (const CLI::CallForHelp& help) {
+    return app.exit(help);
+  } catch (const CLI::ParseError& error) {
+    std::fprintf(stderr, "behaviour_digest: %s\n", error.what());
+    return kUsageError;
+  }
+  const auto player = players().find(kind);
+  if (player == players().end()) {
+    std::fprintf(stderr, "behaviour_digest: unknown kind of day '%s'\n", kind.c_str());
+    return kUsageError;
+  }
+  for (std::uint64_t seed = first; seed < first + count; ++seed) {
+    const auto digest = std::make_shared<BehaviourDigest>();
+    player->second(seed, digest);
+    std::printf("%s %llu %s\n", kind.c_str(), static_cast<unsigned long long>(seed),
+                digest->summary().c_str());
+    std::fflush(stdout);
+  }
+  return 0;
+}
+
+}  // namespace
+}  // namespace sailreel::sim
+
+int main(int argc, char** argv) { return sailreel::sim::run(argc, argv); }
--- /dev/null
+++ b/tests/compare_digests.sh
@@ -0,0 +1,26 @@
+#!/bin/bash
+# Plays the days of tests/fixtures/behaviour_digests.txt once more and shows each that differs.
+# Usage: tests/compare_digests.sh BUILD-FOLDER [KIND...]; exit code 1 if any day differs.
+set -euo pipefail
+cd "$(dirname "$0")/.."
+program=$1/tests/behaviour_digest
+shift
+written=tests/fixtures/behaviour_digests.txt
+kinds=("$@")
+if [ "${#kinds[@]}" = 0 ]; then kinds=(plain gangs large federated upgrade); fi
+
+play() {  # KIND
+  local seeds
+  seeds=$(sed -n "s/^$1 \([0-9]*\) .*/\1/p" "$written")
+  "$program" --kind "$1" --first "$(head -n 1 <<< "$seeds")" --count "$(wc -l <<< "$seeds")"
+}
+
+status=0
+for kind in "${kinds[@]}"; do
+  if diff <(grep "^$kind " "$written") <(play "$kind"); then
+    echo "$kind: $(grep -c "^$kind " "$written") days as written"
+  else
+    status=1
+  fi
+done
+exit "$status"
--- /dev/null
+++ b/tests/support/behaviour_digest.cpp
@@ -0,0 +1,96 @@
+#include "support/behaviour_digest.hpp"
+
+#include <cstdio>
+#include <variant>
+
+#include "protocol/cloud_codec.hpp"
+#include "protocol/peer_frames.hpp"
+#include "protocol/region_frames.hpp"
+#include "protocol/state_codec.hpp"
+
+namespace sailreel::sim {
+
+BehaviourDigest::BehaviourDigest() : state_(XXH3_createState()) { XXH3_64bits_reset(state_.get()); }
+
+void BehaviourDigest::add(std::uint64_t controller, const std::vector<Action>& actions) {
+  for (const Action& action : actions) {
+    if (!std::holds_alternative<Log>(action)) {
+      ++actions_;
+      add_number(controller);
+      add_number(static_cast<std::uint64_t>(action.index()));
+    }
+    std::visit([this](const auto& a) { add_action(a); }, action);
+  }
+}
+
+std::string BehaviourDigest::summary() const {
+  const auto lines = [this](Log::Level level) {
+    return static_cast<unsigned long long>(log_lines_[static_cast<std::size_t>(level)]);
+  };
+  char text[160];
+  std::snprintf(text, sizeof text,
+                "%016llx actions=%llu errors=%llu warnings=%llu info=%llu debug=%llu",
+                static_cast<unsigned long long>(XXH3_64bits_digest(state_.get())),
+                static_cast<unsigned long long>(actions_), lines(Log::Level::Error),
+                lines(Log::Level::Warning), lines(Log::Level::Info), lines(Log::Level::Debug));
+  return text;
+}
+
+void BehaviourDigest::add_action(const Answer& answer) {
+  add_number(static_cast<std::uint8_t>(answer.origin.kind));
+  add_number(answer.origin.link);
+  add_number(answer.origin.call);
+  add_number(answer.status);
+  add_bytes(answer.body);
+  add_number(answer.retry_after_s);
+  add_number(answer.valid_until);
+}
+
+void BehaviourDigest::add_action(const CallState& call) {
+  const HttpRequest request = encode_state(call.request);
+  add_number(call.call);
+  add_bytes(request.method);
+  add_bytes(request.path);
+  add_bytes(request.body);
+  add_number(call.timeout_ms);
+}
+
+void BehaviourDigest::add_action(const CallCloud& call) {
+  const HttpRequest request = encode_cloud(call.request);
+  add_number(call.call);
+  add_bytes(request.method);
+  add_bytes(request.path);
+  add_bytes(request.body);
+  add_number(call.timeout_ms);
+}
+
+void BehaviourDigest::add_action(const CallWorker& call) {
+  add_number(call.call);
+  add_bytes(call.address);
+  add_bytes(call.body);
+  add_number(call.timeout_ms);
+  add_number(call.valid_until);
+}
+
+void BehaviourDigest::add_action(const SendPeer& message) {
+  add_number(static_cast<std::uint64_t>(message.sibling));
+  add_bytes(encode_peer(message.message));
+}
+
+void BehaviourDigest::add_action(const SendRegion& message) {
+  add_number(static_cast<std::uint64_t>(message.region));
+  add_bytes(encode_region_message(message.message));
+}
+
+void BehaviourDigest::add_action(const ArmTimer& timer) { add_number(timer.in_ms); }
+
+void BehaviourDigest::add_action(const Log& line) {
+  ++log_lines_[static_cast<std::size_t>(line.level)];
+}
+
+void BehaviourDigest::add_bytes(const std::string& bytes) {
+  add_number(static_cast<std::uint64_t>(bytes.size()));
+  XXH3_64bits_update(state_.get(), bytes.data(), bytes.size());
+}
+
+}  // namespace sailreel::sim
--- /dev/null
+++ b/tests/support/behaviour_digest.hpp
@@ -0,0 +1,71 @@
+// Hashes what controllers say to the outside, so that two versions of the sources can be compared:
+// a change that only renames, splits or merges code leaves every digest as it was.
+#pragma once
+
+#include <xxhash.h>
+
+#include <array>
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <type_traits>
+#include <vector>
+
+#include "sim/controller.hpp"
+
+namespace sailreel::sim {
+
+/// Digest of all actions that controllers return, in their order. The texts of log lines are left
+/// out; their number is counted by level.
+class BehaviourDigest {
+ public:
+  BehaviourDigest();
+
+  void add(std::uint64_t controller, const std::vector<Action>& actions);
+  /// One line: the digest in hexadecimal, the number of actions, and log lines by level.
+  [[nodiscard]] std::string summary() const;
+
+ private:
+  struct StateDeleter {
+    void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
+  };
+
+  void add_action(const Answer& answer);
+  void add_action(const CallState& call);
+  void add_action(const CallCloud& call);
+  void add_action(const CallWorker& call);
+  void add_action(const SendPeer& message);
+  void add_action(const SendRegion& message);
+  void add_action(const ArmTimer& timer);
+  void add_action(const Log& line);
+  void add_bytes(const std::string& bytes);
+  template <typename Number>
+  void add_number(Number value) {
+    static_assert(std::is_arithmetic_v<Number>);
+    XXH3_64bits_update(state_.get(), &value, sizeof value);
+  }
+
+  std::unique_ptr<XXH3_state_t, StateDeleter> state_;
+  std::uint64_t actions_ = 0;
+  std::array<std::uint64_t, 4> log_lines_{};
+};
+
+/// A controller of the present version whose actions are added to a digest.
+class DigestedController : public PresentController {
+ public:
+  DigestedController(const Settings& settings, const Options& options, std::uint64_t seed,
+                     std::shared_ptr<BehaviourDigest> digest)
+      : PresentController(settings, options, seed), seed_(seed), digest_(std::move(digest)) {}
+
+  std::vector<Action> step(Clock clock, Input input) override {
+    std::vector<Action> actions = PresentController::step(clock, std::move(input));
+    digest_->add(seed_, actions);
+    return actions;
+  }
+
+ private:
+  std::uint64_t seed_;
+  std::shared_ptr<BehaviourDigest> digest_;
+};
+
+}  // namespace sailreel::sim
