--- a/sim/gangs.cpp
+++ b/sim/gangs.cpp
@@ -20,7 +20,7 @@
     if (!w.alive || now_ < w.hang_until) continue;
     for (const auto& [key, list] : w.tasks)
       for (const WorkTask& t : list)
-        if (key.first == user.spec.id && t.report.attempt == attempt && t.on &&
+        if (key.first == user.spec.id && t.heartbeat.attempt == attempt && t.on &&
             (!saved_only || t.saved))
           ++present;
   }
@@ -51,7 +51,7 @@
 }
 
 void World::advance_gang(Worker& w, WorkTask& t, const User& user) {
-  ReportedTask& r = t.report;
+  TaskStatus& r = t.heartbeat;
   const Time wait = ms(plan_.gang_wait_s), peer = ms(plan_.gang_peer_s);
   GangRun& run = gang_runs_[{user.spec.id, r.attempt}];
   GangProgress& progress = gang_progress_[user.spec.id];
@@ -115,7 +115,7 @@
 }
 
 void World::stop_gang_task(WorkTask& t, const User& user, double grace_s, Worker& w) {
-  ReportedTask& r = t.report;
+  TaskStatus& r = t.heartbeat;
   GangRun& run = gang_runs_[{user.spec.id, r.attempt}];
   const bool saves =
       r.state == RunState::Running && user.spec.checkpoint_s > 0 && grace_s >= user.spec.save_s;
--- a/sim/troubles.cpp
+++ b/sim/troubles.cpp
@@ -103,7 +103,7 @@
   w.alive = false;
   for (const auto& [key, list] : w.tasks)
     for (const WorkTask& t : list)
-      if (t.on) ended(t.report.key, name, false);
+      if (t.on) ended(t.heartbeat.key, name, false);
 }
 
 void World::hang_machine(const std::string& name, Time for_ms) {
@@ -118,7 +118,7 @@
        if (!w.alive || now_ >= until) return;
        for (auto& [key, list] : w.tasks)
          for (WorkTask& t : list) {
-           if (t.on) ended(t.report.key, name, false);
+           if (t.on) ended(t.heartbeat.key, name, false);
            t.on = false;
          }
      });
@@ -146,9 +146,13 @@
   (at_once ? lost_answers_ : late_writes_) = {share, now_ + for_ms};
 }
 
-void World::reports_for_next(double share, Time for_ms) { for_next_ = {share, now_ + for_ms}; }
+void World::keep_heartbeats_for_next_leader(double share, Time for_ms) {
+  for_next_ = {share, now_ + for_ms};
+}
 
-void World::late_reports(double share, Time for_ms) { late_reports_ = {share, now_ + for_ms}; }
+void World::delay_heartbeats(double share, Time for_ms) {
+  late_heartbeats_ = {share, now_ + for_ms};
+}
 
 void World::slow_commands(Time for_ms) { slow_commands_ = {0.5, now_ + for_ms}; }
 
@@ -279,9 +283,9 @@
     case 6:
       return late_writes(0.3, longer, false);
     case 7:
-      return reports_for_next(0.3, longer);
+      return keep_heartbeats_for_next_leader(0.3, longer);
     case 8:
-      return late_reports(0.3, longer);
+      return delay_heartbeats(0.3, longer);
     case 9:
       if (!machine.empty()) mute_machine(machine, 2 * longer);
       return;
--- a/sim/workers.cpp
+++ b/sim/workers.cpp
@@ -6,12 +6,12 @@
 namespace sailreel::sim {
 namespace {
 
-constexpr Time kReportWait = 4'000, kWorkerTick = 100;
+constexpr Time kHeartbeatWait = 4'000, kWorkerTick = 100;
 
 }  // namespace
 
-Report World::make_report(Worker& w) {
-  Report r;
+Heartbeat World::make_heartbeat(Worker& w) {
+  Heartbeat r;
   r.machine = w.machine.name;
   r.address = w.machine.address;
   r.type = w.machine.type;
@@ -23,7 +23,7 @@
   if (w.notice_at > 0)
     r.notice_s = static_cast<double>(std::max<Time>(0, w.notice_at - now_)) / 1000;
   for (const auto& [key, list] : w.tasks)
-    for (const WorkTask& t : list) r.tasks.push_back(t.report);
+    for (const WorkTask& t : list) r.tasks.push_back(t.heartbeat);
   return r;
 }
 
@@ -35,7 +35,7 @@
 void World::lapse(Worker& w) {
   for (const auto& [key, list] : w.tasks)
     for (const WorkTask& t : list)
-      if (t.on) ended(t.report.key, w.machine.name, false);
+      if (t.on) ended(t.heartbeat.key, w.machine.name, false);
   w.tasks.clear();
   ++w.session;
   w.began = w.last_ok_sent = now_;
@@ -55,13 +55,13 @@
   if (static_cast<double>(now_ - w.last_ok_sent) * w.drift > lease) lapse(w);
   for (auto& [key, list] : w.tasks)
     for (WorkTask& t : list) advance(w, t);
-  if (!w.in_flight && (now_ >= w.next_report || (w.changed && now_ - w.last_report >= 500)))
-    send_report(w);
+  if (!w.in_flight && (now_ >= w.next_heartbeat || (w.changed && now_ - w.last_heartbeat >= 500)))
+    send_heartbeat(w);
   at(now_ + kWorkerTick, [this, name] { worker_tick(name); });
 }
 
 void World::advance(Worker& w, WorkTask& t) {
-  ReportedTask& r = t.report;
+  TaskStatus& r = t.heartbeat;
   const User* user = user_of(r.key.job);
   if (is_gang(user)) return advance_gang(w, t, *user);
   if (r.state == RunState::Fetching && now_ >= t.image_at) begin_task(w, t);
@@ -81,7 +81,7 @@
 }
 
 void World::begin_task(Worker& w, WorkTask& t) {
-  ReportedTask& r = t.report;
+  TaskStatus& r = t.heartbeat;
   r.state = RunState::Running;
   t.on = true;
   w.changed = true;
@@ -99,24 +99,24 @@
 }
 
 void World::end_task(Worker& w, WorkTask& t, ExitCause cause) {
-  if (t.on) ended(t.report.key, w.machine.name, cause == ExitCause::Done);
+  if (t.on) ended(t.heartbeat.key, w.machine.name, cause == ExitCause::Done);
   t.on = false;
-  t.report.state = RunState::Exited;
-  t.report.cause = cause;
+  t.heartbeat.state = RunState::Exited;
+  t.heartbeat.cause = cause;
   w.changed = true;
 }
 
-void World::send_report(Worker& w) {
+void World::send_heartbeat(Worker& w) {
   const std::string name = w.machine.name;
-  const Report report = make_report(w);
+  const Heartbeat heartbeat = make_heartbeat(w);
   const Time sent = now_;
   const std::uint64_t flight = ++w.flight, session = w.session;
   w.in_flight = true;
   w.changed = false;
-  w.last_report = now_;
-  const Time interval = ms(settings_[0].workers.report_s);
-  w.next_report = now_ + interval * 3 / 4 +
-                  static_cast<Time>(random_(static_cast<std::uint32_t>(interval / 2)));
+  w.last_heartbeat = now_;
+  const Time interval = ms(settings_[0].workers.heartbeat_interval_s);
+  w.next_heartbeat = now_ + interval * 3 / 4 +
+                     static_cast<Time>(random_(static_cast<std::uint32_t>(interval / 2)));
   const std::size_t i = w.node;
   const std::uint64_t call = next_call_++;
   const auto finish = [this, name, flight, sent, session](int status, const std::string& body) {
@@ -128,23 +128,23 @@
   answers_[call] = [this, i, name, finish](int status, const std::string& body) {
     carry(nodes_[i].name, name, [finish, status, body] { finish(status, body); });
   };
-  const std::string raw = encode_report(report);
+  const std::string raw = encode_heartbeat(heartbeat);
   const auto deliver = [this, i, raw](Origin origin) {
-    ++reports_;
-    if (auto decoded = decode_report(raw)) feed(i, WorkerReport{origin, *decoded, raw});
+    ++heartbeats_;
+    if (auto decoded = decode_heartbeat(raw)) feed(i, HeartbeatReceived{origin, *decoded, raw});
   };
-  deliver_report(w, [this, i, deliver, call, finish] {
+  deliver_heartbeat(w, [this, i, deliver, call, finish] {
     if (!nodes_[i].controller) return finish(0, "");
     deliver({Origin::Kind::Local, call, 0});
   });
   if (random_(1000) < plan_.late_copies * 1000)
     at(now_ + 1000 + random_(40'000),
        [this, name, i, deliver] { carry(name, nodes_[i].name, [deliver] { deliver({}); }); });
-  if (strikes(for_next_)) kept_reports_.push_back(raw);
-  if (strikes(late_reports_))
+  if (strikes(for_next_)) kept_heartbeats_.push_back(raw);
+  if (strikes(late_heartbeats_))
     at(now_ + 2'000 + random_(static_cast<std::uint32_t>(2'500 * plan_.lease_s)),
        [this, raw] { deliver_everywhere(raw); });
-  at(now_ + kReportWait, [this, name, call, flight, sent, session] {
+  at(now_ + kHeartbeatWait, [this, name, call, flight, sent, session] {
     answers_.erase(call);
     const auto it = workers_.find(name);
     if (it != workers_.end() && it->second.alive)
@@ -155,7 +155,7 @@
 // A cut holds what is sent over a connection that is open. One that is only attempted meanwhile is
 // given up, and doesn't complete later: so it is the report of before the cut that arrives after
 // it, and none of those that the worker sends to the other controllers in the meantime.
-void World::deliver_report(Worker& w, std::function<void()> arrive) {
+void World::deliver_heartbeat(Worker& w, std::function<void()> arrive) {
   const std::string& node = nodes_[w.node].name;
   const bool cut_off = now_ < cut_between(w.machine.name, node).first;
   if (now_ < w.mute_until || (cut_off && !w.connected)) return;
@@ -181,28 +181,28 @@
     const std::size_t to = node_index(decode_redirect(body));
     if (to < nodes_.size() && to != w.node) {
       w.node = to;
-      w.next_report = now_ + random_(500);
+      w.next_heartbeat = now_ + random_(500);
       return;
     }
   }
   w.node = (w.node + 1) % nodes_.size();
-  w.next_report = now_ + 1000;
+  w.next_heartbeat = now_ + 1000;
 }
 
 void World::stop_work(Worker& w, WorkTask& t, const Command& c) {
-  if (t.report.state == RunState::Exited) return;
+  if (t.heartbeat.state == RunState::Exited) return;
   const User* user = user_of(c.key.job);
   if (is_gang(user)) return stop_gang_task(t, *user, c.grace_s, w);
-  const bool saves = t.report.state == RunState::Running && user != nullptr &&
+  const bool saves = t.heartbeat.state == RunState::Running && user != nullptr &&
                      user->spec.checkpoint_s > 0 && c.grace_s >= user->spec.save_s;
   if (saves) {
-    t.report.state = RunState::Saving;
+    t.heartbeat.state = RunState::Saving;
     t.exits_at = now_ + ms(user->spec.save_s);
-  } else if (t.report.state != RunState::Saving || c.grace_s <= 0) {
+  } else if (t.heartbeat.state != RunState::Saving || c.grace_s <= 0) {
     if (t.on) ended(c.key, w.machine.name, false);
     t.on = false;
-    t.report.state = RunState::Exited;
-    t.report.cause = ExitCause::Stopped;
+    t.heartbeat.state = RunState::Exited;
+    t.heartbeat.cause = ExitCause::Stopped;
   }
   w.changed = true;
 }
@@ -210,28 +210,29 @@
 void World::obey(Worker& w, const Command& c) {
   if (on_command) on_command(w.machine.name, c);
   auto& list = w.tasks[{c.key.job, c.key.index}];
-  const auto same = std::find_if(list.begin(), list.end(),
-                                 [&](const WorkTask& t) { return t.report.attempt == c.attempt; });
+  const auto same = std::find_if(list.begin(), list.end(), [&](const WorkTask& t) {
+    return t.heartbeat.attempt == c.attempt;
+  });
   switch (c.op) {
     case Command::Op::Start: {
       if (same != list.end()) return;
       WorkTask t;
-      t.report.key = c.key;
-      t.report.attempt = c.attempt;
+      t.heartbeat.key = c.key;
+      t.heartbeat.attempt = c.attempt;
       const User* user = user_of(c.key.job);
       const auto refuse = [&](ExitCause cause) {
-        t.report.state = RunState::Exited;
-        t.report.cause = cause;
+        t.heartbeat.state = RunState::Exited;
+        t.heartbeat.cause = cause;
       };
       Resources used;
       for (const auto& [key, tasks] : w.tasks)
         for (const WorkTask& other : tasks)
-          if (other.report.state != RunState::Exited)
+          if (other.heartbeat.state != RunState::Exited)
             if (const User* u = user_of(key.first)) used += u->spec.need;
       if (user == nullptr) {
         refuse(ExitCause::Unknown);
       } else if (std::any_of(list.begin(), list.end(), [](const WorkTask& o) {
-                   return o.report.state != RunState::Exited;
+                   return o.heartbeat.state != RunState::Exited;
                  })) {
         refuse(ExitCause::Busy);
       } else if (used += user->spec.need; !used.fits_in(cloud_.types.front().size)) {
@@ -251,7 +252,7 @@
       return;
     }
     case Command::Op::Forget:
-      if (same != list.end() && same->report.state == RunState::Exited) {
+      if (same != list.end() && same->heartbeat.state == RunState::Exited) {
         list.erase(same);
         w.changed = true;
       }
@@ -280,18 +281,18 @@
 
 void World::execute_direct(std::size_t node, std::uint64_t call, const std::string& name,
                            const std::string& body, std::uint64_t incarnation) {
-  command(name, body, [=, this](int status, const Report& report) {
-    const auto answer = [this, node, call, incarnation, status, report] {
+  command(name, body, [=, this](int status, const Heartbeat& heartbeat) {
+    const auto answer = [this, node, call, incarnation, status, heartbeat] {
       if (nodes_[node].incarnation != incarnation) return;
       nodes_[node].direct_calls.erase(call);
-      feed(node, WorkerAnswer{call, status, report});
+      feed(node, WorkerAnswer{call, status, heartbeat});
     };
     carry_command(name, nodes_[node].name, answer);
   });
 }
 
 void World::command(const std::string& name, const std::string& body,
-                    const std::function<void(int, const Report&)>& then) {
+                    const std::function<void(int, const Heartbeat&)>& then) {
   const auto it = workers_.find(name);
   if (it == workers_.end() || !it->second.alive || now_ < it->second.deaf_until) return;
   Worker& w = it->second;
@@ -307,21 +308,22 @@
       for (const Command& c : batch->commands) obey(w, c);
     }
   }
-  then(status, make_report(w));
+  then(status, make_heartbeat(w));
 }
 
-void World::inspect(const std::string& name, const std::function<void(int, const Report&)>& then) {
+void World::inspect(const std::string& name,
+                    const std::function<void(int, const Heartbeat&)>& then) {
   const auto it = workers_.find(name);
   if (it == workers_.end() || !it->second.alive || now_ < it->second.deaf_until) return;
   if (now_ < it->second.hang_until)
     return at(it->second.hang_until + 5, [=, this] { inspect(name, then); });
-  then(200, make_report(it->second));
+  then(200, make_heartbeat(it->second));
 }
 
 // A copy of a report, to all controllers at once; nobody waits for an answer.
 void World::deliver_everywhere(const std::string& raw) {
   for (std::size_t i = 0; i < nodes_.size(); ++i)
-    if (auto decoded = decode_report(raw)) feed(i, WorkerReport{{}, *decoded, raw});
+    if (auto decoded = decode_heartbeat(raw)) feed(i, HeartbeatReceived{{}, *decoded, raw});
 }
 
 void World::deliver_copies() {
@@ -330,9 +332,9 @@
   const std::uint64_t epoch = nodes_[static_cast<std::size_t>(lead)].controller->epoch();
   if (epoch <= copied_epoch_) return;
   copied_epoch_ = epoch;
-  for (const std::string& raw : kept_reports_)
+  for (const std::string& raw : kept_heartbeats_)
     at(now_ + random_(300), [this, raw] { deliver_everywhere(raw); });
-  kept_reports_.clear();
+  kept_heartbeats_.clear();
 }
 
 // Names tasks that wait although a machine that suits them has room and their team is under its
@@ -351,7 +353,7 @@
     for (const auto& [key, list] : w.tasks)
       for (const WorkTask& t : list) {
         const User* u = user_of(key.first);
-        if (u == nullptr || t.report.state == RunState::Exited) continue;
+        if (u == nullptr || t.heartbeat.state == RunState::Exited) continue;
         room.free -= u->spec.need;
         out.used[u->spec.team] += u->spec.need;
         ++out.zones[key.first][w.machine.zone];
--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -20,7 +20,7 @@
   s.teams = {{"red", 0, 0, 16.0 * scale, 30.0 * large * scale},
              {"blue", 0, 0, 8.0 * scale, 12.0 * large * scale},
              {"guest", 0, 0, 0, 0}};
-  s.workers.report_s = 1;
+  s.workers.heartbeat_interval_s = 1;
   s.workers.lease_s = 10;
   s.workers.cancel_s = 30;
   s.workers.gang_wait_s = 20;
@@ -34,7 +34,7 @@
   s.limits.memory_mb = 40;
   s.limits.sockets = 500;
   if (scale > 50) {  // what a fleet of many hundred machines comes with
-    s.workers.report_s = 2.5;
+    s.workers.heartbeat_interval_s = 2.5;
     s.store.rps = 900;
     s.store.write_rps = 90;
     s.limits.memory_mb = 128;
@@ -60,7 +60,7 @@
   Deployment out;
   for (std::size_t node = 0; node < 3; ++node) {
     Settings s = sample_settings(node, plan.scale);
-    if (plan.scale <= 50) s.workers.report_s = plan.report_s;
+    if (plan.scale <= 50) s.workers.heartbeat_interval_s = plan.heartbeat_interval_s;
     s.workers.lease_s = plan.lease_s;
     s.workers.cancel_s = plan.cancel_s;
     s.workers.gang_wait_s = plan.gang_wait_s;
@@ -337,10 +337,10 @@
   if (message.kind == PeerMessage::Kind::Request) {
     const PeerRequest& request = message.request;
     const Origin origin{Origin::Kind::Peer, link, request.call};
-    if (request.op != UserOp::Report)
+    if (request.op != UserOp::Heartbeat)
       return feed(to, UserRequest{origin, request.op, request.id, request.body, request.relay});
-    if (auto report = decode_report(request.body))
-      feed(to, WorkerReport{origin, *report, request.body});
+    if (auto heartbeat = decode_heartbeat(request.body))
+      feed(to, HeartbeatReceived{origin, *heartbeat, request.body});
     return;
   }
   const auto& siblings = settings_[to].siblings;
--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -70,7 +70,7 @@
   std::uint32_t scale = 1;  // of the capacity and the teams; 12 machines at 1
   double loss = 0.002;
   double late_copies = 0.01;
-  double report_s = 1, lease_s = 10, cancel_s = 30;
+  double heartbeat_interval_s = 1, lease_s = 10, cancel_s = 30;
   /// Of each controller. What reaches it while it is busy waits, and its timers fire late.
   ProcessorCost processor;
   /// Machines are up after so long, whatever their type says; 0: as it says.
@@ -112,9 +112,9 @@
   void deliver(std::size_t node, const Answer& answer) { node_answer(node, answer); }
   /// A direct command to a worker; `then` gets its answer, if it ever gives one.
   void command(const std::string& machine, const std::string& body,
-               const std::function<void(int, const Report&)>& then);
+               const std::function<void(int, const Heartbeat&)>& then);
   /// A worker's report on request.
-  void inspect(const std::string& machine, const std::function<void(int, const Report&)>& then);
+  void inspect(const std::string& machine, const std::function<void(int, const Heartbeat&)>& then);
 
   // Troubles.
   void kill(std::size_t node, Time for_ms);
@@ -147,9 +147,9 @@
   /// Of that share of transactions the answer is lost; carried out at once, or 2 to 12 s late.
   void late_writes(double share, Time for_ms, bool at_once);
   /// That share of reports is kept, and reaches every controller as soon as another leads.
-  void reports_for_next(double share, Time for_ms);
+  void keep_heartbeats_for_next_leader(double share, Time for_ms);
   /// Of that share of reports a copy reaches every controller, from 2 s to 2.5 leases later.
-  void late_reports(double share, Time for_ms);
+  void delay_heartbeats(double share, Time for_ms);
   /// Half of the direct commands, and of their answers, are held for up to six seconds.
   void slow_commands(Time for_ms);
   /// Users call off so many jobs that run; their machines may hang.
@@ -196,7 +196,7 @@
   /// The longest time for which an input waited for its controller's processor.
   [[nodiscard]] Time longest_input_wait() const { return longest_input_wait_; }
   void forget_input_waits() { longest_input_wait_ = 0; }
-  [[nodiscard]] std::uint64_t reports() const { return reports_; }
+  [[nodiscard]] std::uint64_t heartbeats() const { return heartbeats_; }
   [[nodiscard]] std::uint64_t malformed_answers() const { return malformed_; }
   /// How often a gang has started, and how much of its progress is saved.
   [[nodiscard]] std::uint32_t gang_starts(const std::string& job) {
@@ -235,7 +235,7 @@
     std::set<std::uint64_t> direct_calls;  // waiting for an answer, each with its socket
   };
   struct WorkTask {
-    ReportedTask report;
+    TaskStatus heartbeat;
     Time image_at = 0, done_at = 0, exits_at = 0;
     bool on = false;
     Time waiting_since = 0;  // of a gang's task
@@ -260,7 +260,7 @@
     std::uint64_t session = 1, seq = 0, token = 0;
     std::size_t node = 0;
     Time began = 0, last_ok_sent = 0, hang_until = 0, deaf_until = 0, mute_until = 0, notice_at = 0;
-    Time next_report = 0, last_report = 0;
+    Time next_heartbeat = 0, last_heartbeat = 0;
     bool in_flight = false, changed = false;
     bool connected = false;  // to `node`, since that answered the report before
     std::uint64_t flight = 0;
@@ -330,9 +330,9 @@
   void stop_gang_task(WorkTask& t, const User& user, double grace_s, Worker& w);
   [[nodiscard]] std::uint32_t gang_tasks_present(const User& user, std::uint64_t attempt,
                                                  bool saved_only) const;
-  void send_report(Worker& w);
-  void deliver_report(Worker& w, std::function<void()> arrive);
-  Report make_report(Worker& w);
+  void send_heartbeat(Worker& w);
+  void deliver_heartbeat(Worker& w, std::function<void()> arrive);
+  Heartbeat make_heartbeat(Worker& w);
   void obey(Worker& w, const Command& c);
   void stop_work(Worker& w, WorkTask& t, const Command& c);
   void lapse(Worker& w);
@@ -413,9 +413,9 @@
   [[nodiscard]] bool strikes(const Share& s) {
     return now_ < s.until && random_(1'000'000) < s.of * 1'000'000;
   }
-  Share late_writes_, lost_answers_, for_next_, late_reports_, cancel_at_end_, slow_commands_;
+  Share late_writes_, lost_answers_, for_next_, late_heartbeats_, cancel_at_end_, slow_commands_;
   Time poll_closely_until_ = 0;
-  std::vector<std::string> kept_reports_;
+  std::vector<std::string> kept_heartbeats_;
   std::set<std::string> mistaken_, faulty_;
   std::map<std::pair<std::string, std::uint64_t>, GangRun> gang_runs_;
   std::map<std::string, GangProgress> gang_progress_;
@@ -424,7 +424,7 @@
   std::uint64_t next_call_ = 1;
   std::map<std::uint64_t, std::function<void(int, const std::string&)>> answers_;
   std::vector<Time> submission_delays_;
-  std::uint64_t malformed_ = 0, unanswered_ = 0, unanswered_cancels_ = 0, reports_ = 0;
+  std::uint64_t malformed_ = 0, unanswered_ = 0, unanswered_cancels_ = 0, heartbeats_ = 0;
 };
 
 }  // namespace sailreel::sim
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -28,7 +28,7 @@
 /// Reports and questions that are handed on wait for others for this part of a report's interval:
 /// as long as a pass of placement waits for reports that bunch up. While the leader hasn't answered
 /// the last of them, they wait for the larger part.
-constexpr double kBatchesPerReport = 40, kSlowBatchesPerReport = 8;
+constexpr double kBatchesPerHeartbeat = 40, kSlowBatchesPerHeartbeat = 8;
 
 std::uint64_t seed() {
   std::random_device device;
@@ -95,9 +95,9 @@
 
   static PeerLinks::Batching batching(const Settings& settings) {
     const auto part = [&](double parts) {
-      return std::max<std::int64_t>(1, ms(settings.workers.report_s / parts));
+      return std::max<std::int64_t>(1, ms(settings.workers.heartbeat_interval_s / parts));
     };
-    return {part(kBatchesPerReport), part(kSlowBatchesPerReport)};
+    return {part(kBatchesPerHeartbeat), part(kSlowBatchesPerHeartbeat)};
   }
 
   static Clock clock() { return {EventLoop::now_ms(), EventLoop::wall_ms()}; }
@@ -161,12 +161,12 @@
 
   void act(const CallWorker& a) {
     if (late(a.valid_until)) return feed(WorkerAnswer{a.call, 0, {}});
-    workers_.request(
-        a.address, "POST", "/do", a.body, a.timeout_ms, false,
-        [this, call = a.call](int status, std::string_view body) {
-          feed(WorkerAnswer{call, status,
-                            status == 200 || status == 409 ? decode_report(body) : std::nullopt});
-        });
+    workers_.request(a.address, "POST", "/do", a.body, a.timeout_ms, false,
+                     [this, call = a.call](int status, std::string_view body) {
+                       feed(WorkerAnswer{
+                           call, status,
+                           status == 200 || status == 409 ? decode_heartbeat(body) : std::nullopt});
+                     });
   }
 
   void act(const SendPeer& a) {
@@ -195,7 +195,7 @@
   static Urgency urgency_of(const PeerMessage& message) {
     if (message.kind != PeerMessage::Kind::Request) return Urgency::Now;
     const UserOp op = message.request.op;
-    return op == UserOp::Report || op == UserOp::Query ? Urgency::MayWait : Urgency::Now;
+    return op == UserOp::Heartbeat || op == UserOp::Query ? Urgency::MayWait : Urgency::Now;
   }
 
   void act(const ArmTimer& a) { tick_.set(a.in_ms); }
@@ -219,9 +219,9 @@
     const std::string_view path = std::string_view(r.path).substr(0, r.path.find('?'));
     if (path == "/hello") {
       if (r.method != "POST") return error(405, "method not allowed");
-      auto report = decode_report(r.body);
-      if (!report) return error(400, "not a report");
-      return feed(WorkerReport{origin, std::move(*report), std::move(r.body)});
+      auto heartbeat = decode_heartbeat(r.body);
+      if (!heartbeat) return error(400, "not a report");
+      return feed(HeartbeatReceived{origin, std::move(*heartbeat), std::move(r.body)});
     }
     if (path == "/healthz") {
       if (r.method != "GET") return error(405, "method not allowed");
@@ -267,12 +267,12 @@
         return;
       case PeerMessage::Kind::Request: {
         const Origin origin{Origin::Kind::Peer, link, m.request.call};
-        if (m.request.op != UserOp::Report)
+        if (m.request.op != UserOp::Heartbeat)
           return feed(UserRequest{origin, m.request.op, std::move(m.request.id),
                                   std::move(m.request.body), m.request.relay});
-        auto report = decode_report(m.request.body);
-        if (!report) return respond(origin, 400, encode_error("not a report"), 0);
-        return feed(WorkerReport{origin, std::move(*report), std::move(m.request.body)});
+        auto heartbeat = decode_heartbeat(m.request.body);
+        if (!heartbeat) return respond(origin, 400, encode_error("not a report"), 0);
+        return feed(HeartbeatReceived{origin, std::move(*heartbeat), std::move(m.request.body)});
       }
       case PeerMessage::Kind::Answer:
         for (std::size_t i = 0; i < siblings_.size(); ++i)
--- a/src/coordination/actions.hpp
+++ b/src/coordination/actions.hpp
@@ -26,9 +26,9 @@
   std::string body;    // a submission's
   bool relay = false;  // of a sibling that has no way to the leader
 };
-struct WorkerReport {
+struct HeartbeatReceived {
   Origin origin;
-  Report report;
+  Heartbeat heartbeat;
   std::string raw;  // as received, to be handed on
 };
 struct StateAnswer {
@@ -43,11 +43,12 @@
 struct WorkerAnswer {
   std::uint64_t call = 0;
   int status = 0;
-  std::optional<Report> report;
+  std::optional<Heartbeat> heartbeat;
 };
 struct PeerInput {
   std::size_t sibling = 0;
-  PeerMessage message;  // a heartbeat or an answer; requests come as UserRequest or WorkerReport
+  PeerMessage
+      message;  // a heartbeat or an answer; requests come as UserRequest or HeartbeatReceived
 };
 /// A message of another region's leader, or of a former one.
 struct RegionInput {
@@ -57,8 +58,8 @@
   std::size_t sibling = 0;
 };
 struct Tick {};
-using Input = std::variant<Tick, UserRequest, WorkerReport, StateAnswer, CloudAnswer, WorkerAnswer,
-                           PeerInput, PeerLost, RegionInput>;
+using Input = std::variant<Tick, UserRequest, HeartbeatReceived, StateAnswer, CloudAnswer,
+                           WorkerAnswer, PeerInput, PeerLost, RegionInput>;
 
 // ---- actions ----
 struct Answer {
--- a/src/coordination/core.cpp
+++ b/src/coordination/core.cpp
@@ -6,7 +6,9 @@
 namespace sailreel {
 namespace {
 /// Ticks are a twentieth of a worker's report interval apart, but never finer than timers are.
-Time tick_ms(const Settings& s) { return std::clamp<Time>(ms(s.workers.report_s) / 20, 40, 200); }
+Time tick_ms(const Settings& s) {
+  return std::clamp<Time>(ms(s.workers.heartbeat_interval_s) / 20, 40, 200);
+}
 /// One in so many of our sockets may wait for workers' answers to direct calls; a few more are open
 /// for calls that are just over.
 constexpr std::size_t kCallShare = 5;
@@ -20,7 +22,7 @@
       random_(seed),
       tables_(settings_),
       limits_(settings_, options_.federation, tables_),
-      lateness_(report_interval() / kLateTickShare, worker_lease()),
+      event_loop_lag_(heartbeat_interval() / kLateTickShare, worker_lease()),
       state_limiter_(settings_.store.rps * options_.state_share,
                      settings_.store.rps * options_.state_share),
       write_limiter_(settings_.store.write_rps * options_.write_share,
@@ -45,8 +47,8 @@
           tick();
         } else if constexpr (std::is_same_v<T, UserRequest>) {
           user_request(in);
-        } else if constexpr (std::is_same_v<T, WorkerReport>) {
-          worker_report(in);
+        } else if constexpr (std::is_same_v<T, HeartbeatReceived>) {
+          handle_heartbeat(in);
         } else if constexpr (std::is_same_v<T, StateAnswer>) {
           if (auto node = state_calls_.extract(in.call)) node.mapped()(in.reply);
         } else if constexpr (std::is_same_v<T, CloudAnswer>) {
@@ -74,7 +76,7 @@
 }
 
 void Core::tick() {
-  watch_lateness();
+  watch_event_loop_lag();
   election_tick();
   intake_tick();
   if (role_ == Role::Leader) {
@@ -90,14 +92,14 @@
     }
   }
   const Time next_tick = tick_ms(settings_);
-  lateness_.armed(clock_.now + next_tick);
+  event_loop_lag_.armed(clock_.now + next_tick);
   out_.push_back(ArmTimer{next_tick});
 }
 
 // Says so, once for each worker's lease, if most ticks come late: the processor can't carry what
 // the settings describe.
-void Core::watch_lateness() {
-  const auto late = lateness_.fired(clock_.now);
+void Core::watch_event_loop_lag() {
+  const auto late = event_loop_lag_.fired(clock_.now);
   if (!late) return;
   log(Log::Level::Warning, "event=processor_limit limit=cpu late_ms=", late->mean,
       " most_ms=", late->most);
--- a/src/coordination/core.hpp
+++ b/src/coordination/core.hpp
@@ -17,12 +17,12 @@
 
 #include "coordination/actions.hpp"
 #include "coordination/election_history.hpp"
+#include "coordination/event_loop_lag.hpp"
 #include "coordination/gang.hpp"
 #include "coordination/machine_ranking.hpp"
 #include "coordination/rate_limiter.hpp"
 #include "coordination/siblings.hpp"
 #include "coordination/team_limits.hpp"
-#include "coordination/timer_lateness.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/peer_frames.hpp"
 #include "protocol/settings.hpp"
@@ -60,7 +60,7 @@
 
   // core.cpp
   void tick();
-  void watch_lateness();
+  void watch_event_loop_lag();
   void answer(const Origin& origin, int status, std::string body, int retry_after_s = 0,
               Time valid_until = kNever);
   void refuse(const Origin& origin, const char* why);
@@ -70,11 +70,13 @@
   bool call_state(StateCall request, StateThen then, bool urgent = false);
   using CloudThen = std::function<void(const CloudReply&)>;
   bool call_cloud(CloudCall request, CloudThen then, bool keep_reserve);
-  using WorkerThen = std::function<void(int, const std::optional<Report>&)>;
+  using WorkerThen = std::function<void(int, const std::optional<Heartbeat>&)>;
   void call_worker(const std::string& address, std::string body, WorkerThen then);
   [[nodiscard]] bool calls_full() const;
   [[nodiscard]] Time command_until() const { return lease_deadline_; }
-  [[nodiscard]] Time report_interval() const { return ms(settings_.workers.report_s); }
+  [[nodiscard]] Time heartbeat_interval() const {
+    return ms(settings_.workers.heartbeat_interval_s);
+  }
   [[nodiscard]] Time worker_lease() const { return ms(settings_.workers.lease_s); }
 
   // election.cpp
@@ -91,7 +93,7 @@
   void step_down(const char* why);
   void revoke(std::uint64_t lease);
   void abdicate(const char* why);
-  void peer_heartbeat(std::size_t sibling, const PeerHeartbeat& heartbeat);
+  void peer_heartbeat(std::size_t sibling, const ControllerHeartbeat& heartbeat);
   void send_heartbeats();
 
   // intake.cpp
@@ -186,43 +188,43 @@
   [[nodiscard]] bool missing_in_rebuild(const Machine& m) const;
   void inquire_tick();
 
-  // report_intake.cpp
-  void worker_report(const WorkerReport& input);
-  void report_while_lapsed(const WorkerReport& input);
-  void report_under_old_token(const WorkerReport& input);
+  // heartbeat_handler.cpp
+  void handle_heartbeat(const HeartbeatReceived& input);
+  void handle_heartbeat_without_lease(const HeartbeatReceived& input);
+  void handle_heartbeat_with_old_token(const HeartbeatReceived& input);
   void worker_answer(const WorkerAnswer& input);
   /// What became of a report.
-  enum class ReportOutcome : std::uint8_t {
+  enum class HeartbeatOutcome : std::uint8_t {
     Taken,
     Late,           // a newer one has come before it
     SessionOver,    // it is of a session that is proved to be over
     UnknownMachine  // it shows tasks on a machine that can't have any
   };
   /// Takes in a report, or the answer to a direct command that left at `asked`.
-  ReportOutcome take_report(const Report& report, std::optional<Time> asked);
-  [[nodiscard]] static bool is_late(const Machine& m, const Report& r);
-  void refuse_report(const WorkerReport& in, Machine& m);
-  [[nodiscard]] bool unknown_with_tasks(const Report& report);
-  void first_report(Machine& m, const Report& r);
+  HeartbeatOutcome apply_heartbeat(const Heartbeat& heartbeat, std::optional<Time> asked);
+  [[nodiscard]] static bool is_late(const Machine& m, const Heartbeat& r);
+  void reject_heartbeat(const HeartbeatReceived& in, Machine& m);
+  [[nodiscard]] bool unknown_with_tasks(const Heartbeat& heartbeat);
+  void apply_first_heartbeat(Machine& m, const Heartbeat& r);
   void next_session(Machine& m);
   void note_address(Machine& m, const std::string& address);
-  void note_report(Machine& m, const Report& r);
+  void record_heartbeat(Machine& m, const Heartbeat& r);
   void take_notice(Machine& m, double notice_s);
 
-  // task_reports.cpp
-  void task_not_reported(Machine& m, std::size_t index, std::uint64_t report_seq, bool direct);
+  // task_status_handler.cpp
+  void handle_missing_task(Machine& m, std::size_t index, std::uint64_t heartbeat_seq, bool direct);
   void drop(Machine& m, std::size_t index);
   void drop_unsent(Machine& m);
   void quarantine(Machine& m, const char* why);
   void session_lost(Machine& m, const char* why);
-  void take_task(Machine& m, const ReportedTask& t, std::vector<bool>& seen);
-  Placement& add_reported(Machine& m, const ReportedTask& t);
-  Placement& add_stray(Machine& m, const ReportedTask& t, Job* job);
+  void take_task(Machine& m, const TaskStatus& t, std::vector<bool>& seen);
+  Placement& adopt_attempt(Machine& m, const TaskStatus& t);
+  Placement& add_stray(Machine& m, const TaskStatus& t, Job* job);
   void task_state(Machine& m, Placement& p, PlaceState state);
   void task_exited(Machine& m, Placement& p);
   void task_failed(Job& job, Machine& m);
   void check_for_fault(Machine& m);
-  std::vector<Command> commands_for(Machine& m, std::uint64_t report_seq);
+  std::vector<Command> commands_for(Machine& m, std::uint64_t heartbeat_seq);
   static std::string zones_known(const Job& job);
   void machine_gone(Machine& m, const char* why);
   void note_finished(Job& job, std::uint32_t index, const Machine& m);
@@ -252,8 +254,8 @@
   // keepalive.cpp
   [[nodiscard]] Time keep_alive_span() const;
   [[nodiscard]] Time expiry(const Machine& m) const;
-  void forward_report(const WorkerReport& in);
-  bool redirect_to_own_zone(const WorkerReport& in);
+  void forward_heartbeat(const HeartbeatReceived& in);
+  bool redirect_to_own_zone(const HeartbeatReceived& in);
   [[nodiscard]] std::optional<std::size_t> sibling_for_zone(const std::string& zone);
   [[nodiscard]] bool was_redirected(const std::string& machine, Time within) const;
   void redirect_worker(const Origin& origin, const std::string& machine, std::size_t sibling);
@@ -368,7 +370,7 @@
   bool place_gang_tasks(Job& job, std::uint64_t attempt);
   [[nodiscard]] std::vector<Machine*> gang_machines(const Job& job) const;
   [[nodiscard]] GangCandidate gang_candidate(const Job& job, const Machine& m) const;
-  [[nodiscard]] double report_due_s(const Machine& m) const;
+  [[nodiscard]] double heartbeat_due_s(const Machine& m) const;
   [[nodiscard]] double fetch_s(const Job& job, const Machine& m) const;
   [[nodiscard]] GangZones gang_zones(const Job& job) const;
   void make_gang_room(Job& job, const GangPlan& plan, const std::vector<Machine*>& machines);
@@ -485,7 +487,7 @@
   Tables tables_;
   TeamLimits limits_;
   Time next_share_look_ = 0;
-  TimerLateness lateness_;  // of our ticks
+  EventLoopLag event_loop_lag_;  // of our ticks
 
   // calls in flight
   std::uint64_t next_call_ = 1;
@@ -519,7 +521,7 @@
   KeepAlivePermit keep_alive_permit_;
   Time next_redirect_tidy_ = 0;
   Time kept_alive_at_ = -kNever;
-  Time last_worker_report_ = -kNever;  // by ourselves
+  Time last_worker_heartbeat_ = -kNever;  // by ourselves
   std::unordered_map<std::string, Time> redirected_at_;
 
   // versions
@@ -632,7 +634,7 @@
   // placement
   std::unordered_map<std::string, Gang> gangs_;
   std::set<std::string> gangs_to_review_;
-  const Machine* reporting_ = nullptr;  // whose report is being answered
+  const Machine* heartbeat_sender_ = nullptr;  // whose report is being answered
   bool placement_dirty_ = false;
   Time next_placement_ = 0;
   std::vector<Unmet> unmet_;  // by kind, in the order of their first jobs
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -299,7 +299,7 @@
   step_down(why);
 }
 
-void Core::peer_heartbeat(std::size_t sibling, const PeerHeartbeat& heartbeat) {
+void Core::peer_heartbeat(std::size_t sibling, const ControllerHeartbeat& heartbeat) {
   if (!siblings_.take(sibling, heartbeat, clock_.now)) return;
   if (heartbeat.leading && heartbeat.acknowledged_incarnation == incarnation_)
     keep_alive_permit_.allow(heartbeat.epoch,
@@ -316,13 +316,13 @@
   next_heartbeat_ = now + worker_lease() / 30;
   PeerMessage m;
   m.kind = PeerMessage::Kind::Heartbeat;
-  PeerHeartbeat& b = m.heartbeat;
+  ControllerHeartbeat& b = m.heartbeat;
   b.node = settings_.name;
   b.epoch = epoch_;
   b.leading = in_command(now);
   b.hears_leader = siblings_.leader(now).has_value();
   b.holding = role_ == Role::Leader && now < lease_deadline_ + keep_alive_span();
-  b.hears_workers = now - last_worker_report_ < silent_after();
+  b.hears_workers = now - last_worker_heartbeat_ < silent_after();
   b.understands_gangs = true;
   b.shares_limits = limits_.shared();
   b.incarnation = incarnation_;
--- a/src/coordination/timer_lateness.hpp
+++ b/src/coordination/event_loop_lag.hpp
@@ -10,20 +10,20 @@
 
 /// Watches a timer that is armed again whenever it has fired. A process that was busy or stood
 /// still for a moment is late once; one whose processor can't keep up is late most of the time.
-class TimerLateness {
+class EventLoopLag {
  public:
   /// What is said of a window in which most firings were late.
-  struct Report {
+  struct LagSummary {
     Time mean = 0, most = 0;
   };
 
   /// A firing counts as late from `limit` after it was due; windows are at least `window` long.
-  TimerLateness(Time limit, Time window) : limit_(limit), window_(window) {}
+  EventLoopLag(Time limit, Time window) : limit_(limit), window_(window) {}
 
   void armed(Time due) { due_ = due; }
 
   /// The timer has fired. Returns a report if a window ends with this and was mostly late.
-  std::optional<Report> fired(Time now) {
+  std::optional<LagSummary> fired(Time now) {
     if (!due_) return {};
     count(std::max<Time>(0, now - *due_));
     due_.reset();
@@ -41,15 +41,15 @@
     most_ = std::max(most_, late);
   }
 
-  std::optional<Report> end_window(Time now) {
+  std::optional<LagSummary> end_window(Time now) {
     // A single firing is one stand-still, however long it was.
-    std::optional<Report> report;
+    std::optional<LagSummary> summary;
     if (late_firings_ > 1 && late_firings_ * 2 > firings_)
-      report = Report{sum_ / static_cast<Time>(late_firings_), most_};
+      summary = LagSummary{sum_ / static_cast<Time>(late_firings_), most_};
     firings_ = late_firings_ = 0;
     sum_ = most_ = 0;
     window_end_ = now + window_;
-    return report;
+    return summary;
   }
 
   Time limit_, window_;
--- a/src/coordination/failure_detection.cpp
+++ b/src/coordination/failure_detection.cpp
@@ -7,7 +7,7 @@
 constexpr std::size_t kDeadShare = 3;
 }  // namespace
 
-Time Core::silent_after() const { return report_interval() * 5 / 2 + 500; }
+Time Core::silent_after() const { return heartbeat_interval() * 5 / 2 + 500; }
 
 // Few enough for the machines to be at fault, and not the network.
 bool Core::few_silent(std::size_t silent, std::size_t of) {
@@ -31,10 +31,10 @@
   FleetContact contact;
   const Time heard_since = clock_.now - unheard_after();
   for (const auto& [name, m] : tables_.machines) {
-    if (!m->reported) continue;
+    if (!m->heard_in_epoch) continue;
     ++contact.up;
     contact.silent += m->silent ? 1 : 0;
-    contact.heard += m->last_report >= heard_since ? 1 : 0;
+    contact.heard += m->last_heartbeat >= heard_since ? 1 : 0;
   }
   return contact;
 }
@@ -56,17 +56,18 @@
 // Notes when a machine falls silent, and what its lease's end means for its tasks.
 void Core::watch_machine(Machine& m, bool few_are_silent) {
   const Time now = clock_.now;
-  if (!m.reported) {
+  if (!m.heard_in_epoch) {
     if (m.recorded && m.listed_running && now >= expiry(m)) release(m, "not heard since take-over");
     return;
   }
   if (!m.error_jobs.empty()) check_for_fault(m);
-  if (!m.silent && now - m.last_report > silent_after()) {
+  if (!m.silent && now - m.last_heartbeat > silent_after()) {
     m.silent = true;
     m.silent_since = now;
     drop_unsent(m);
     log(Log::Level::Info, "event=machine_silent machine=", m.name, " zone=", m.zone,
-        " session=", m.session, " heard_ms=", now - m.last_report, " lease_ms=", expiry(m) - now);
+        " session=", m.session, " heard_ms=", now - m.last_heartbeat,
+        " lease_ms=", expiry(m) - now);
   }
   if (!m.silent || now < expiry(m)) return;
   m.sessions.close(m.session, now);
@@ -84,7 +85,7 @@
   // What was up when the former leader ended, and hasn't been heard for as long, is silent too.
   const bool awaited = rebuilding_ && clock_.now - led_since_ > silent_after();
   const auto silent = [&](const Machine& m) {
-    return m.reported ? m.silent : awaited && m.recorded && !m.lease_passed;
+    return m.heard_in_epoch ? m.silent : awaited && m.recorded && !m.lease_passed;
   };
   struct Zone {
     std::size_t up = 0, silent = 0;
@@ -93,15 +94,15 @@
   std::map<std::string, Zone> zones;
   std::size_t all_up = 0, all_silent = 0;
   for (auto& [name, m] : tables_.machines) {
-    if (m->releasing || m->zone.empty() || !(m->reported || silent(*m))) continue;
+    if (m->releasing || m->zone.empty() || !(m->heard_in_epoch || silent(*m))) continue;
     Zone& zone = zones[m->zone];
     ++zone.up;
     ++all_up;
     if (silent(*m)) {
       ++zone.silent;
       ++all_silent;
-    } else if (!m->address.empty() &&
-               (zone.witness == nullptr || m->last_own_report > zone.witness->last_own_report)) {
+    } else if (!m->address.empty() && (zone.witness == nullptr ||
+                                       m->last_own_heartbeat > zone.witness->last_own_heartbeat)) {
       zone.witness = m.get();
     }
   }
@@ -110,13 +111,13 @@
   const bool few = few_silent(all_silent, all_up);
   for (auto& [name, m] : tables_.machines) {
     if (m->releasing || m->zone.empty() || !silent(*m) || m->probe_failures < 2) continue;
-    const char* why = m->reported ? "silent" : "silent since take-over";
+    const char* why = m->heard_in_epoch ? "silent" : "silent since take-over";
     Zone& zone = zones[m->zone];
     const Time reached = zone_reached_[m->zone];
     if (zone.witness == nullptr) {
       // All of a zone at once is rather the zone; the only one of its zone is judged by the rest.
       if (few && zone.up == 1) release(*m, why);
-    } else if (reached > (m->reported ? m->silent_since : led_since_)) {
+    } else if (reached > (m->heard_in_epoch ? m->silent_since : led_since_)) {
       // An inquiry that left before the zone was reached says nothing: it may have met the end of a
       // cut that others were out of a moment sooner.
       const bool few_of_zone = zone.silent == 1 || zone.silent * kDeadShare <= zone.up;
--- a/src/coordination/fleet_sizing.cpp
+++ b/src/coordination/fleet_sizing.cpp
@@ -40,7 +40,7 @@
   poll_cloud();
   if (tables_.types.empty()) return;
   if (clock_.now >= next_sizing_) {
-    next_sizing_ = clock_.now + std::max<Time>(200, report_interval() / 4);
+    next_sizing_ = clock_.now + std::max<Time>(200, heartbeat_interval() / 4);
     size_fleet();
     return_idle();
   }
@@ -123,7 +123,7 @@
     Machine& m = tables_.add_machine(l.name, now);
     if (known == nullptr)
       log(Log::Level::Info, "event=machine_found machine=", l.name, " zone=", l.zone);
-    if (!m.reported) {
+    if (!m.heard_in_epoch) {
       m.type = l.type;
       m.zone = l.zone;
       m.spot = l.spot;
@@ -163,7 +163,7 @@
     if (type == nullptr) continue;
     const MachineKind kind{m->type, m->spot};
     ++supply.by_zone[kind][m->zone];
-    if (!m->reported && !zone_unreachable(m->zone) &&
+    if (!m->heard_in_epoch && !zone_unreachable(m->zone) &&
         clock_.now - m->rented < ms(type->boot_s * kLateBoot)) {
       supply.coming[kind] += 1;
       supply.coming_in_zone[{kind, m->zone}] += 1;
@@ -416,7 +416,7 @@
   for (const std::string& name : names) {
     if (released_.contains(name)) continue;
     Machine& machine = tables_.add_machine(name, clock_.now);
-    if (machine.reported) continue;
+    if (machine.heard_in_epoch) continue;
     machine.type = request.type;
     machine.zone = request.zone;
     machine.spot = request.spot;
@@ -450,7 +450,7 @@
     if (m.releasing) continue;
     const MachineType* t = tables_.type(m.type);
     if (t == nullptr) continue;
-    if (!m.reported) {
+    if (!m.heard_in_epoch) {
       if (!m.recorded || !rebuilding_)
         if (now - m.rented > ms(t->boot_s * kDeadBoot) && now >= expiry(m))
           release(m, "never came up");
--- a/src/coordination/gang_scheduling.cpp
+++ b/src/coordination/gang_scheduling.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /// Reports come an interval apart, give or take this share of it (protocol, "Workers").
-constexpr double kReportJitter = 0.25;
+constexpr double kHeartbeatJitter = 0.25;
 /// A machine that has reported for so many intervals not is no place to wait for.
-constexpr double kOverdueReports = 1.5;
+constexpr double kOverdueHeartbeats = 1.5;
 /// In seconds: what a machine costs where it is no equal choice otherwise.
 constexpr double kFailedThere = 60, kOrdinaryForSpot = 2, kStrandedGpu = 0.1;
 
@@ -52,8 +52,9 @@
 }
 
 bool Core::start_overdue(const Machine& m) const {
-  const auto most = static_cast<Time>(static_cast<double>(report_interval()) * kOverdueReports);
-  return clock_.now - m.last_own_report > most;
+  const auto most =
+      static_cast<Time>(static_cast<double>(heartbeat_interval()) * kOverdueHeartbeats);
+  return clock_.now - m.last_own_heartbeat > most;
 }
 
 // Gangs are looked at when something of theirs has changed, and as long as a start has not left.
@@ -154,7 +155,7 @@
   const JobSpec& spec = job.spec();
   const Resources room = room_beside(reservations_, m);
   GangCandidate candidate{m.zone, slots_in(room, spec.need, job.queued), 0};
-  candidate.delay_s = report_due_s(m) + fetch_s(job, m);
+  candidate.delay_s = heartbeat_due_s(m) + fetch_s(job, m);
   if (job.error_machines.contains(m.name)) candidate.delay_s += kFailedThere;
   if (spec.spot && !m.spot) candidate.delay_s += kOrdinaryForSpot;
   if (m.size.cpus > 0 && spec.need.gpus <= 0) {
@@ -166,12 +167,12 @@
 }
 
 // Starts go with the answer to a report. How long that of a machine is to be waited for.
-double Core::report_due_s(const Machine& m) const {
-  if (&m == reporting_) return 0;
-  const double interval = settings_.workers.report_s;
-  const double age = static_cast<double>(clock_.now - m.last_own_report) / 1000.0;
-  if (age < interval * (1 - kReportJitter)) return interval - age;
-  if (age < interval * (1 + kReportJitter)) return (interval * (1 + kReportJitter) - age) / 2;
+double Core::heartbeat_due_s(const Machine& m) const {
+  if (&m == heartbeat_sender_) return 0;
+  const double interval = settings_.workers.heartbeat_interval_s;
+  const double age = static_cast<double>(clock_.now - m.last_own_heartbeat) / 1000.0;
+  if (age < interval * (1 - kHeartbeatJitter)) return interval - age;
+  if (age < interval * (1 + kHeartbeatJitter)) return (interval * (1 + kHeartbeatJitter) - age) / 2;
   return 2 * interval;
 }
 
--- a/src/coordination/report_intake.cpp
+++ b/src/coordination/heartbeat_handler.cpp
@@ -6,50 +6,51 @@
 
 namespace sailreel {
 
-void Core::worker_report(const WorkerReport& in) {
+void Core::handle_heartbeat(const HeartbeatReceived& in) {
   const Time now = clock_.now;
-  const Report& r = in.report;
-  if (in.origin.kind == Origin::Kind::Local) last_worker_report_ = now;
-  if (role_ != Role::Leader) return forward_report(in);
+  const Heartbeat& r = in.heartbeat;
+  if (in.origin.kind == Origin::Kind::Local) last_worker_heartbeat_ = now;
+  if (role_ != Role::Leader) return forward_heartbeat(in);
   if (r.token > epoch_) {
     step_down("a worker has seen a higher token");
     return answer(in.origin, 421, encode_redirect({}));
   }
-  if (!in_command(now)) return report_while_lapsed(in);
+  if (!in_command(now)) return handle_heartbeat_without_lease(in);
   if (redirect_to_own_zone(in)) return;
   if (released_.contains(r.machine))
     return answer(in.origin, 503, encode_error("machine was returned"));
-  if (r.token < epoch_) return report_under_old_token(in);
-  const ReportOutcome outcome = take_report(r, {});
+  if (r.token < epoch_) return handle_heartbeat_with_old_token(in);
+  const HeartbeatOutcome outcome = apply_heartbeat(r, {});
   Machine* m = tables_.machine(r.machine);
-  if (outcome == ReportOutcome::SessionOver) return refuse_report(in, *m);
-  if (outcome != ReportOutcome::Taken) return answer(in.origin, 503, encode_error("late report"));
-  m->last_own_report = now;
-  reporting_ = m;
+  if (outcome == HeartbeatOutcome::SessionOver) return reject_heartbeat(in, *m);
+  if (outcome != HeartbeatOutcome::Taken)
+    return answer(in.origin, 503, encode_error("late report"));
+  m->last_own_heartbeat = now;
+  heartbeat_sender_ = m;
   review_gangs();
   if (placement_dirty_ && now >= next_placement_) place_all();
-  reporting_ = nullptr;
+  heartbeat_sender_ = nullptr;
   m->answered = now;
   const auto commands = commands_for(*m, r.seq);
-  answer(in.origin, 200, encode_report_answer(epoch_, commands), 0, command_until());
+  answer(in.origin, 200, encode_heartbeat_response(epoch_, commands), 0, command_until());
 }
 
 // The worker's tasks live on for a bounded time while we can't tell whether we still lead.
-void Core::report_while_lapsed(const WorkerReport& in) {
+void Core::handle_heartbeat_without_lease(const HeartbeatReceived& in) {
   const Time now = clock_.now, until = lease_deadline_ + keep_alive_span();
   if (now >= until) return answer(in.origin, 503, encode_error("lease lapsed"));
-  if (Machine* m = tables_.machine(in.report.machine)) {
-    if (!m->sessions.admits(in.report.session)) return refuse_report(in, *m);
+  if (Machine* m = tables_.machine(in.heartbeat.machine)) {
+    if (!m->sessions.admits(in.heartbeat.session)) return reject_heartbeat(in, *m);
     m->answered = now;
-    if (!is_late(*m, in.report)) m->last_report = now;
+    if (!is_late(*m, in.heartbeat)) m->last_heartbeat = now;
   }
-  answer(in.origin, 200, encode_report_answer(epoch_, {}), 0, until);
+  answer(in.origin, 200, encode_heartbeat_response(epoch_, {}), 0, until);
 }
 
 // Perhaps a copy from an earlier time. It learns our token; only what it reports under that counts.
-void Core::report_under_old_token(const WorkerReport& in) {
+void Core::handle_heartbeat_with_old_token(const HeartbeatReceived& in) {
   const Time now = clock_.now;
-  Machine* m = tables_.machine(in.report.machine);
+  Machine* m = tables_.machine(in.heartbeat.machine);
   if (m != nullptr && m->recorded) {
     // A machine that reports but never takes our token hears nothing, or the reports are copies.
     // Its lease can't be told from answers that it may or may not get: so it gets none until the
@@ -63,19 +64,19 @@
     }
   }
   if (m != nullptr) m->answered = now;
-  answer(in.origin, 200, encode_report_answer(epoch_, {}), 0, command_until());
+  answer(in.origin, 200, encode_heartbeat_response(epoch_, {}), 0, command_until());
 }
 
 void Core::worker_answer(const WorkerAnswer& in) {
-  if (auto node = worker_calls_.extract(in.call)) node.mapped()(in.status, in.report);
+  if (auto node = worker_calls_.extract(in.call)) node.mapped()(in.status, in.heartbeat);
 }
 
 // A report of a session that is proved to be over. Held back by the network, such reports were
 // taken for present: tasks that had been placed anew came to life again in their former zone
 // (incident held-reports). If it is the proof that was wrong, the answer to an inquiry that leaves
 // now says so.
-void Core::refuse_report(const WorkerReport& in, Machine& m) {
-  const Report& r = in.report;
+void Core::reject_heartbeat(const HeartbeatReceived& in, Machine& m) {
+  const Heartbeat& r = in.heartbeat;
   log(Log::Level::Info, "event=report_refused machine=", m.name, " zone=", r.zone,
       " session=", r.session, " seq=", r.seq, " tasks=", r.tasks.size(),
       " over_ms=", clock_.now - m.sessions.closed_at());
@@ -88,49 +89,49 @@
 
 // No start leaves for a machine that isn't recorded, and what is recorded is known: once a rebuild
 // is over, a machine that isn't known has no tasks. One that reports some was returned long ago.
-bool Core::unknown_with_tasks(const Report& r) {
+bool Core::unknown_with_tasks(const Heartbeat& r) {
   return !rebuilding_ && !r.tasks.empty() && tables_.machine(r.machine) == nullptr;
 }
 
-bool Core::is_late(const Machine& m, const Report& r) {
-  return m.reported && std::pair(r.session, r.seq) <= std::pair(m.session, m.seq);
+bool Core::is_late(const Machine& m, const Heartbeat& r) {
+  return m.heard_in_epoch && std::pair(r.session, r.seq) <= std::pair(m.session, m.seq);
 }
 
-Core::ReportOutcome Core::take_report(const Report& r, std::optional<Time> asked) {
+Core::HeartbeatOutcome Core::apply_heartbeat(const Heartbeat& r, std::optional<Time> asked) {
   if (unknown_with_tasks(r)) {
     log(Log::Level::Info, "event=report_of_unknown machine=", r.machine, " session=", r.session,
         " tasks=", r.tasks.size());
-    return ReportOutcome::UnknownMachine;
+    return HeartbeatOutcome::UnknownMachine;
   }
   Machine& m = tables_.add_machine(r.machine, clock_.now);
   if (is_late(m, r)) {
     log(Log::Level::Debug, "event=report_late machine=", m.name, " session=", r.session,
         " seq=", r.seq, " known_session=", m.session, " known_seq=", m.seq);
-    return ReportOutcome::Late;
+    return HeartbeatOutcome::Late;
   }
   if (asked) m.sessions.answered(r.session, *asked);
-  if (!m.sessions.admits(r.session)) return ReportOutcome::SessionOver;
-  if (!m.reported)
-    first_report(m, r);
+  if (!m.sessions.admits(r.session)) return HeartbeatOutcome::SessionOver;
+  if (!m.heard_in_epoch)
+    apply_first_heartbeat(m, r);
   else if (r.session > m.session)
     next_session(m);
   note_address(m, r.address);
-  note_report(m, r);
+  record_heartbeat(m, r);
 
   std::vector<bool> seen(m.placements.size(), false);
-  for (const ReportedTask& t : r.tasks) take_task(m, t, seen);
+  for (const TaskStatus& t : r.tasks) take_task(m, t, seen);
   for (std::size_t i = seen.size(); i-- > 0;)
-    if (!seen[i]) task_not_reported(m, i, r.seq, asked.has_value());
+    if (!seen[i]) handle_missing_task(m, i, r.seq, asked.has_value());
   // Not before the report is taken in: emptying the machine moves its placements about.
   if (!m.error_jobs.empty()) check_for_fault(m);
   if (r.notice_s && m.notice_until == 0) take_notice(m, *r.notice_s);
   if (m.empty() && m.idle_since == 0) m.idle_since = clock_.now;
   if (!m.empty()) m.idle_since = 0;
-  return ReportOutcome::Taken;
+  return HeartbeatOutcome::Taken;
 }
 
-void Core::first_report(Machine& m, const Report& r) {
-  m.last_own_report = clock_.now;
+void Core::apply_first_heartbeat(Machine& m, const Heartbeat& r) {
+  m.last_own_heartbeat = clock_.now;
   m.zone = r.zone;
   m.type = r.type;
   m.spot = r.spot;
@@ -161,7 +162,7 @@
   dirty_machine_shards_.insert(machine_shard(m.name));
 }
 
-void Core::note_report(Machine& m, const Report& r) {
+void Core::record_heartbeat(Machine& m, const Heartbeat& r) {
   const Time now = clock_.now;
   tables_.size_machine(m);
   // An answer to an inquiry renews no lease; but of a session that we have only just met, or whose
@@ -169,14 +170,14 @@
   // were once returned at their first silence, as if their old lease still counted. Only once until
   // it reports by itself: one that reaches no controller is to be returned in the end.
   const bool lease_unknown = r.session > m.session || now >= expiry(m);
-  if (!m.reported || (lease_unknown && m.last_own_report >= m.answered)) m.answered = now;
-  if (!m.reported || now - m.last_report > silent_after()) m.steady_since = now;
-  m.reported = true;
+  if (!m.heard_in_epoch || (lease_unknown && m.last_own_heartbeat >= m.answered)) m.answered = now;
+  if (!m.heard_in_epoch || now - m.last_heartbeat > silent_after()) m.steady_since = now;
+  m.heard_in_epoch = true;
   m.token_refused_since = 0;
   m.lease_passed = false;
   m.session = m.probe_session = r.session;
   m.seq = r.seq;
-  m.last_report = now;
+  m.last_heartbeat = now;
   // It takes work again. Without a pass for it, what waited did so until something else changed.
   if (m.silent) placement_dirty_ = true;
   m.silent = false;
--- a/src/coordination/image_fetches.cpp
+++ b/src/coordination/image_fetches.cpp
@@ -34,7 +34,7 @@
   m.fetching_now.erase(it);
   const double took = static_cast<double>(clock_.now - ended.since) / 1000.0;
   for (Fetch& f : m.fetching_now)
-    if (std::abs(f.since - ended.since) < report_interval()) f.beside_s += ended.alone_s;
+    if (std::abs(f.since - ended.since) < heartbeat_interval()) f.beside_s += ended.alone_s;
   // Too little beside it to tell the one from the other.
   if (ended.beside_s < ended.alone_s / 2 || took <= 0) return;
   const double as_alone = std::abs(std::log(took / ended.alone_s));
--- a/src/coordination/intake.cpp
+++ b/src/coordination/intake.cpp
@@ -141,7 +141,7 @@
 bool Core::stops_at_once(const Job& job) const {
   if (job.unknown > 0 || round_.retries > 0) return false;
   return std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& t) {
-    return t.machine == nullptr || (t.machine->reported && !t.machine->silent);
+    return t.machine == nullptr || (t.machine->heard_in_epoch && !t.machine->silent);
   });
 }
 
@@ -170,7 +170,7 @@
                       token};
   PeerMessage m;
   m.kind = PeerMessage::Kind::Request;
-  m.request = {call, op, op == UserOp::Report ? std::string() : id, std::move(body), false};
+  m.request = {call, op, op == UserOp::Heartbeat ? std::string() : id, std::move(body), false};
   out_.push_back(SendPeer{sibling, std::move(m)});
 }
 
@@ -189,7 +189,7 @@
 void Core::give_up(const Forwarded& f) {
   if (f.op == UserOp::Query)
     look_up(f.origin, f.id);
-  else if (f.op == UserOp::Report)
+  else if (f.op == UserOp::Heartbeat)
     // Sent elsewhere now, a worker of a zone that has just been cut off would be lost.
     keep_alive(f.origin, f.id, f.token, false);
   else
--- a/src/coordination/keepalive.cpp
+++ b/src/coordination/keepalive.cpp
@@ -22,30 +22,31 @@
   const Time ours = last + with_drift(worker_lease()) + siblings_.contact_span();
   // Until the worker has seen our token, a former leader's answers may still renew its lease, and
   // so may those of the nodes that heard that leader.
-  return m.reported ? ours : std::max(ours, fence_at_);
+  return m.heard_in_epoch ? ours : std::max(ours, fence_at_);
 }
 
 // A report to a node that doesn't lead. It is handed on, not sent away: a worker that can't reach
 // the leader itself, as when two zones are apart, lost its tasks while it was sent to and fro.
-void Core::forward_report(const WorkerReport& in) {
+void Core::forward_heartbeat(const HeartbeatReceived& in) {
   if (in.origin.kind == Origin::Kind::Peer)
     return answer(in.origin, 503, encode_error("no leader"));
   std::optional<std::size_t> sibling = siblings_.leader(clock_.now);
   // A leader whose lease may have lapsed still keeps tasks alive.
   if (!sibling) sibling = siblings_.holding(clock_.now);
-  if (!sibling) return keep_alive(in.origin, in.report.machine, in.report.token, true);
+  if (!sibling) return keep_alive(in.origin, in.heartbeat.machine, in.heartbeat.token, true);
   if (!redirect_to_own_zone(in))
-    forward(in.origin, UserOp::Report, in.report.machine, in.raw, *sibling, in.report.token);
+    forward(in.origin, UserOp::Heartbeat, in.heartbeat.machine, in.raw, *sibling,
+            in.heartbeat.token);
 }
 
 // Sends a worker to a node of its own zone. When a zone was cut off, workers that reported to nodes
 // outside went from one to the next of them, 5 s each, until their leases had run out.
-bool Core::redirect_to_own_zone(const WorkerReport& in) {
-  const std::string& zone = in.report.zone;
+bool Core::redirect_to_own_zone(const HeartbeatReceived& in) {
+  const std::string& zone = in.heartbeat.zone;
   if (in.origin.kind != Origin::Kind::Local || zone == settings_.zone) return false;
-  if (was_redirected(in.report.machine, kRedirectLeases * worker_lease())) return false;
+  if (was_redirected(in.heartbeat.machine, kRedirectLeases * worker_lease())) return false;
   const std::optional<std::size_t> near = sibling_for_zone(zone);
-  if (near) redirect_worker(in.origin, in.report.machine, *near);
+  if (near) redirect_worker(in.origin, in.heartbeat.machine, *near);
   return near.has_value();
 }
 
@@ -100,7 +101,7 @@
   if (clock_.now - kept_alive_at_ > worker_lease())
     log(Log::Level::Info, "event=keep_alive for_ms=", keep_alive_permit_.until() - clock_.now);
   kept_alive_at_ = clock_.now;
-  answer(origin, 200, encode_report_answer(keep_alive_permit_.epoch(), {}), 0,
+  answer(origin, 200, encode_heartbeat_response(keep_alive_permit_.epoch(), {}), 0,
          keep_alive_permit_.until());
 }
 
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -4,10 +4,10 @@
 namespace sailreel {
 namespace {
 /// Reports bunch up; one pass serves those that arrive within this share of a report's interval.
-constexpr Time kPassesPerReport = 40;
+constexpr Time kPassesPerHeartbeat = 40;
 /// And passes are so far apart that, for each report, no more jobs and machines than this are
 /// looked at: what a report costs doesn't grow with the jobs that wait.
-constexpr Time kLooksPerReport = 150;
+constexpr Time kLooksPerHeartbeat = 150;
 /// The rankings of a pass take at most this share of a controller's memory, at so many bytes for
 /// each machine in one; a few are kept in any case.
 constexpr double kRankingMemoryShare = 0.1;
@@ -18,8 +18,8 @@
 bool Core::usable(const Machine& m) const {
   // A start goes with the answer to a machine's own report. One that answers inquiries, but reaches
   // no controller itself, once drew the work that waited again and again.
-  return m.reported && m.sized && !m.draining && !m.releasing && !m.silent &&
-         clock_.now >= m.quarantined_until && clock_.now - m.last_own_report <= silent_after();
+  return m.heard_in_epoch && m.sized && !m.draining && !m.releasing && !m.silent &&
+         clock_.now >= m.quarantined_until && clock_.now - m.last_own_heartbeat <= silent_after();
 }
 
 Resources Core::room_beside(const Reservations& promised, const Machine& m) {
@@ -171,10 +171,10 @@
   }
   end_rankings();
   const Time looks = static_cast<Time>(examined_ - examined);
-  const Time reports = std::max<Time>(1, static_cast<Time>(tables_.machines.size()));
-  const Time least = std::max<Time>(10, report_interval() / kPassesPerReport);
-  const Time by_looks = looks * report_interval() / (kLooksPerReport * reports);
-  next_placement_ = now + std::max(least, std::min(by_looks, report_interval()));
+  const Time heartbeats = std::max<Time>(1, static_cast<Time>(tables_.machines.size()));
+  const Time least = std::max<Time>(10, heartbeat_interval() / kPassesPerHeartbeat);
+  const Time by_looks = looks * heartbeat_interval() / (kLooksPerHeartbeat * heartbeats);
+  next_placement_ = now + std::max(least, std::min(by_looks, heartbeat_interval()));
 }
 
 // Looks at all machines once: which of them take work, and which have room for the least that
@@ -315,7 +315,7 @@
   if (t == nullptr || t->fetch_gb_per_s <= 0) return false;
   for (const Objective& o : settings_.objectives)
     if (o.kind == aim && (o.job_class.empty() || o.job_class == s.job_class))
-      return s.image_gb / t->fetch_gb_per_s + settings_.workers.report_s > o.within_s;
+      return s.image_gb / t->fetch_gb_per_s + settings_.workers.heartbeat_interval_s > o.within_s;
   return false;
 }
 
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -36,19 +36,20 @@
   while (!stops_due_.empty() && !calls_full()) {
     Machine* m = tables_.machine(*stops_due_.begin());
     stops_due_.erase(stops_due_.begin());
-    if (m == nullptr || !m->reported || m->silent || m->releasing || m->address.empty()) continue;
+    if (m == nullptr || !m->heard_in_epoch || m->silent || m->releasing || m->address.empty())
+      continue;
     std::vector<Command> stops;
     for (const Placement& p : m->placements)
       if (p.stop && p.state >= PlaceState::Sent && p.state <= PlaceState::Running)
         stops.push_back({Command::Op::Stop, p.key, p.attempt, p.grace_s});
     if (stops.empty()) continue;
-    call_worker(
-        m->address, encode_direct(epoch_, m->session, stops),
-        [this, name = m->name, sent = clock_.now](int status, const std::optional<Report>& report) {
-          if (status == 200 && report && report->machine == name && report->token == epoch_ &&
-              tables_.machine(name) != nullptr)
-            take_report(*report, sent);
-        });
+    call_worker(m->address, encode_direct(epoch_, m->session, stops),
+                [this, name = m->name, sent = clock_.now](
+                    int status, const std::optional<Heartbeat>& heartbeat) {
+                  if (status == 200 && heartbeat && heartbeat->machine == name &&
+                      heartbeat->token == epoch_ && tables_.machine(name) != nullptr)
+                    apply_heartbeat(*heartbeat, sent);
+                });
   }
 }
 
@@ -214,7 +215,7 @@
 // than one. Only the stop goes directly; a direct start would have to be waited for, perhaps for
 // minutes.
 void Core::move_tick() {
-  const Time soonest = report_interval() * 3 / 4;
+  const Time soonest = heartbeat_interval() * 3 / 4;
   for (auto it = moves_.begin(); it != moves_.end();) {
     Move& move = it->second;
     Machine* from = tables_.machine(move.from);
@@ -228,7 +229,7 @@
       continue;
     }
     ++it;
-    if (move.begun || clock_.now - to->last_own_report < soonest) continue;
+    if (move.begun || clock_.now - to->last_own_heartbeat < soonest) continue;
     move.begun = true;
     stop_task(*p, grace_for(*p->job));
   }
--- a/src/coordination/rebuild.cpp
+++ b/src/coordination/rebuild.cpp
@@ -137,7 +137,7 @@
       machine.address = record.address;
       machine.recorded = true;
       machine.images.assign(record.images.begin(), record.images.end());
-      machine.last_report = clock_.now;
+      machine.last_heartbeat = clock_.now;
       machine.answered = clock_.now;
     }
 }
@@ -169,7 +169,7 @@
   // Those that weren't heard held what is placed anew from now on: their leases are over.
   std::size_t unheard = 0;
   for (auto& [name, m] : tables_.machines) {
-    if (!m->recorded || m->reported) continue;
+    if (!m->recorded || m->heard_in_epoch) continue;
     m->sessions.close_unheard(now);
     ++unheard;
   }
@@ -184,7 +184,7 @@
 
 // It may hold tasks, and hasn't been heard under our token.
 bool Core::missing_in_rebuild(const Machine& m) const {
-  return m.recorded && !m.reported && !m.lease_passed && clock_.now < expiry(m);
+  return m.recorded && !m.heard_in_epoch && !m.lease_passed && clock_.now < expiry(m);
 }
 
 // Asks the machines that aren't heard. Those that were never asked, or longest ago, come first:
@@ -195,7 +195,7 @@
   std::vector<Machine*> unheard;
   for (auto& [name, m] : tables_.machines) {
     const bool awaited = rebuilding_ && missing_in_rebuild(*m);
-    const bool silent = m->reported && m->silent && !m->releasing && clock_.now < expiry(*m);
+    const bool silent = m->heard_in_epoch && m->silent && !m->releasing && clock_.now < expiry(*m);
     if (awaited || silent) unheard.push_back(m.get());
   }
   std::stable_sort(unheard.begin(), unheard.end(),
@@ -216,24 +216,24 @@
   const std::string name = m.name;
   const Time sent = clock_.now;
   call_worker(m.address, encode_direct(epoch_, m.probe_session, {}),
-              [this, name, sent](int status, const std::optional<Report>& report) {
+              [this, name, sent](int status, const std::optional<Heartbeat>& heartbeat) {
                 Machine* machine = tables_.machine(name);
                 if (machine == nullptr) return;
                 machine->probing = false;
-                machine->probe_at = std::max(clock_.now, sent + report_interval() / 2);
-                if (!report || report->machine != name) {
+                machine->probe_at = std::max(clock_.now, sent + heartbeat_interval() / 2);
+                if (!heartbeat || heartbeat->machine != name) {
                   if (status != 0) return;
                   ++machine->probe_failures;
                   machine->probe_failed = sent;
                   return;
                 }
                 machine->probe_failures = 0;
-                if (report->token > epoch_) return step_down("a worker has seen a higher token");
+                if (heartbeat->token > epoch_) return step_down("a worker has seen a higher token");
                 if (status == 200) {
-                  zone_reached_[report->zone] = clock_.now;
-                  take_report(*report, sent);
-                } else if (status == 409 && machine->probe_session != report->session) {
-                  machine->probe_session = report->session;
+                  zone_reached_[heartbeat->zone] = clock_.now;
+                  apply_heartbeat(*heartbeat, sent);
+                } else if (status == 409 && machine->probe_session != heartbeat->session) {
+                  machine->probe_session = heartbeat->session;
                   inquire(*machine);
                 }
               });
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -28,7 +28,7 @@
 /// it would write its head again and again, and get nowhere.
 constexpr std::size_t kLeastOperations = 2;
 /// Rounds that no user waits for are at least this part of a report's interval apart.
-constexpr Time kRoundsPerReport = 8;
+constexpr Time kCommitsPerHeartbeat = 8;
 /// Images are written as long as this share of the burst is left.
 constexpr double kImageHintReserve = 0.75;
 }  // namespace
@@ -53,7 +53,8 @@
   }
   if (!in_command(clock_.now) || (!round_needed() && !image_hints_due())) return;
   // What nobody waits for is gathered for a moment: each round writes the head anew.
-  if (!someone_waits() && clock_.now < round_ended_ + report_interval() / kRoundsPerReport) return;
+  if (!someone_waits() && clock_.now < round_ended_ + heartbeat_interval() / kCommitsPerHeartbeat)
+    return;
   double needed = 1;
   if (!someone_waits()) needed += kLeastOperations + kBackgroundReserve * write_limiter_.burst();
   if (!write_limiter_.allows(needed, clock_.now)) return;
--- a/src/coordination/share_moves.cpp
+++ b/src/coordination/share_moves.cpp
@@ -4,14 +4,14 @@
 namespace sailreel {
 namespace {
 /// The share manager is told of the load so often within a report's interval.
-constexpr Time kLooksPerReport = 10;
+constexpr Time kLooksPerHeartbeat = 10;
 /// Writes of shares in one round: with the head, that makes five operations.
 constexpr std::size_t kMostShareWrites = 4;
 }  // namespace
 
 void Core::share_tick() {
   if (!limits_.shared() || clock_.now < next_share_look_) return;
-  next_share_look_ = clock_.now + report_interval() / kLooksPerReport;
+  next_share_look_ = clock_.now + heartbeat_interval() / kLooksPerHeartbeat;
   // While anything may run that isn't known, nothing can be given: it may count against the share.
   const bool complete = !rebuilding_ && !unknown_jobs_ && !unknown_machines_;
   perform_share_actions(limits_.observe(clock_.now, complete, siblings_.all_share_limits()));
--- a/src/coordination/siblings.cpp
+++ b/src/coordination/siblings.cpp
@@ -4,7 +4,7 @@
 
 namespace sailreel {
 
-bool SiblingTable::take(std::size_t sibling, const PeerHeartbeat& heartbeat, Time now) {
+bool SiblingTable::take(std::size_t sibling, const ControllerHeartbeat& heartbeat, Time now) {
   SiblingView& v = views_[sibling];
   if (heartbeat.incarnation != v.incarnation) {
     // What its former incarnation may have kept alive until it ended isn't in the new one's
--- a/src/coordination/siblings.hpp
+++ b/src/coordination/siblings.hpp
@@ -39,7 +39,7 @@
         keep_alive_span_(keep_alive_span) {}
 
   /// Takes a heartbeat in; false if it is older than one that came before.
-  bool take(std::size_t sibling, const PeerHeartbeat& heartbeat, Time now);
+  bool take(std::size_t sibling, const ControllerHeartbeat& heartbeat, Time now);
   /// The link to it has broken: it doesn't lead as far as we know.
   void lost(std::size_t sibling) { views_[sibling].leading = false; }
   /// A worker was sent to it although it hears none yet.
--- a/src/coordination/task_reports.cpp
+++ b/src/coordination/task_status_handler.cpp
@@ -12,13 +12,14 @@
 }  // namespace
 
 // A report doesn't show what was placed there.
-void Core::task_not_reported(Machine& m, std::size_t index, std::uint64_t report_seq, bool direct) {
+void Core::handle_missing_task(Machine& m, std::size_t index, std::uint64_t heartbeat_seq,
+                               bool direct) {
   Placement& p = m.placements[index];
   if (p.state == PlaceState::Reserved) return;
   if (p.state == PlaceState::Sent) {
     // A worker has one report in flight at a time, so its next one shows that the answer to the one
     // before was carried out or dropped. A direct answer shows nothing of the kind.
-    if (direct || report_seq <= p.sent_seq) return;
+    if (direct || heartbeat_seq <= p.sent_seq) return;
     p.state = PlaceState::Reserved;
     if (p.sends < kMaxSends) return;
     log(Log::Level::Info, "event=start_not_taken machine=", m.name, " task=", p.key.job, "/",
@@ -57,7 +58,7 @@
 void Core::session_lost(Machine& m, const char* why) {
   if (m.placements.empty()) return;
   log(Log::Level::Info, "event=tasks_gone machine=", m.name, " count=", m.placements.size(),
-      " zone=", m.zone, " session=", m.session, " heard_ms=", clock_.now - m.last_report,
+      " zone=", m.zone, " session=", m.session, " heard_ms=", clock_.now - m.last_heartbeat,
       " answered_ms=", clock_.now - m.answered, " cause=\"", why, "\"");
   while (!m.placements.empty()) drop(m, m.placements.size() - 1);
   m.idle_since = clock_.now;
@@ -65,13 +66,13 @@
   placement_dirty_ = true;
 }
 
-void Core::take_task(Machine& m, const ReportedTask& t, std::vector<bool>& seen) {
+void Core::take_task(Machine& m, const TaskStatus& t, std::vector<bool>& seen) {
   Placement* p = m.find(t.key, t.attempt);
   if (p != nullptr) {
     const auto i = static_cast<std::size_t>(p - m.placements.data());
     if (i < seen.size()) seen[i] = true;
   } else {
-    p = &add_reported(m, t);
+    p = &adopt_attempt(m, t);
   }
   if (p->state == PlaceState::Exited) return;
   switch (t.state) {
@@ -91,7 +92,7 @@
 
 // An attempt that we don't know: started by a former leader, or come back although we thought it
 // gone.
-Placement& Core::add_reported(Machine& m, const ReportedTask& t) {
+Placement& Core::adopt_attempt(Machine& m, const TaskStatus& t) {
   Job* job = tables_.job(t.key.job);
   if (job != nullptr && t.key.index >= job->tasks.size()) job = nullptr;
   const bool on_machine = t.state != RunState::Exited;
@@ -112,7 +113,7 @@
 
 // An attempt that is not the task's present place: it counts against team and machine, and is
 // stopped.
-Placement& Core::add_stray(Machine& m, const ReportedTask& t, Job* job) {
+Placement& Core::add_stray(Machine& m, const TaskStatus& t, Job* job) {
   Placement stray;
   stray.key = t.key;
   stray.attempt = t.attempt;
@@ -205,14 +206,14 @@
   switch (p.cause) {
     case ExitCause::Error:
       task_failed(*job, m);
-      task.not_before = now + std::min<Time>(report_interval() * job->errors, worker_lease());
+      task.not_before = now + std::min<Time>(heartbeat_interval() * job->errors, worker_lease());
       log(Log::Level::Info, "event=task_error machine=", m.name, " task=", p.key.job, "/",
           p.key.index, " errors=", job->errors);
       break;
     case ExitCause::NoRoom:
     case ExitCause::Busy:
     case ExitCause::Unknown:
-      task.not_before = now + report_interval();
+      task.not_before = now + heartbeat_interval();
       log(Log::Level::Info, "event=start_refused machine=", m.name, " task=", p.key.job, "/",
           p.key.index, " cause=", static_cast<int>(p.cause));
       break;
@@ -236,7 +237,7 @@
     // One task at a time tries again, and ever more seldom: what fails at once and comes back at
     // once takes room, images and starts from work that runs.
     job.not_before =
-        clock_.now + std::min<Time>(report_interval() * job.errors, 2 * worker_lease());
+        clock_.now + std::min<Time>(heartbeat_interval() * job.errors, 2 * worker_lease());
   }
 }
 
@@ -253,7 +254,7 @@
       if (t.machine != nullptr && t.machine != &m)
         for (const Placement& p : t.machine->placements)
           job->proven = job->proven || (p.job == job && p.state == PlaceState::Running &&
-                                        clock_.now - p.running_since > 5 * report_interval());
+                                        clock_.now - p.running_since > 5 * heartbeat_interval());
     return job->proven;
   };
   const auto proven = static_cast<std::size_t>(
@@ -264,7 +265,7 @@
     quarantine(m, "errors");
 }
 
-std::vector<Command> Core::commands_for(Machine& m, std::uint64_t report_seq) {
+std::vector<Command> Core::commands_for(Machine& m, std::uint64_t heartbeat_seq) {
   std::vector<Command> out;
   // Stops and forgets come before starts: they make the room that the starts were promised.
   for (std::size_t i = m.placements.size(); i-- > 0;) {
@@ -292,7 +293,7 @@
         !p.job->committed || p.key.index >= p.job->started)
       continue;
     p.state = PlaceState::Sent;
-    p.sent_seq = report_seq;
+    p.sent_seq = heartbeat_seq;
     note_fetch_begun(m, p.job->spec());
     ++p.sends;
     p.since = clock_.now;
--- a/src/coordination/team_limits.cpp
+++ b/src/coordination/team_limits.cpp
@@ -16,7 +16,7 @@
     : tables_(tables) {
   if (options.enabled())
     shares_ = std::make_unique<federation::ShareManager>(options, settings.teams,
-                                                         ms(settings.workers.report_s));
+                                                         ms(settings.workers.heartbeat_interval_s));
 }
 
 bool TeamLimits::load(const Snapshot& checkpoint, std::uint64_t epoch, Time now) {
--- a/src/federation/share_manager.cpp
+++ b/src/federation/share_manager.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 /// Times as ratios to the workers' report interval.
-constexpr Time kAsksPerReport = 4;
-constexpr Time kResendsPerReport = 2;
+constexpr Time kAsksPerHeartbeat = 4;
+constexpr Time kResendsPerHeartbeat = 2;
 /// A demand that isn't repeated is forgotten after so many intervals.
-constexpr Time kDemandReports = 4;
-constexpr Time kSurplusReports = 10;
+constexpr Time kDemandHeartbeats = 4;
+constexpr Time kSurplusHeartbeats = 10;
 /// Tasks that are stopped for another region's urgent work have so long to leave.
-constexpr Time kReclaimReports = 6;
+constexpr Time kReclaimHeartbeats = 6;
 /// A change of what could be given is told when it is above this share of what was told.
 constexpr double kToldChange = 0.1;
 
@@ -55,8 +55,8 @@
 }  // namespace
 
 ShareManager::ShareManager(const FederationOptions& options, const std::vector<Team>& teams,
-                           Time report_ms)
-    : options_(options), interval_(std::max<Time>(1, report_ms)) {
+                           Time heartbeat_ms)
+    : options_(options), interval_(std::max<Time>(1, heartbeat_ms)) {
   for (const std::string& name : other_regions(options_)) {
     RegionView view;
     view.name = name;
@@ -299,7 +299,7 @@
   const Amounts reclaimed =
       urgent_of(view.load.waiting).none() ? missing.at_most(stoppable) : Amounts{};
   if (!reclaimed.none() && granted.none() && !view.reclaim) {
-    view.reclaim = Reclaim{region, reclaimed, now_ + kReclaimReports * interval_};
+    view.reclaim = Reclaim{region, reclaimed, now_ + kReclaimHeartbeats * interval_};
     event("event=share_reclaimed region=" + regions_[region].name + describe({team, reclaimed}));
     out_.emplace_back(StopBeyondCap{team, Priority::High});
   }
@@ -321,7 +321,7 @@
                                     (before == region.asked.end() || before->second.urgent.none()));
     }
     if (now_ < region.ask_again_at && !more_urgent) continue;
-    region.ask_again_at = now_ + interval_ / kAsksPerReport;
+    region.ask_again_at = now_ + interval_ / kAsksPerHeartbeat;
     RegionMessage message;
     message.kind = RegionMessage::Kind::Demand;
     message.demand.credited = committed_.regions[region.name].credited;
@@ -393,7 +393,7 @@
       message.surplus.entries.push_back(entry);
       region.surplus_told[team] = entry;
     }
-    if (all) region.surplus_resend_at = now_ + kSurplusReports * interval_;
+    if (all) region.surplus_resend_at = now_ + kSurplusHeartbeats * interval_;
     if (!message.surplus.entries.empty()) send(n, std::move(message));
   }
 }
@@ -460,7 +460,7 @@
   if (message.demand.credited != committed_.regions[from.name].sent) return;
   from.demands.clear();
   for (const DemandEntry& entry : message.demand.entries) from.demands[entry.team] = entry;
-  from.demands_until = now_ + kDemandReports * interval_;
+  from.demands_until = now_ + kDemandHeartbeats * interval_;
   // It is served with the next view of the load: by the last one, more may be in use by now.
 }
 
@@ -493,7 +493,7 @@
 void ShareManager::transfer_message(std::size_t region) {
   RegionView& to = regions_[region];
   const TransferRecord& transfers = committed_.regions[to.name];
-  to.resend_at = now_ + interval_ / kResendsPerReport;
+  to.resend_at = now_ + interval_ / kResendsPerHeartbeat;
   RegionMessage message;
   message.kind = RegionMessage::Kind::Transfer;
   message.transfer.number = transfers.sent;
--- a/src/federation/share_manager.hpp
+++ b/src/federation/share_manager.hpp
@@ -67,7 +67,7 @@
 
 class ShareManager {
  public:
-  ShareManager(const FederationOptions& options, const std::vector<Team>& teams, Time report_ms);
+  ShareManager(const FederationOptions& options, const std::vector<Team>& teams, Time heartbeat_ms);
 
   /// Begins with what the checkpoint holds, as the leader of that epoch. Before the first round
   /// with shares there is nothing, and the region holds its part of the division in the options.
--- a/src/protocol/counterpart_codec.cpp
+++ b/src/protocol/counterpart_codec.cpp
@@ -14,7 +14,7 @@
 constexpr std::array<const char*, 9> kCauseWords{
     "", "done", "stopped", "error", "no_room", "busy", "unknown", "mates_gone", "incomplete"};
 
-void write_task(json::Writer& writer, const ReportedTask& task) {
+void write_task(json::Writer& writer, const TaskStatus& task) {
   json::ObjectWriter object(writer);
   object.text("hand", task_name(task.key));
   object.whole("launch", task.attempt);
@@ -244,20 +244,20 @@
 
 }  // namespace
 
-std::string encode_report(const Report& report) {
+std::string encode_heartbeat(const Heartbeat& heartbeat) {
   rapidjson::StringBuffer buffer;
   json::Writer writer(buffer);
   json::ObjectWriter object(writer);
-  object.text("vessel", report.machine);
-  object.text("endpoint", report.address);
-  object.text("hull", report.type);
-  object.text("harbor", report.zone);
-  object.flag("driftwood", report.spot);
-  object.whole("watch", report.session);
-  object.whole("bell", report.seq);
-  object.whole("helm", report.token);
-  if (report.notice_s) object.number("recall_s", *report.notice_s);
-  object.list("hands", report.tasks, [&](const ReportedTask& task) { write_task(writer, task); });
+  object.text("vessel", heartbeat.machine);
+  object.text("endpoint", heartbeat.address);
+  object.text("hull", heartbeat.type);
+  object.text("harbor", heartbeat.zone);
+  object.flag("driftwood", heartbeat.spot);
+  object.whole("watch", heartbeat.session);
+  object.whole("bell", heartbeat.seq);
+  object.whole("helm", heartbeat.token);
+  if (heartbeat.notice_s) object.number("recall_s", *heartbeat.notice_s);
+  object.list("hands", heartbeat.tasks, [&](const TaskStatus& task) { write_task(writer, task); });
   object.end();
   return json::text(buffer);
 }
--- a/src/protocol/counterpart_codec.hpp
+++ b/src/protocol/counterpart_codec.hpp
@@ -14,7 +14,7 @@
 // ---- workers ----
 
 /// The body of a worker's report.
-std::string encode_report(const Report& report);
+std::string encode_heartbeat(const Heartbeat& heartbeat);
 
 /// The commands of a report's answer or of a direct command.
 struct CommandBatch {
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -84,7 +84,7 @@
   Incomplete
 };
 
-struct ReportedTask {
+struct TaskStatus {
   TaskKey key;
   std::uint64_t attempt = 0;
   RunState state = RunState::Fetching;
@@ -92,12 +92,12 @@
   bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
   std::uint64_t session = 0, seq = 0, token = 0;
   std::optional<double> notice_s;
-  std::vector<ReportedTask> tasks;
+  std::vector<TaskStatus> tasks;
 };
 
 struct Command {
@@ -178,6 +178,6 @@
   bool more = false;
 };
 
-enum class UserOp : std::uint8_t { Submit = 0, Query = 1, Cancel = 2, Report = 3 };
+enum class UserOp : std::uint8_t { Submit = 0, Query = 1, Cancel = 2, Heartbeat = 3 };
 
 }  // namespace sailreel
--- a/src/protocol/peer_frames.cpp
+++ b/src/protocol/peer_frames.cpp
@@ -106,7 +106,7 @@
     }
     case PeerMessage::Kind::Request: {
       RequestBody b;
-      if (!take(payload, b) || b.op > static_cast<std::uint8_t>(UserOp::Report) ||
+      if (!take(payload, b) || b.op > static_cast<std::uint8_t>(UserOp::Heartbeat) ||
           b.id_length > kMaxText || b.body_length > kMaxBody ||
           payload.size() != std::size_t{b.id_length} + b.body_length)
         return false;
@@ -144,7 +144,7 @@
 std::string encode_peer(const PeerMessage& m) {
   switch (m.kind) {
     case PeerMessage::Kind::Heartbeat: {
-      const PeerHeartbeat& b = m.heartbeat;
+      const ControllerHeartbeat& b = m.heartbeat;
       const auto flag = [](bool on, std::uint8_t bit) { return on ? unsigned{bit} : 0U; };
       const unsigned flags = flag(b.leading, kLeading) | flag(b.hears_leader, kHearsLeader) |
                              flag(b.holding, kHolding) | flag(b.hears_workers, kHearsWorkers) |
--- a/src/protocol/peer_frames.hpp
+++ b/src/protocol/peer_frames.hpp
@@ -14,7 +14,7 @@
 /// Said by every node to every other: who it is, whether it leads, and whether it hears a leader.
 /// Times are the sender's own or, echoed, the receiver's; so that an old heartbeat is known for
 /// one.
-struct PeerHeartbeat {
+struct ControllerHeartbeat {
   std::string node;
   std::uint64_t epoch = 0;
   bool leading = false, hears_leader = false;
@@ -54,7 +54,7 @@
   /// named in the operators' options are sent any.
   enum class Kind : std::uint8_t { Heartbeat = 1, Request = 2, Answer = 3, Region = 4 };
   Kind kind = Kind::Heartbeat;
-  PeerHeartbeat heartbeat;
+  ControllerHeartbeat heartbeat;
   PeerRequest request;
   PeerAnswer answer;
   RegionMessage region;
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -156,7 +156,7 @@
       s.objectives.push_back(std::move(o));
     }
   const auto& w = object(p, "workers", "settings.workers");
-  s.workers.report_s = number(w, "report_s", "settings.workers.report_s", true);
+  s.workers.heartbeat_interval_s = number(w, "report_s", "settings.workers.report_s", true);
   s.workers.lease_s = number(w, "lease_s", "settings.workers.lease_s", true);
   s.workers.cancel_s = number(w, "cancel_s", "settings.workers.cancel_s", true);
   if (s.workers.cancel_s <= s.workers.lease_s)
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -35,7 +35,7 @@
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   struct {
-    double report_s = 0, lease_s = 0, cancel_s = 0;
+    double heartbeat_interval_s = 0, lease_s = 0, cancel_s = 0;
     /// How long a task of a gang waits for the others, and within what time the tasks of a running
     /// gang notice that one is gone.
     double gang_wait_s = 0, gang_peer_s = 0;
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -38,8 +38,8 @@
   return ExitCause::Error;
 }
 
-std::optional<ReportedTask> decode_task(const json::Value& item) {
-  ReportedTask task;
+std::optional<TaskStatus> decode_task(const json::Value& item) {
+  TaskStatus task;
   std::string_view name, state, cause;
   if (!item.IsObject() || !json::get(item, "hand", name) || !parse_task(name, task.key) ||
       !json::get(item, "launch", task.attempt) || !json::get(item, "heading", state))
@@ -74,9 +74,9 @@
 
 }  // namespace
 
-std::optional<Report> decode_report(std::string_view body) {
+std::optional<Heartbeat> decode_heartbeat(std::string_view body) {
   json::Document doc;
-  Report r;
+  Heartbeat r;
   if (!json::parse_object(body, doc) || !json::get(doc, "vessel", r.machine) || r.machine.empty() ||
       r.machine.size() > 200 || !json::get(doc, "endpoint", r.address) ||
       !json::get(doc, "hull", r.type) || !json::get(doc, "harbor", r.zone) ||
@@ -98,7 +98,7 @@
   return r;
 }
 
-std::string encode_report_answer(std::uint64_t token, const std::vector<Command>& commands) {
+std::string encode_heartbeat_response(std::uint64_t token, const std::vector<Command>& commands) {
   rapidjson::StringBuffer b;
   json::Writer w(b);
   w.StartObject();
--- a/src/protocol/worker_codec.hpp
+++ b/src/protocol/worker_codec.hpp
@@ -10,9 +10,9 @@
 
 namespace sailreel {
 
-std::optional<Report> decode_report(std::string_view body);
+std::optional<Heartbeat> decode_heartbeat(std::string_view body);
 /// The answer to a report.
-std::string encode_report_answer(std::uint64_t token, const std::vector<Command>& commands);
+std::string encode_heartbeat_response(std::uint64_t token, const std::vector<Command>& commands);
 /// The body of a direct command.
 std::string encode_direct(std::uint64_t token, std::uint64_t session,
                           const std::vector<Command>& commands);
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -138,16 +138,16 @@
   double cache_gb = 0;
   bool sized = false;  // its type is known
   bool listed_running = false;
-  bool reported = false;  // in this epoch, and under its token
-  bool recorded = false;  // the checkpoint lists it
+  bool heard_in_epoch = false;  // in this epoch, and under its token
+  bool recorded = false;        // the checkpoint lists it
   bool record_dirty = false;
   std::uint64_t session = 0, seq = 0;
-  SessionFence sessions;     // those that are over by our own proof
-  Time rented = 0;           // or first heard of
-  Time last_report = 0;      // fresh, or a direct answer
-  Time steady_since = 0;     // heard without a gap since then
-  Time last_own_report = 0;  // last report that it sent by itself
-  Time answered = 0;         // last answer that may have renewed its lease
+  SessionFence sessions;        // those that are over by our own proof
+  Time rented = 0;              // or first heard of
+  Time last_heartbeat = 0;      // fresh, or a direct answer
+  Time steady_since = 0;        // heard without a gap since then
+  Time last_own_heartbeat = 0;  // last report that it sent by itself
+  Time answered = 0;            // last answer that may have renewed its lease
   Time idle_since = 0;
   bool draining = false;  // takes no more work
   std::string drain_cause;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -215,7 +215,7 @@
 // Read off the code: a report whose errors show the machine to be faulty had it emptied in the
 // middle of being taken in, which moves the placements that the rest of the report is held against.
 // No seed has shown what that leads to.
-TEST(Capacity, AMachineFoundFaultyByAReportThatSaysMore) {
+TEST(Capacity, AMachineFoundFaultyByAHeartbeatThatSaysMore) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     DayPlan plan = quiet(seed + 900);
     plan.length = 300'000;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -16,11 +16,11 @@
   return record;
 }
 
-ReportedTask running(const std::string& job, std::uint32_t index) {
+TaskStatus running(const std::string& job, std::uint32_t index) {
   return {{job, index}, 1, RunState::Running, ExitCause::None, false};
 }
 
-ReportedTask completed(const std::string& job, std::uint32_t index) {
+TaskStatus completed(const std::string& job, std::uint32_t index) {
   return {{job, index}, 1, RunState::Exited, ExitCause::Done, false};
 }
 
@@ -35,14 +35,14 @@
                encode_machines({{"m-1", "10.1.0.1:9000", {}}, {"m-2", "10.1.0.2:9000", {}}}));
   driver.run_for(2'000);
   ASSERT_TRUE(driver.core().leading());
-  EXPECT_EQ(driver.report(report_of("m-1", 1, {running("job-1", 0)})).find("kill"),
+  EXPECT_EQ(driver.heartbeat(heartbeat_of("m-1", 1, {running("job-1", 0)})).find("kill"),
             std::string::npos);
-  const std::string commands = driver.report(report_of("m-2", 1, {running("job-1", 0)}));
+  const std::string commands = driver.heartbeat(heartbeat_of("m-2", 1, {running("job-1", 0)}));
   EXPECT_NE(commands.find("\"kill\""), std::string::npos) << commands;
   EXPECT_NE(commands.find("job-1/0"), std::string::npos) << commands;
   // Its own copy goes on, and is done in the end.
-  driver.report(report_of("m-1", 2, {completed("job-1", 0), running("job-1", 1)}));
-  driver.report(report_of("m-1", 3, {completed("job-1", 0), completed("job-1", 1)}));
+  driver.heartbeat(heartbeat_of("m-1", 2, {completed("job-1", 0), running("job-1", 1)}));
+  driver.heartbeat(heartbeat_of("m-1", 3, {completed("job-1", 0), completed("job-1", 1)}));
   driver.run_for(1'000);
   EXPECT_EQ(driver.checkpoint().jobs.at("job-1").phase, Phase::Done);
 }
@@ -57,7 +57,7 @@
   CoreDriver driver(settings_without_siblings());
   // All tasks of the large job are done but one in each piece of its bitmap.
   JobRecord large = started_job("job-1", kLarge);
-  std::vector<ReportedTask> at_first, at_last;
+  std::vector<TaskStatus> at_first, at_last;
   for (std::uint32_t i = 0; i < kLarge; ++i) {
     if (i % kPieceBits != 0) {
       large.done.set(i);
@@ -83,10 +83,10 @@
   driver.write(machines_key(0), encode_machines({{"m-1", "10.1.0.1:9000", {}}}));
   driver.run_for(2'000);
   ASSERT_TRUE(driver.core().leading());
-  driver.report(report_of("m-1", 1, at_first));
+  driver.heartbeat(heartbeat_of("m-1", 1, at_first));
   driver.run_for(2'000);
 
-  driver.report(report_of("m-1", 2, at_last));
+  driver.heartbeat(heartbeat_of("m-1", 2, at_last));
   const auto& job = *driver.core().tables().jobs.at("job-1");
   ASSERT_EQ(job.record.phase, Phase::Done) << "in memory";
   ASSERT_TRUE(job.dirty) << "the round took it all";
--- a/tests/counterpart_codec_test.cpp
+++ b/tests/counterpart_codec_test.cpp
@@ -11,25 +11,25 @@
 namespace sailreel {
 namespace {
 
-TEST(CounterpartCodec, AReportIsReadAsItWasWritten) {
-  Report report;
-  report.machine = "m-000231";
-  report.address = "127.10.0.2:9000";
-  report.type = "g8";
-  report.zone = "a";
-  report.spot = true;
-  report.session = 3;
-  report.seq = 88;
-  report.token = 41;
-  report.notice_s = 7.5;
-  report.tasks.push_back({{"job-412", 3}, 2, RunState::Waiting, ExitCause::None, false});
-  report.tasks.push_back({{"job-398", 0}, 1, RunState::Exited, ExitCause::PeersGone, true});
-  const auto read = decode_report(encode_report(report));
+TEST(CounterpartCodec, AHeartbeatIsReadAsItWasWritten) {
+  Heartbeat heartbeat;
+  heartbeat.machine = "m-000231";
+  heartbeat.address = "127.10.0.2:9000";
+  heartbeat.type = "g8";
+  heartbeat.zone = "a";
+  heartbeat.spot = true;
+  heartbeat.session = 3;
+  heartbeat.seq = 88;
+  heartbeat.token = 41;
+  heartbeat.notice_s = 7.5;
+  heartbeat.tasks.push_back({{"job-412", 3}, 2, RunState::Waiting, ExitCause::None, false});
+  heartbeat.tasks.push_back({{"job-398", 0}, 1, RunState::Exited, ExitCause::PeersGone, true});
+  const auto read = decode_heartbeat(encode_heartbeat(heartbeat));
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->machine, report.machine);
-  EXPECT_EQ(read->address, report.address);
-  EXPECT_EQ(read->type, report.type);
-  EXPECT_EQ(read->zone, report.zone);
+  EXPECT_EQ(read->machine, heartbeat.machine);
+  EXPECT_EQ(read->address, heartbeat.address);
+  EXPECT_EQ(read->type, heartbeat.type);
+  EXPECT_EQ(read->zone, heartbeat.zone);
   EXPECT_TRUE(read->spot);
   EXPECT_EQ(read->session, 3U);
   EXPECT_EQ(read->seq, 88U);
@@ -47,7 +47,7 @@
   const std::vector<Command> commands{{Command::Op::Start, {"job-1", 4}, 9, 0},
                                       {Command::Op::Stop, {"job-2", 0}, 1, 2.5},
                                       {Command::Op::Forget, {"job-3", 1}, 7, 0}};
-  const auto answer = decode_commands(encode_report_answer(41, commands));
+  const auto answer = decode_commands(encode_heartbeat_response(41, commands));
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->token, 41U);
   EXPECT_FALSE(answer->session);
--- a/tests/day_test.cpp
+++ b/tests/day_test.cpp
@@ -86,8 +86,8 @@
   ASSERT_GE(leader, 0);
   const std::uint64_t looked = world.core(static_cast<std::size_t>(leader))->examined();
   std::printf("machines %zu, looked at per report %.1f\n", world.machines_up().size(),
-              static_cast<double>(looked) / static_cast<double>(world.reports()));
-  EXPECT_LT(looked, 200 * world.reports());
+              static_cast<double>(looked) / static_cast<double>(world.heartbeats()));
+  EXPECT_LT(looked, 200 * world.heartbeats());
   expect_kept(world, plan);
 }
 
--- a/tests/held_reports_test.cpp
+++ b/tests/delayed_heartbeats_test.cpp
@@ -26,7 +26,7 @@
 // Incident: an array that is bound to one zone lost all its machines to a cut of the network. Some
 // of its tasks were placed in another zone, the others waited. At the end of the cut the machines'
 // reports of before arrived, and the array was taken to be in both zones.
-TEST(HeldReports, AnArrayBoundToAZoneIsNotTakenToBeInTwo) {
+TEST(DelayedHeartbeats, AnArrayBoundToAZoneIsNotTakenToBeInTwo) {
   DayPlan plan = quiet(3);
   plan.scale = 2;
   World world(plan);
@@ -92,9 +92,9 @@
   };
   switch (random(9)) {
     case 0:
-      return world.late_reports(0.4, span);
+      return world.delay_heartbeats(0.4, span);
     case 1:
-      return world.reports_for_next(0.4, span);
+      return world.keep_heartbeats_for_next_leader(0.4, span);
     case 2:
       return some_machines([&](const auto& m) { world.deafen_machine(m, span); });
     case 3:
@@ -156,11 +156,11 @@
   return wanted == nullptr ? usual : std::strtoull(wanted, nullptr, 10);
 }
 
-TEST(HeldReports, DaysOfMachineCuts) {
+TEST(DelayedHeartbeats, DaysOfMachineCuts) {
   for (std::uint64_t seed = 1; seed <= days_to_play(12); ++seed) play_machine_cuts(seed, {});
 }
 
-TEST(HeldReports, DaysOfMachineCutsAndOtherTroubles) {
+TEST(DelayedHeartbeats, DaysOfMachineCutsAndOtherTroubles) {
   for (std::uint64_t seed = 1; seed <= days_to_play(24); ++seed)
     play_machine_cuts(seed, {.mixed_jobs = true, .more_troubles = true});
 }
--- a/tests/fault_pairs_test.cpp
+++ b/tests/fault_pairs_test.cpp
@@ -19,7 +19,7 @@
   if (plan.seed % 3 == 1) plan.cancel_s = 14;
   if (plan.seed % 3 == 2) {
     plan.lease_s = 6;
-    plan.report_s = 0.8;
+    plan.heartbeat_interval_s = 0.8;
     plan.cancel_s = 20;
   }
   if (plan.seed % 4 == 0) plan.boots_ms = 1'500;
--- a/tests/fixtures_test.cpp
+++ b/tests/fixtures_test.cpp
@@ -34,7 +34,7 @@
     const std::string bytes = fixture(name);
     EXPECT_EQ(encode_peer(read(bytes)), bytes) << name;
   }
-  const PeerHeartbeat heartbeat = read(fixture("heartbeat.bin")).heartbeat;
+  const ControllerHeartbeat heartbeat = read(fixture("heartbeat.bin")).heartbeat;
   EXPECT_EQ(heartbeat.node, "node-1");
   EXPECT_EQ(heartbeat.epoch, 9U);
   EXPECT_TRUE(heartbeat.leading && heartbeat.hears_workers && !heartbeat.hears_leader);
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -81,7 +81,7 @@
   EXPECT_EQ(gang.decide(view, 0), GangDecision::StopRest);
 }
 
-TEST(GangStates, UnsentTasksMoveOnFromAMachineThatDoesNotReport) {
+TEST(GangStates, UnsentTasksMoveOnFromAMachineWithoutHeartbeats) {
   Gang gang(kWait);
   GangView view = whole(4);
   view.unsent = 4;
@@ -277,8 +277,8 @@
      }},
     {"ReportsComeLateWhileGangsStartAgain",
      [](World& w, std::uint64_t) {
-       w.late_reports(0.4, 40'000);
-       w.reports_for_next(0.4, 20'000);
+       w.delay_heartbeats(0.4, 40'000);
+       w.keep_heartbeats_for_next_leader(0.4, 20'000);
        wait_for_start(w, "job-1");
        w.kill(leader_of(w), 4'000);
        w.run_until(w.now() + 8'000);
@@ -375,8 +375,8 @@
   return driver;
 }
 
-ReportedTask member(std::uint32_t index, std::uint64_t attempt, RunState state,
-                    ExitCause cause = ExitCause::None) {
+TaskStatus member(std::uint32_t index, std::uint64_t attempt, RunState state,
+                  ExitCause cause = ExitCause::None) {
   return {{"job-1", index}, attempt, state, cause, false};
 }
 
@@ -384,11 +384,11 @@
 TEST(GangTakeover, AnExitOfAnOlderAttemptDoesNotEndThePresentOne) {
   const auto driver = with_gang_of_two();
   const auto running = [&driver](const char* machine, std::uint64_t seq, std::uint32_t index) {
-    return driver->report(report_of(machine, seq, {member(index, 2, RunState::Running)}));
+    return driver->heartbeat(heartbeat_of(machine, seq, {member(index, 2, RunState::Running)}));
   };
   running("m-1", 1, 0);
   running("m-2", 1, 1);
-  driver->report(report_of("m-3", 1, {member(0, 1, RunState::Exited, ExitCause::PeersGone)}));
+  driver->heartbeat(heartbeat_of("m-3", 1, {member(0, 1, RunState::Exited, ExitCause::PeersGone)}));
   driver->run_for(500);
   EXPECT_EQ(running("m-1", 2, 0).find("kill"), std::string::npos);
   EXPECT_EQ(running("m-2", 2, 1).find("kill"), std::string::npos);
@@ -397,16 +397,16 @@
 // One task is done, and the other's machine says that its mate is gone: both are done.
 TEST(GangTakeover, OneTaskThatIsDoneSaysItOfAll) {
   const auto driver = with_gang_of_two();
-  driver->report(report_of("m-1", 1, {member(0, 2, RunState::Running)}));
-  driver->report(report_of("m-2", 1, {member(1, 2, RunState::Running)}));
-  driver->report(report_of("m-3", 1, {}));
-  driver->report(report_of("m-1", 2, {member(0, 2, RunState::Exited, ExitCause::Done)}));
+  driver->heartbeat(heartbeat_of("m-1", 1, {member(0, 2, RunState::Running)}));
+  driver->heartbeat(heartbeat_of("m-2", 1, {member(1, 2, RunState::Running)}));
+  driver->heartbeat(heartbeat_of("m-3", 1, {}));
+  driver->heartbeat(heartbeat_of("m-1", 2, {member(0, 2, RunState::Exited, ExitCause::Done)}));
   driver->run_for(500);
   EXPECT_EQ(driver->checkpoint().jobs.at("job-1").phase, Phase::Done);
-  const std::string commands =
-      driver->report(report_of("m-2", 2, {member(1, 2, RunState::Exited, ExitCause::PeersGone)}));
+  const std::string commands = driver->heartbeat(
+      heartbeat_of("m-2", 2, {member(1, 2, RunState::Exited, ExitCause::PeersGone)}));
   EXPECT_EQ(commands.find("start"), std::string::npos) << commands;
-  EXPECT_EQ(driver->report(report_of("m-3", 2, {})).find("start"), std::string::npos);
+  EXPECT_EQ(driver->heartbeat(heartbeat_of("m-3", 2, {})).find("start"), std::string::npos);
 }
 
 // A gang that needs whole machines doesn't wait for as long as single tasks come that take any room
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -23,7 +23,7 @@
   deployment.state_write_rps = std::max(90.0, kWritesPerMachine * machines);
   deployment.state_rps = 10 * deployment.state_write_rps;
   for (Settings& settings : deployment.controllers) {
-    settings.workers.report_s = 2.5;
+    settings.workers.heartbeat_interval_s = 2.5;
     settings.store.rps = deployment.state_rps;
     settings.store.write_rps = deployment.state_write_rps;
     settings.market.rps = std::max(4.0, machines / 100.0);
@@ -67,7 +67,7 @@
   Work work{static_cast<double>(world.machines_up().size()),
             static_cast<double>(world.core(leader)->examined())};
   std::printf("machines %.0f, looked at %.0f, %.1f for each report\n", work.machines,
-              work.looked_at, work.looked_at / static_cast<double>(world.reports()));
+              work.looked_at, work.looked_at / static_cast<double>(world.heartbeats()));
   return work;
 }
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -99,10 +99,10 @@
   driver.write(machines_key(0), encode_machines({{"m-1", "10.1.0.1:9000", {}}}));
   lower_limits(driver);
   driver.run_for(2'000);
-  std::vector<ReportedTask> finished;
+  std::vector<TaskStatus> finished;
   for (const std::uint32_t index : {3U, 8'500U})
     finished.push_back({{"job-1", index}, 1, RunState::Exited, ExitCause::Done, false});
-  driver.report(report_of("m-1", 1, finished));
+  driver.heartbeat(heartbeat_of("m-1", 1, finished));
   driver.run_for(2'000);
   EXPECT_EQ(driver.state().malformed, 0U);
   const Snapshot checkpoint = driver.checkpoint();
--- a/tests/production/production_controller.cpp
+++ b/tests/production/production_controller.cpp
@@ -29,7 +29,7 @@
     out.teams.push_back({t.name, t.cpus, t.cpus_max, t.gpus, t.gpus_max});
   for (const Objective& o : s.objectives)
     out.objectives.push_back({o.kind, o.job_class, o.within_s, o.share});
-  out.workers.report_s = s.workers.report_s;
+  out.workers.report_s = s.workers.heartbeat_interval_s;
   out.workers.lease_s = s.workers.lease_s;
   out.workers.cancel_s = s.workers.cancel_s;
   out.store.rps = s.store.rps;
@@ -54,7 +54,7 @@
 old::Resources translate(const Resources& r) { return {r.cpus, r.gpus, r.memory_gb}; }
 
 // As its codec takes it from the wire: what it doesn't know is fetching, or failed.
-old::Report translate(const Report& r) {
+old::Report translate(const Heartbeat& r) {
   old::Report out;
   out.machine = r.machine;
   out.address = r.address;
@@ -65,7 +65,7 @@
   out.seq = r.seq;
   out.token = r.token;
   out.notice_s = r.notice_s;
-  for (const ReportedTask& t : r.tasks) {
+  for (const TaskStatus& t : r.tasks) {
     const RunState state = t.state == RunState::Waiting ? RunState::Fetching : t.state;
     const ExitCause cause = t.cause > ExitCause::Unknown ? ExitCause::Error : t.cause;
     out.tasks.push_back({{t.key.job, t.key.index},
@@ -124,15 +124,15 @@
         } else if constexpr (std::is_same_v<T, UserRequest>) {
           return old::UserRequest{translate(in.origin), static_cast<old::UserOp>(in.op), in.id,
                                   in.body};
-        } else if constexpr (std::is_same_v<T, WorkerReport>) {
-          return old::WorkerReport{translate(in.origin), translate(in.report), in.raw};
+        } else if constexpr (std::is_same_v<T, HeartbeatReceived>) {
+          return old::WorkerReport{translate(in.origin), translate(in.heartbeat), in.raw};
         } else if constexpr (std::is_same_v<T, StateAnswer>) {
           return old::StateAnswer{in.call, translate(in.reply)};
         } else if constexpr (std::is_same_v<T, CloudAnswer>) {
           return old::CloudAnswer{in.call, translate(in.reply)};
         } else if constexpr (std::is_same_v<T, WorkerAnswer>) {
           old::WorkerAnswer out{in.call, in.status, {}};
-          if (in.report) out.report = translate(*in.report);
+          if (in.heartbeat) out.report = translate(*in.heartbeat);
           return out;
         } else if constexpr (std::is_same_v<T, PeerInput>) {
           return old::PeerInput{in.sibling, translate(in.message)};
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -98,7 +98,7 @@
       R"("watch":1,"bell":88,"helm":41,"recall_s":null,"hands":[)"
       R"({"hand":"job-000412/3","launch":2,"heading":"running"},)"
       R"({"hand":"job-000398/0","launch":1,"heading":"ended","wake":"done"}]})";
-  const auto r = decode_report(text);
+  const auto r = decode_heartbeat(text);
   ASSERT_TRUE(r);
   EXPECT_EQ(r->session, 1U);
   EXPECT_EQ(r->seq, 88U);
@@ -107,15 +107,16 @@
   ASSERT_EQ(r->tasks.size(), 2U);
   EXPECT_EQ(r->tasks[0].key.index, 3U);
   EXPECT_EQ(r->tasks[1].cause, ExitCause::Done);
-  for (std::size_t n = 0; n < text.size(); ++n) EXPECT_FALSE(decode_report(text.substr(0, n))) << n;
-  EXPECT_FALSE(decode_report(R"({"vessel":"m","endpoint":"x","hull":"g","harbor":"a","watch":1,)"
-                             R"("bell":-1,"helm":1})"));
+  for (std::size_t n = 0; n < text.size(); ++n)
+    EXPECT_FALSE(decode_heartbeat(text.substr(0, n))) << n;
+  EXPECT_FALSE(decode_heartbeat(R"({"vessel":"m","endpoint":"x","hull":"g","harbor":"a","watch":1,)"
+                                R"("bell":-1,"helm":1})"));
 }
 
 TEST(Reports, CommandsHaveTheWiresForm) {
-  EXPECT_EQ(encode_report_answer(41, {{Command::Op::Start, {"job-1", 4}, 2, 0},
-                                      {Command::Op::Stop, {"job-2", 1}, 1, 10},
-                                      {Command::Op::Forget, {"job-3", 0}, 1, 0}}),
+  EXPECT_EQ(encode_heartbeat_response(41, {{Command::Op::Start, {"job-1", 4}, 2, 0},
+                                           {Command::Op::Stop, {"job-2", 1}, 1, 10},
+                                           {Command::Op::Forget, {"job-3", 0}, 1, 0}}),
             R"({"helm":41,"orders":[{"signal":"start","hand":"job-1/4","launch":2},)"
             R"({"signal":"kill","hand":"job-2/1","launch":1,"slack_s":10.0},)"
             R"({"signal":"reap","hand":"job-3/0","launch":1}]})");
@@ -201,7 +202,7 @@
   EXPECT_EQ(out[1].answer.status, 503);
   EXPECT_EQ(out[1].answer.valid_ms, 2'500U);
   EXPECT_FALSE(out[3].answer.valid_ms.has_value());
-  const PeerHeartbeat& b = out[2].heartbeat;
+  const ControllerHeartbeat& b = out[2].heartbeat;
   EXPECT_TRUE(b.leading && b.hears_leader && !b.holding && b.hears_workers);
   EXPECT_EQ(b.node, "node-0");
   EXPECT_EQ(b.incarnation, 7U);
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -355,8 +355,8 @@
 // The leader has a small share of a core, and a report comes from each machine every second: what
 // one costs must not grow with the jobs that wait. Seen at 200 machines: each waiting task was held
 // against each machine, in every pass.
-TEST(Size, WorkPerReportDoesNotGrowWithTheJobs) {
-  const auto per_report = [](int jobs) {
+TEST(Size, WorkPerHeartbeatDoesNotGrowWithTheJobs) {
+  const auto per_heartbeat = [](int jobs) {
     DayPlan plan = quiet(11);
     plan.scale = 17;
     World world(plan);
@@ -374,12 +374,12 @@
     const int leader = world.leader();
     if (leader < 0 || world.machines_up().size() < 150) return 0.0;
     const Core* core = world.core(static_cast<std::size_t>(leader));
-    const std::uint64_t examined = core->examined(), reports = world.reports();
+    const std::uint64_t examined = core->examined(), heartbeats = world.heartbeats();
     world.run_until(80'000);
     return static_cast<double>(core->examined() - examined) /
-           static_cast<double>(world.reports() - reports);
+           static_cast<double>(world.heartbeats() - heartbeats);
   };
-  const double few = per_report(120), many = per_report(960);
+  const double few = per_heartbeat(120), many = per_heartbeat(960);
   std::printf("looked at per report: %.1f with 120 jobs, %.1f with 960\n", few, many);
   ASSERT_GT(few, 0);
   // Eight times the jobs.
@@ -408,7 +408,7 @@
 
 // Recorded incident: reports that a cut had held back arrived at its end, just before those of the
 // machines' new sessions. The machines were taken for deaf, and got no work for two leases.
-TEST(Incident, ReportsThatACutHeldBackDoNotMakeAMachineDeaf) {
+TEST(Incident, HeartbeatsThatACutHeldBackDoNotMakeAMachineDeaf) {
   World world(quiet(13));
   world.run_until(1'000);
   for (int n = 0; n < 36; ++n) {
@@ -423,7 +423,7 @@
   // All of one zone: with no other of it answering, they aren't taken for dead.
   std::vector<std::string> cut;
   for (const auto& [name, m] : core->tables().machines)
-    if (m->reported && !m->empty() && m->zone == "za") cut.push_back(name);
+    if (m->heard_in_epoch && !m->empty() && m->zone == "za") cut.push_back(name);
   ASSERT_GE(cut.size(), 2U);
   for (const auto& name : cut)
     for (int i = 0; i < 3; ++i) world.cut("node-" + std::to_string(i), name, 16'000, true);
--- a/tests/session_fence_test.cpp
+++ b/tests/session_fence_test.cpp
@@ -44,17 +44,17 @@
   EXPECT_TRUE(asked.admits(7));
 }
 
-ReportedTask running(const std::string& job, std::uint32_t index, std::uint64_t attempt = 1) {
+TaskStatus running(const std::string& job, std::uint32_t index, std::uint64_t attempt = 1) {
   return {{job, index}, attempt, RunState::Running, ExitCause::None, false};
 }
 
-Report session_report(const std::string& machine, std::uint64_t session, std::uint64_t seq,
-                      std::vector<ReportedTask> tasks) {
-  Report report = report_of(machine, seq, std::move(tasks));
-  report.spot = true;
-  report.session = session;
-  report.address = "10.1.0.1:" + machine.substr(2);
-  return report;
+Heartbeat incarnation_heartbeat(const std::string& machine, std::uint64_t session,
+                                std::uint64_t seq, std::vector<TaskStatus> tasks) {
+  Heartbeat heartbeat = heartbeat_of(machine, seq, std::move(tasks));
+  heartbeat.spot = true;
+  heartbeat.session = session;
+  heartbeat.address = "10.1.0.1:" + machine.substr(2);
+  return heartbeat;
 }
 
 /// A leader that has taken over four machines, m-1 to m-4. Too many fall silent at once to be
@@ -83,9 +83,9 @@
     ASSERT_TRUE(driver_.core().leading());
   }
   /// The last machine reports every second.
-  void run_with_reports_of_the_last(Time span, const std::vector<ReportedTask>& tasks = {}) {
+  void run_with_heartbeats_of_the_last(Time span, const std::vector<TaskStatus>& tasks = {}) {
     for (Time passed = 0; passed < span; passed += 1'000) {
-      last_commands_ += driver_.report(session_report("m-4", 1, ++last_seq_, tasks));
+      last_commands_ += driver_.heartbeat(incarnation_heartbeat("m-4", 1, ++last_seq_, tasks));
       driver_.run_for(1'000);
     }
   }
@@ -112,57 +112,57 @@
     add_job("job-2", 1, [](JobSpec& s) { s.need = {14, 7, 100}; });
     add_job("job-3", 1, [](JobSpec& s) { s.need = {10, 5, 60}; });
     take_over();
-    driver_.report(session_report("m-1", 1, 1, of_before()));
-    for (const char* name : {"m-2", "m-3"}) driver_.report(session_report(name, 1, 1, {}));
-    run_with_reports_of_the_last(kBeyondLease, {running("job-3", 0)});
+    driver_.heartbeat(incarnation_heartbeat("m-1", 1, 1, of_before()));
+    for (const char* name : {"m-2", "m-3"})
+      driver_.heartbeat(incarnation_heartbeat(name, 1, 1, {}));
+    run_with_heartbeats_of_the_last(kBeyondLease, {running("job-3", 0)});
     EXPECT_TRUE(machine("m-1").empty());
     EXPECT_EQ(job("job-1").tasks[0].machine, &machine("m-4")) << "placed anew";
     EXPECT_EQ(job("job-2").tasks[0].state, TaskState::Queued);
   }
-  static std::vector<ReportedTask> of_before() {
-    return {running("job-1", 0), running("job-2", 0)};
-  }
+  static std::vector<TaskStatus> of_before() { return {running("job-1", 0), running("job-2", 0)}; }
 };
 
-TEST_F(SilentBeyondItsLease, AReportOfBeforeIsRefusedAndRenewsNothing) {
-  const Time heard = machine("m-1").last_report, answered = machine("m-1").answered;
-  EXPECT_EQ(driver_.answer_to(session_report("m-1", 1, 9, of_before())).status, 503);
+TEST_F(SilentBeyondItsLease, AnOldHeartbeatIsRejectedAndRenewsNothing) {
+  const Time heard = machine("m-1").last_heartbeat, answered = machine("m-1").answered;
+  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 1, 9, of_before())).status, 503);
   const Machine& m = machine("m-1");
   EXPECT_TRUE(m.empty());
   EXPECT_TRUE(m.silent);
-  EXPECT_EQ(m.last_report, heard);
+  EXPECT_EQ(m.last_heartbeat, heard);
   EXPECT_EQ(m.answered, answered);
   EXPECT_EQ(job("job-2").tasks[0].state, TaskState::Queued);
   // Nor does it while the leader's own lease may have lapsed.
   driver_.state().outage = true;
   driver_.run_for(3'000);
   ASSERT_TRUE(driver_.core().leading());
-  EXPECT_EQ(driver_.answer_to(session_report("m-1", 1, 10, of_before())).status, 503);
-  EXPECT_EQ(machine("m-1").last_report, heard);
+  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 1, 10, of_before())).status, 503);
+  EXPECT_EQ(machine("m-1").last_heartbeat, heard);
   EXPECT_EQ(machine("m-1").answered, answered);
 }
 
 TEST_F(SilentBeyondItsLease, ItsNextSessionIsTakenAtOnce) {
-  EXPECT_EQ(driver_.answer_to(session_report("m-1", 1, 9, of_before())).status, 503);
-  EXPECT_EQ(driver_.answer_to(session_report("m-1", 2, 10, {})).status, 200);
+  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 1, 9, of_before())).status, 503);
+  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 2, 10, {})).status, 200);
   EXPECT_FALSE(machine("m-1").silent);
   driver_.run_for(1'000);
-  EXPECT_NE(driver_.report(session_report("m-1", 2, 11, {})).find("job-2/0"), std::string::npos)
+  EXPECT_NE(driver_.heartbeat(incarnation_heartbeat("m-1", 2, 11, {})).find("job-2/0"),
+            std::string::npos)
       << "it gets work";
 }
 
 // If the proof was wrong, the worker says so itself when it is asked: it comes back within one
 // question, keeps the task that nobody else has, and is told to end the one that has a new place.
 TEST_F(SilentBeyondItsLease, AHealthySessionComesBackByItself) {
-  driver_.on_direct = [](const std::string& address) -> std::optional<Report> {
+  driver_.on_direct = [](const std::string& address) -> std::optional<Heartbeat> {
     if (address != "10.1.0.1:1") return {};
-    return session_report("m-1", 1, 10, of_before());
+    return incarnation_heartbeat("m-1", 1, 10, of_before());
   };
-  EXPECT_EQ(driver_.answer_to(session_report("m-1", 1, 9, of_before())).status, 503);
+  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 1, 9, of_before())).status, 503);
   EXPECT_FALSE(machine("m-1").silent);
   EXPECT_EQ(job("job-2").tasks[0].machine, &machine("m-1"));
   EXPECT_EQ(job("job-1").strays.size(), 1U);
-  const Answer& answer = driver_.answer_to(session_report("m-1", 1, 11, of_before()));
+  const Answer& answer = driver_.answer_to(incarnation_heartbeat("m-1", 1, 11, of_before()));
   EXPECT_EQ(answer.status, 200);
   EXPECT_NE(answer.body.find("kill"), std::string::npos);
   EXPECT_NE(answer.body.find("job-1/0"), std::string::npos);
@@ -173,25 +173,28 @@
 TEST_F(SessionsOver, AlsoOfAMachineThatTheLeaderNeverHeard) {
   add_job("job-1", 1, {});
   take_over();
-  run_with_reports_of_the_last(33'000);
+  run_with_heartbeats_of_the_last(33'000);
   ASSERT_FALSE(driver_.core().rebuilding());
-  ASSERT_FALSE(machine("m-1").reported);
-  EXPECT_EQ(driver_.answer_to(session_report("m-1", 5, 9, {running("job-1", 0)})).status, 503);
+  ASSERT_FALSE(machine("m-1").heard_in_epoch);
+  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 5, 9, {running("job-1", 0)})).status,
+            503);
   EXPECT_TRUE(machine("m-1").empty());
   EXPECT_EQ(job("job-1").strays.size(), 0U);
-  EXPECT_EQ(driver_.answer_to(session_report("m-1", 6, 10, {})).status, 200);
+  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 6, 10, {})).status, 200);
 }
 
 // Returned machines are remembered for a while, and forgotten in the end.
 TEST_F(SessionsOver, TasksOfAMachineThatNobodyKnowsAreNotTaken) {
   add_job("job-1", 2, {});
   take_over();
-  for (const char* name : {"m-1", "m-2", "m-3"}) driver_.report(session_report(name, 1, 1, {}));
-  run_with_reports_of_the_last(2'000);
+  for (const char* name : {"m-1", "m-2", "m-3"})
+    driver_.heartbeat(incarnation_heartbeat(name, 1, 1, {}));
+  run_with_heartbeats_of_the_last(2'000);
   ASSERT_FALSE(driver_.core().rebuilding());
-  EXPECT_EQ(driver_.answer_to(session_report("m-9", 1, 9, {running("job-1", 0)})).status, 503);
+  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-9", 1, 9, {running("job-1", 0)})).status,
+            503);
   EXPECT_FALSE(driver_.core().tables().machines.contains("m-9"));
-  EXPECT_EQ(driver_.answer_to(session_report("m-9", 1, 10, {})).status, 200) << "a new one";
+  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-9", 1, 10, {})).status, 200) << "a new one";
 }
 
 // The second line of defence: a job that is bound to one zone and known in two gets no further
@@ -199,30 +202,31 @@
 TEST_F(SessionsOver, AJobKnownInTwoZonesGetsNoPlaceUntilOneIsLeft) {
   add_job("job-1", 3, [](JobSpec& s) { s.one_zone = true; });
   take_over();
-  const auto in_zb = [](std::uint64_t seq, std::vector<ReportedTask> tasks) {
-    Report report = session_report("m-2", 1, seq, std::move(tasks));
-    report.zone = "zb";
-    return report;
+  const auto in_zb = [](std::uint64_t seq, std::vector<TaskStatus> tasks) {
+    Heartbeat heartbeat = incarnation_heartbeat("m-2", 1, seq, std::move(tasks));
+    heartbeat.zone = "zb";
+    return heartbeat;
   };
-  std::string commands = driver_.report(session_report("m-1", 1, 1, {running("job-1", 0)}));
-  commands += driver_.report(in_zb(1, {running("job-1", 1)}));
-  for (const char* name : {"m-3", "m-4"}) driver_.report(session_report(name, 1, 1, {}));
+  std::string commands =
+      driver_.heartbeat(incarnation_heartbeat("m-1", 1, 1, {running("job-1", 0)}));
+  commands += driver_.heartbeat(in_zb(1, {running("job-1", 1)}));
+  for (const char* name : {"m-3", "m-4"}) driver_.heartbeat(incarnation_heartbeat(name, 1, 1, {}));
   last_seq_ = 1;
   for (std::uint64_t seq = 2; seq < 6; ++seq) {
-    commands += driver_.report(session_report("m-1", 1, seq, {running("job-1", 0)}));
-    commands += driver_.report(in_zb(seq, {running("job-1", 1)}));
-    run_with_reports_of_the_last(1'000);
+    commands += driver_.heartbeat(incarnation_heartbeat("m-1", 1, seq, {running("job-1", 0)}));
+    commands += driver_.heartbeat(in_zb(seq, {running("job-1", 1)}));
+    run_with_heartbeats_of_the_last(1'000);
   }
   EXPECT_EQ(job("job-1").queued, 1U);
   EXPECT_EQ((commands + last_commands_).find("start"), std::string::npos);
-  const ReportedTask ended{{"job-1", 1}, 1, RunState::Exited, ExitCause::Done, false};
-  driver_.report(in_zb(6, {ended}));
-  driver_.report(session_report("m-1", 1, 6, {running("job-1", 0)}));
+  const TaskStatus ended{{"job-1", 1}, 1, RunState::Exited, ExitCause::Done, false};
+  driver_.heartbeat(in_zb(6, {ended}));
+  driver_.heartbeat(incarnation_heartbeat("m-1", 1, 6, {running("job-1", 0)}));
   driver_.run_for(1'000);
-  commands = driver_.report(in_zb(7, {ended}));
+  commands = driver_.heartbeat(in_zb(7, {ended}));
   EXPECT_EQ(commands.find("start"), std::string::npos) << "its zone is the other";
-  commands = driver_.report(session_report("m-1", 1, 7, {running("job-1", 0)}));
-  run_with_reports_of_the_last(1'000);
+  commands = driver_.heartbeat(incarnation_heartbeat("m-1", 1, 7, {running("job-1", 0)}));
+  run_with_heartbeats_of_the_last(1'000);
   EXPECT_NE((commands + last_commands_).find("job-1/2"), std::string::npos);
 }
 
@@ -231,28 +235,28 @@
 TEST_F(SessionsOver, ATaskIsNotStartedWhileAnotherAttemptOfItMayRun) {
   add_job("job-1", 1, {});
   take_over();
-  driver_.report(session_report("m-1", 1, 1, {running("job-1", 0, 5)}));
+  driver_.heartbeat(incarnation_heartbeat("m-1", 1, 1, {running("job-1", 0, 5)}));
   const auto stray = [this](std::uint64_t seq, RunState state) {
-    return driver_.report(
-        session_report("m-2", 1, seq,
-                       {{{"job-1", 0},
-                         4,
-                         state,
-                         state == RunState::Exited ? ExitCause::Stopped : ExitCause::None,
-                         false}}));
+    return driver_.heartbeat(
+        incarnation_heartbeat("m-2", 1, seq,
+                              {{{"job-1", 0},
+                                4,
+                                state,
+                                state == RunState::Exited ? ExitCause::Stopped : ExitCause::None,
+                                false}}));
   };
   std::string commands = stray(1, RunState::Running);
   EXPECT_NE(commands.find("kill"), std::string::npos);
-  driver_.report(session_report("m-3", 1, 1, {}));
-  run_with_reports_of_the_last(1'000);
+  driver_.heartbeat(incarnation_heartbeat("m-3", 1, 1, {}));
+  run_with_heartbeats_of_the_last(1'000);
   ASSERT_FALSE(driver_.core().rebuilding());
   EXPECT_EQ(job("job-1").strays.size(), 1U);
-  driver_.report(session_report("m-1", 2, 2, {}));  // and loses its own place
+  driver_.heartbeat(incarnation_heartbeat("m-1", 2, 2, {}));  // and loses its own place
   EXPECT_EQ(job("job-1").tasks[0].state, TaskState::Queued);
   for (std::uint64_t seq = 2; seq < 5; ++seq) {
     stray(seq, RunState::Running);
-    driver_.report(session_report("m-1", 2, seq + 1, {}));
-    run_with_reports_of_the_last(1'000);
+    driver_.heartbeat(incarnation_heartbeat("m-1", 2, seq + 1, {}));
+    run_with_heartbeats_of_the_last(1'000);
   }
   EXPECT_EQ(last_commands_.find("start"), std::string::npos);
   EXPECT_EQ(job("job-1").tasks[0].state, TaskState::Queued);
--- a/tests/share_manager_test.cpp
+++ b/tests/share_manager_test.cpp
@@ -6,7 +6,7 @@
 namespace sailreel::federation {
 namespace {
 
-constexpr Time kReport = 1'000;
+constexpr Time kHeartbeat = 1'000;
 const std::string kTeam = "red";
 
 FederationOptions options_of(const std::string& region) {
@@ -22,7 +22,7 @@
 class Region {
  public:
   explicit Region(const std::string& name)
-      : manager_(options_of(name), {{kTeam, 0, 0, 0, 10}}, kReport) {
+      : manager_(options_of(name), {{kTeam, 0, 0, 0, 10}}, kHeartbeat) {
     manager_.load({}, 1, now_);
     manager_.activate();
     commit();
@@ -30,7 +30,7 @@
 
   std::vector<ShareAction> observe(std::int64_t used_gpus, std::int64_t urgent_waiting = 0,
                                    std::int64_t low_running = 0) {
-    now_ += kReport / 10;
+    now_ += kHeartbeat / 10;
     TeamLoad load;
     load.team = kTeam;
     load.used = {0, used_gpus * 1000};
@@ -126,7 +126,7 @@
   north.arrive(demand(2, 0, 0, 1));
   north.observe(0);
   north.commit();
-  north.wait(kReport);
+  north.wait(kHeartbeat);
   EXPECT_EQ(sent(north.observe(0), RegionMessage::Kind::Transfer).size(), 1U);
   north.next_leader();
   EXPECT_EQ(north.cap(), 4);
@@ -134,11 +134,11 @@
   RegionMessage late = message_from("south", RegionMessage::Kind::Acknowledgement, 9);
   late.acknowledgement.number = 7;
   north.arrive(late);
-  north.wait(kReport);
+  north.wait(kHeartbeat);
   EXPECT_EQ(sent(north.observe(0), RegionMessage::Kind::Transfer).size(), 1U);
   late.acknowledgement.number = 1;
   north.arrive(late);
-  north.wait(kReport);
+  north.wait(kHeartbeat);
   EXPECT_TRUE(sent(north.observe(0), RegionMessage::Kind::Transfer).empty());
 }
 
@@ -203,7 +203,7 @@
   north.arrive(demand(2, 2, 0, 1));
   north.observe(6, 0, 6);
   EXPECT_EQ(north.cap(), 4);
-  north.wait(10 * kReport);
+  north.wait(10 * kHeartbeat);
   north.observe(6, 0, 6);
   EXPECT_EQ(north.cap(), 6);
   EXPECT_FALSE(north.manager().wants_round());
--- a/tests/siblings_test.cpp
+++ b/tests/siblings_test.cpp
@@ -9,8 +9,8 @@
 constexpr Time kLease = 10'000, kKeepAlive = 20'000;
 constexpr std::uint64_t kOwn = 7;
 
-PeerHeartbeat heartbeat(std::uint64_t incarnation, Time clock) {
-  PeerHeartbeat out;
+ControllerHeartbeat heartbeat(std::uint64_t incarnation, Time clock) {
+  ControllerHeartbeat out;
   out.incarnation = incarnation;
   out.clock = clock;
   return out;
@@ -20,7 +20,7 @@
 
 TEST(Siblings, AnOlderHeartbeatOfTheSameProcessIsDropped) {
   SiblingTable siblings = table();
-  PeerHeartbeat newer = heartbeat(1, 500);
+  ControllerHeartbeat newer = heartbeat(1, 500);
   newer.leading = true;
   EXPECT_TRUE(siblings.take(0, newer, 1'000));
   EXPECT_FALSE(siblings.take(0, heartbeat(1, 400), 1'010));
@@ -32,7 +32,7 @@
 
 TEST(Siblings, TheLeaderIsTheOneInContactWithTheHighestEpoch) {
   SiblingTable siblings = table();
-  PeerHeartbeat first = heartbeat(1, 1), second = heartbeat(2, 1);
+  ControllerHeartbeat first = heartbeat(1, 1), second = heartbeat(2, 1);
   first.leading = second.leading = true;
   first.epoch = 4;
   second.epoch = 5;
@@ -46,7 +46,7 @@
 
 TEST(Siblings, AllUnderstandGangsOnlyWhenEachPresentProcessSaysSo) {
   SiblingTable siblings = table();
-  PeerHeartbeat said = heartbeat(1, 1);
+  ControllerHeartbeat said = heartbeat(1, 1);
   said.understands_gangs = true;
   siblings.take(0, said, 10);
   EXPECT_FALSE(siblings.all_understand_gangs());
@@ -58,7 +58,7 @@
 
 TEST(Siblings, RelaysAreThoseThatHearTheLeaderAndAreOfThisVersion) {
   SiblingTable siblings = table(3);
-  PeerHeartbeat hears = heartbeat(1, 1);
+  ControllerHeartbeat hears = heartbeat(1, 1);
   hears.hears_leader = true;
   siblings.take(0, hears, 10);
   hears.understands_gangs = true;
@@ -69,12 +69,12 @@
 // A process that ended may have kept tasks alive until then, and for as long as it was allowed to.
 TEST(Siblings, WhatAFormerProcessMayHaveKeptAliveIsReckonedWith) {
   SiblingTable siblings = table(1);
-  PeerHeartbeat first = heartbeat(1, 100);
+  ControllerHeartbeat first = heartbeat(1, 100);
   first.acknowledged_incarnation = kOwn;
   first.acknowledged_clock = 990;
   siblings.take(0, first, 1'000);
   EXPECT_EQ(siblings.latest_answer(1'010), -kNever);
-  PeerHeartbeat second = heartbeat(2, 5);
+  ControllerHeartbeat second = heartbeat(2, 5);
   second.acknowledged_incarnation = kOwn;
   second.acknowledged_clock = 3'990;
   siblings.take(0, second, 4'000);
--- a/tests/slow_processor_test.cpp
+++ b/tests/slow_processor_test.cpp
@@ -213,37 +213,37 @@
 
 constexpr Time kLimit = 100, kWindow = 10'000;
 
-std::vector<TimerLateness::Report> reports_of(const std::vector<Time>& late) {
-  TimerLateness lateness(kLimit, kWindow);
-  std::vector<TimerLateness::Report> reports;
+std::vector<EventLoopLag::LagSummary> lag_summaries(const std::vector<Time>& late) {
+  EventLoopLag lag(kLimit, kWindow);
+  std::vector<EventLoopLag::LagSummary> summaries;
   Time now = 1'000;
   for (const Time by : late) {
-    lateness.armed(now + 50);
+    lag.armed(now + 50);
     now += 50 + by;
-    if (const auto report = lateness.fired(now)) reports.push_back(*report);
+    if (const auto summary = lag.fired(now)) summaries.push_back(*summary);
   }
-  return reports;
+  return summaries;
 }
 
-TEST(TimerLateness, IsReportedOnceAWindowIfMostFiringsAreLate) {
+TEST(EventLoopLag, IsToldOnceAWindowIfMostFiringsAreLate) {
   std::vector<Time> late(300, 0);
-  EXPECT_TRUE(reports_of(late).empty());
+  EXPECT_TRUE(lag_summaries(late).empty());
   late[50] = 30'000;
-  EXPECT_TRUE(reports_of(late).empty()) << "it stood still once";
+  EXPECT_TRUE(lag_summaries(late).empty()) << "it stood still once";
   for (std::size_t i = 0; i < late.size(); ++i) late[i] = i % 3 == 0 ? 400 : 99;
-  EXPECT_TRUE(reports_of(late).empty()) << "two of three are in time";
+  EXPECT_TRUE(lag_summaries(late).empty()) << "two of three are in time";
   for (std::size_t i = 0; i < late.size(); ++i) late[i] = i % 3 == 0 ? 0 : i % 3 == 1 ? 250 : 350;
-  const auto reports = reports_of(late);
-  ASSERT_GT(reports.size(), 2U);
-  for (const TimerLateness::Report& report : reports) {
-    EXPECT_NEAR(static_cast<double>(report.mean), 300, 2);
-    EXPECT_EQ(report.most, 350);
+  const auto summaries = lag_summaries(late);
+  ASSERT_GT(summaries.size(), 2U);
+  for (const EventLoopLag::LagSummary& summary : summaries) {
+    EXPECT_NEAR(static_cast<double>(summary.mean), 300, 2);
+    EXPECT_EQ(summary.most, 350);
   }
 }
 
-TEST(TimerLateness, ATimerThatWasNotArmedIsNotLate) {
-  TimerLateness lateness(kLimit, kWindow);
-  for (Time now = 0; now < 100'000; now += 1'000) EXPECT_FALSE(lateness.fired(now));
+TEST(EventLoopLag, ATimerThatWasNotArmedIsNotLate) {
+  EventLoopLag lag(kLimit, kWindow);
+  for (Time now = 0; now < 100'000; now += 1'000) EXPECT_FALSE(lag.fired(now));
 }
 
 }  // namespace
--- a/tests/support/core_driver.hpp
+++ b/tests/support/core_driver.hpp
@@ -23,17 +23,17 @@
 }
 
 /// What a machine of the sample type in zone za reports in its first session.
-inline Report report_of(const std::string& machine, std::uint64_t seq,
-                        std::vector<ReportedTask> tasks) {
-  Report report;
-  report.machine = machine;
-  report.address = "10.1.0.1:9000";
-  report.type = "box";
-  report.zone = "za";
-  report.session = 1;
-  report.seq = seq;
-  report.tasks = std::move(tasks);
-  return report;
+inline Heartbeat heartbeat_of(const std::string& machine, std::uint64_t seq,
+                              std::vector<TaskStatus> tasks) {
+  Heartbeat heartbeat;
+  heartbeat.machine = machine;
+  heartbeat.address = "10.1.0.1:9000";
+  heartbeat.type = "box";
+  heartbeat.zone = "za";
+  heartbeat.session = 1;
+  heartbeat.seq = seq;
+  heartbeat.tasks = std::move(tasks);
+  return heartbeat;
 }
 
 class CoreDriver {
@@ -70,17 +70,17 @@
   }
 
   /// Sends a report and returns its answer.
-  const Answer& answer_to(Report report) {
+  const Answer& answer_to(Heartbeat heartbeat) {
     const std::uint64_t call = ++next_origin_;
-    report.token = core_.epoch();
-    step(WorkerReport{{Origin::Kind::Local, call, 0}, std::move(report), {}});
+    heartbeat.token = core_.epoch();
+    step(HeartbeatReceived{{Origin::Kind::Local, call, 0}, std::move(heartbeat), {}});
     return answers_[call];
   }
   /// The same, of which only the commands matter.
-  std::string report(Report report) { return answer_to(std::move(report)).body; }
+  std::string heartbeat(Heartbeat heartbeat) { return answer_to(std::move(heartbeat)).body; }
 
   /// What the worker at an address answers to a direct command; nothing if this is empty.
-  std::function<std::optional<Report>(const std::string& address)> on_direct;
+  std::function<std::optional<Heartbeat>(const std::string& address)> on_direct;
 
   /// The machine types that the cloud names.
   void set_types(std::vector<MachineType> types) { types_ = std::move(types); }
@@ -127,10 +127,10 @@
       }
       inputs_.push_back(CloudAnswer{cloud->call, reply});
     } else if (const auto* worker = std::get_if<CallWorker>(&action)) {
-      std::optional<Report> report;
-      if (on_direct) report = on_direct(worker->address);
-      if (report) report->token = core_.epoch();
-      inputs_.push_back(WorkerAnswer{worker->call, report ? 200 : 0, std::move(report)});
+      std::optional<Heartbeat> heartbeat;
+      if (on_direct) heartbeat = on_direct(worker->address);
+      if (heartbeat) heartbeat->token = core_.epoch();
+      inputs_.push_back(WorkerAnswer{worker->call, heartbeat ? 200 : 0, std::move(heartbeat)});
     } else if (const auto* line = std::get_if<Log>(&action)) {
       if (line->level == Log::Level::Warning) warnings_.push_back(line->text);
     }
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -114,7 +114,7 @@
   std::vector<std::string> out;
   if (world.leader() < 0) return out;
   for (const auto& [name, m] : world.core(leader_of(world))->tables().machines)
-    if (m->reported && !m->empty()) out.push_back(name);
+    if (m->heard_in_epoch && !m->empty()) out.push_back(name);
   return out;
 }
 
--- a/tests/takeover_test.cpp
+++ b/tests/takeover_test.cpp
@@ -37,7 +37,7 @@
     {"OldReportsReachEveryControllerAsALeaderBegins",
      [](World& w, std::uint64_t seed) {
        for (int round = 0; round < 4; ++round) {
-         w.reports_for_next(0.5, 9'000);
+         w.keep_heartbeats_for_next_leader(0.5, 9'000);
          w.run_until(w.now() + 8'000);
          w.cancel_now(3, 0);
          if (seed % 2 == 0) w.cancel_at_end(0.5, 10'000);
@@ -103,7 +103,7 @@
      }},
     {"OldReportsAfterNewerOnes",
      [](World& w, std::uint64_t) {
-       w.late_reports(0.4, 60'000);
+       w.delay_heartbeats(0.4, 60'000);
        for (int round = 0; round < 3; ++round) {
          // Sessions change as leases run out, attempts as tasks move.
          for (const auto& m : busy_machines(w))
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -103,7 +103,7 @@
                                  {"RoundsAreInDoubtAtEachChange",
                                   [](World& w, int step) {
                                     w.late_writes(0.5, 6'000, step % 2 == 0);
-                                    w.late_reports(0.3, 6'000);
+                                    w.delay_heartbeats(0.3, 6'000);
                                     w.cancel_now(3, 0);
                                     w.run_until(w.now() + 500);
                                     w.kill(leader_of(w), 2'000);
--- a/tests/work_cost_test.cpp
+++ b/tests/work_cost_test.cpp
@@ -83,17 +83,18 @@
 }
 
 // A quiet worker's report and a poll look at nothing but their machine and job.
-TEST(WorkCost, OfReportsAndPolls) {
+TEST(WorkCost, OfHeartbeatsAndPolls) {
   MeteredDay day;
   day.serve();
-  const StepWork& report = day.meter().leader(InputKind::Report);
+  const StepWork& heartbeat = day.meter().leader(InputKind::Heartbeat);
   const StepWork& poll = day.meter().leader(InputKind::Poll);
-  const StepWork& report_handed_on = day.meter().follower(InputKind::Report);
+  const StepWork& heartbeat_forwarded = day.meter().follower(InputKind::Heartbeat);
   const StepWork& poll_handed_on = day.meter().follower(InputKind::Poll);
-  expect_at_most("report", report, report.steps, {8.5, 0.05});                           // 6.83, 0
-  expect_at_most("poll", poll, poll.steps, {7.5, 0.05});                                 // 6.00, 0
-  expect_at_most("report handed on", report_handed_on, report_handed_on.steps, {4, 0});  // 3.00, 0
-  expect_at_most("poll handed on", poll_handed_on, poll_handed_on.steps, {3, 0});        // 2.00, 0
+  expect_at_most("report", heartbeat, heartbeat.steps, {8.5, 0.05});  // 6.83, 0
+  expect_at_most("poll", poll, poll.steps, {7.5, 0.05});              // 6.00, 0
+  expect_at_most("report handed on", heartbeat_forwarded, heartbeat_forwarded.steps,
+                 {4, 0});                                                          // 3.00, 0
+  expect_at_most("poll handed on", poll_handed_on, poll_handed_on.steps, {3, 0});  // 2.00, 0
 }
 
 // What a leader does by itself while nothing happens but reports and polls.
@@ -133,7 +134,7 @@
                  {1'300, 0.05});  // 1,009, 0
 }
 
-TEST(WorkCost, OfReadingAReport) {
+TEST(WorkCost, OfReadingAHeartbeat) {
   constexpr int kTasks = 4;
   std::string text =
       R"({"vessel":"m-000123","endpoint":"127.10.0.23:7000","hull":"box-large","harbor":"za",)"
@@ -145,10 +146,10 @@
   }
   text += "]}";
   const Allocations before = allocations;
-  const std::optional<Report> report = decode_report(text);
+  const std::optional<Heartbeat> heartbeat = decode_heartbeat(text);
   const Allocations after = allocations;
-  ASSERT_TRUE(report);
-  EXPECT_EQ(report->tasks.size(), kTasks);
+  ASSERT_TRUE(heartbeat);
+  EXPECT_EQ(heartbeat->tasks.size(), kTasks);
   std::printf("reading a report: %llu allocations, %llu bytes\n",
               static_cast<unsigned long long>(after.count - before.count),
               static_cast<unsigned long long>(after.bytes - before.bytes));
--- a/tools/capacity/table.cpp
+++ b/tools/capacity/table.cpp
@@ -27,7 +27,7 @@
 /// The plan's figures for one region.
 struct RegionSize {
   double workers = 0, tasks = 0, starts_per_s = 0, jobs_per_s = 0, unfinished_jobs = 0;
-  double report_s = 1, controllers = 3;
+  double heartbeat_interval_s = 1, controllers = 3;
 };
 
 RegionSize size_of(const scale::Plan& plan, double times) {
@@ -40,7 +40,7 @@
   out.jobs_per_s = targets.jobs_per_day() / kSecondsPerDay * part;
   const double tasks_per_job = std::max(1.0, static_cast<double>(plan.load().tasks_per_service()));
   out.unfinished_jobs = out.tasks / tasks_per_job;
-  out.report_s = plan.fleet().report_s();
+  out.heartbeat_interval_s = plan.fleet().report_s();
   out.controllers = static_cast<double>(scale::total_controllers(plan)) / plan.region_size();
   return out;
 }
@@ -80,7 +80,7 @@
   // The leader's work: reports, starts and jobs; each slope has the others' share in its constant.
   [[nodiscard]] double leader_cores(const RegionSize& size) const {
     const Fit reports = line("leader_cores_per_report");
-    return reports.constant + reports.per_unit * size.workers / size.report_s +
+    return reports.constant + reports.per_unit * size.workers / size.heartbeat_interval_s +
            line("leader_cores_per_start").per_unit * size.starts_per_s +
            line("leader_cores_per_job").per_unit * size.unfinished_jobs;
   }
@@ -109,15 +109,15 @@
         line("user_messages_per_job").per_unit * size.unfinished_jobs, "messages/s", "reckoned");
     row("users, bytes", line("user_bytes_per_job").per_unit * size.unfinished_jobs / 1000, "KB/s",
         "reckoned");
-    row("messages of workers' reports", 2 * size.workers / size.report_s, "messages/s",
+    row("messages of workers' reports", 2 * size.workers / size.heartbeat_interval_s, "messages/s",
         "reckoned: a report and its answer");
   }
 
   void budget() {
     const scale::Targets& targets = plan_.targets();
     const RegionSize mean = size_of(plan_, 1);
-    const double bytes = line("worker_bytes_per_report").at(1 / mean.report_s);
-    const double urgent = line("urgent_wait_per_interval").at(mean.report_s);
+    const double bytes = line("worker_bytes_per_report").at(1 / mean.heartbeat_interval_s);
+    const double urgent = line("urgent_wait_per_interval").at(mean.heartbeat_interval_s);
     const double all_leaders = leader_cores(mean) * plan_.region_size();
     out_ +=
         "\n### Against the plan's budget\n\n| figure of the plan | budget | reckoned | headroom |\n"
@@ -128,7 +128,7 @@
                           reckoned, unit, most / reckoned);
     };
     line_of("a worker's bytes for control, both ways, reports every " +
-                fmt::format("{:.3g} s", mean.report_s),
+                fmt::format("{:.3g} s", mean.heartbeat_interval_s),
             targets.worker_kb_per_s(), bytes / 1000, "KB/s");
     line_of("urgent work starts, 99 of 100, with share at hand", targets.urgent_start_s(),
             urgent / 1000, "s");
--- a/tools/scale/deployment.cpp
+++ b/tools/scale/deployment.cpp
@@ -36,7 +36,7 @@
 void add_services(const Fleet& fleet, int region, Settings& settings) {
   settings.cloud = cloud_address(region);
   settings.state = state_address(region);
-  settings.workers.report_s = fleet.report_s();
+  settings.workers.heartbeat_interval_s = fleet.report_s();
   settings.workers.lease_s = fleet.lease_s();
   settings.workers.cancel_s = kCancelLeases * fleet.lease_s();
   settings.store.rps = fleet.state_rps();
@@ -106,7 +106,7 @@
 
 void write_services(json::Writer& writer, const Settings& settings) {
   json::ObjectWriter workers(writer, "workers");
-  workers.number("report_s", settings.workers.report_s);
+  workers.number("report_s", settings.workers.heartbeat_interval_s);
   workers.number("lease_s", settings.workers.lease_s);
   workers.number("cancel_s", settings.workers.cancel_s);
   workers.end();
--- a/tools/scale/region_process.cpp
+++ b/tools/scale/region_process.cpp
@@ -17,7 +17,7 @@
 constexpr Time kClockStepMs = 2;
 constexpr Time kSampleMs = 250;
 constexpr Time kSweepMs = 100;
-constexpr Time kReportTimeoutMs = 4'000;
+constexpr Time kHeartbeatTimeoutMs = 4'000;
 constexpr Time kUserTimeoutMs = 5'000;
 constexpr Time kIdleMs = 120'000;
 /// The work begins when the controllers have had time to elect a leader.
@@ -46,7 +46,7 @@
   day.loss = 0;
   day.late_copies = 0;
   day.over_sockets = true;
-  day.report_s = plan.fleet().report_s();
+  day.heartbeat_interval_s = plan.fleet().report_s();
   day.lease_s = plan.fleet().lease_s();
   day.deployment = make_deployment(plan, region);
   day.cancel_s = day.deployment->controllers.front().workers.cancel_s;
@@ -130,14 +130,14 @@
   return sockets;
 }
 
-void RegionProcess::send_report(const std::string& machine, const std::string& address,
-                                const std::string& body,
-                                std::function<void(int, std::string)> done) {
+void RegionProcess::send_heartbeat(const std::string& machine, const std::string& address,
+                                   const std::string& body,
+                                   std::function<void(int, std::string)> done) {
   if (!world_->cloud().machines.contains(machine)) return;
   WorkerSockets& sockets = worker_sockets(machine);
   if (sockets.reports_to != address) sockets.client->close_idle(sockets.reports_to);
   sockets.reports_to = address;
-  sockets.client->request(address, "POST", "/hello", body, kReportTimeoutMs, true,
+  sockets.client->request(address, "POST", "/hello", body, kHeartbeatTimeoutMs, true,
                           [done = std::move(done)](int status, std::string_view answer) {
                             done(status, std::string(answer));
                           });
@@ -186,9 +186,9 @@
 void RegionProcess::serve_worker(const std::string& machine, HttpServer& server,
                                  const ServerRequest& request) {
   const std::uint64_t connection = request.connection;
-  const auto respond = [&server, connection](int status, const Report& report) {
+  const auto respond = [&server, connection](int status, const Heartbeat& report) {
     server.respond(connection, status,
-                   status == 400 ? encode_error("malformed") : encode_report(report), 0);
+                   status == 400 ? encode_error("malformed") : encode_heartbeat(report), 0);
   };
   if (request.method == "GET" && request.path == "/inspect")
     world_->inspect(machine, respond);
@@ -316,7 +316,7 @@
   out.set_starts(checker.starts());
   out.set_jobs(checker.jobs());
   out.set_jobs_over(checker.jobs_over());
-  out.set_reports(world_->reports());
+  out.set_reports(world_->heartbeats());
   out.set_worker_seconds(worker_seconds_);
   Traffic workers;
   for (const auto& [machine, sockets] : workers_) {
--- a/tools/scale/region_process.hpp
+++ b/tools/scale/region_process.hpp
@@ -43,8 +43,8 @@
     std::string reports_to;
   };
 
-  void send_report(const std::string& machine, const std::string& address, const std::string& body,
-                   std::function<void(int, std::string)> done) override;
+  void send_heartbeat(const std::string& machine, const std::string& address,
+                      const std::string& body, std::function<void(int, std::string)> done) override;
   void send_user_request(const std::string& address, const UserRequest& request,
                          std::function<void(int, std::string)> done) override;
   void answered(std::size_t node, const Answer& answer) override;
--- a/tools/scale/remote_controller.cpp
+++ b/tools/scale/remote_controller.cpp
@@ -13,8 +13,9 @@
 }
 
 std::vector<Action> RemoteController::step(Clock, Input input) {
-  if (const auto* report = std::get_if<WorkerReport>(&input))
-    sockets_.send_report(report->report.machine, listen_, report->raw, answer_to(report->origin));
+  if (const auto* heartbeat = std::get_if<HeartbeatReceived>(&input))
+    sockets_.send_heartbeat(heartbeat->heartbeat.machine, listen_, heartbeat->raw,
+                            answer_to(heartbeat->origin));
   else if (const auto* request = std::get_if<UserRequest>(&input))
     sockets_.send_user_request(listen_, *request, answer_to(request->origin));
   return {};
--- a/tools/scale/remote_controller.hpp
+++ b/tools/scale/remote_controller.hpp
@@ -15,8 +15,9 @@
  public:
   virtual ~RegionSockets() = default;
   /// Sends a request on the connection of that worker, or on one of the users'.
-  virtual void send_report(const std::string& machine, const std::string& address,
-                           const std::string& body, std::function<void(int, std::string)> done) = 0;
+  virtual void send_heartbeat(const std::string& machine, const std::string& address,
+                              const std::string& body,
+                              std::function<void(int, std::string)> done) = 0;
   virtual void send_user_request(const std::string& address, const UserRequest& request,
                                  std::function<void(int, std::string)> done) = 0;
   /// An answer has come; the region's day goes on with it.
