--- a/sim/federated_day.cpp
+++ b/sim/federated_day.cpp
@@ -104,7 +104,7 @@
 
 ShareLedger FederatedDay::ledger(std::size_t region) const {
   ShareLedger out;
-  const StateService& state = worlds_[region]->state();
+  const FakeKvStore& state = worlds_[region]->state();
   for (const auto& [team, limit] : limits_)
     decode_share_value(share_key(team), state.value_of(share_key(team)), out);
   for (const std::string& name : names_)
@@ -199,7 +199,7 @@
     case 3:
       return cut(n, (n + 1) % worlds_.size(), 2 * span, hold);
     case 4:
-      return world.state_outage(span / 2);
+      return world.kv_store_outage(span / 2);
     case 5:
       return world.late_writes(0.4, span, random_(2) == 0);
     case 6:
--- a/sim/processor.cpp
+++ b/sim/processor.cpp
@@ -46,11 +46,12 @@
 // As the daemon does it: what may not be said or ordered any more isn't.
 void World::act_unless_late(std::size_t i, const Action& action) {
   const auto late = [&](Time valid_until) { return steady_clock(i) >= valid_until; };
-  if (const auto* answer = std::get_if<Answer>(&action); answer && late(answer->valid_until))
-    return act(i,
-               Answer{answer->origin, 503, encode_error("leadership may have ended"), 1, kNever});
+  if (const auto* response = std::get_if<Response>(&action);
+      response && late(response->valid_until))
+    return act(
+        i, Response{response->source, 503, encode_error("leadership may have ended"), 1, kNever});
   if (const auto* call = std::get_if<CallWorker>(&action); call && late(call->valid_until))
-    return feed(i, WorkerAnswer{call->call, 0, {}});
+    return feed(i, WorkerResponseReceived{call->call, 0, {}});
   act(i, action);
 }
 
--- a/sim/stand_ins.hpp
+++ b/sim/stand_ins.hpp
@@ -13,9 +13,9 @@
 
 namespace sailreel::sim {
 
-class StateService {
+class FakeKvStore {
  public:
-  using Reply = std::function<void(StateReply)>;
+  using Reply = std::function<void(KvResponse)>;
 
   bool outage = false;
   std::size_t value_limit = std::size_t{8} * 1024, ops_limit = 16;
@@ -30,14 +30,14 @@
   }
 
   /// Answers at once, or keeps a watch until its time.
-  void handle(const StateCall& call, bool refused, Time now, Reply reply) {
-    using Kind = StateCall::Kind;
+  void handle(const KvRequest& call, bool refused, Time now, Reply reply) {
+    using Kind = KvRequest::Kind;
     expire(now);
     if (call.kind == Kind::Watch) {
       watches_.push_back({call.key, call.revision, now + call.wait_ms, refused, std::move(reply)});
       return serve_watches(now);
     }
-    StateReply r;
+    KvResponse r;
     r.revision = revision_;
     if (outage || refused) {
       r.status = 503;
@@ -127,7 +127,7 @@
     Reply reply;
   };
 
-  bool within_rates(const StateCall& call, Time now) {
+  bool within_rates(const KvRequest& call, Time now) {
     if (!requests_.allows(1, now)) return false;
     requests_.spend(1, now);
     const auto writes = static_cast<double>(call.puts.size() + call.deletes.size());
@@ -140,7 +140,7 @@
     return true;
   }
 
-  int transact(const StateCall& call, Time) {
+  int transact(const KvRequest& call, Time) {
     std::size_t bytes = 0;
     for (const auto& p : call.puts) {
       bytes += p.key.size() + p.value.size() + 40;
@@ -189,7 +189,7 @@
   void serve_watches(Time now) {
     if (outage) return;
     for (auto it = watches_.begin(); it != watches_.end();) {
-      StateReply r;
+      KvResponse r;
       r.status = 200;
       r.revision = revision_;
       std::size_t bytes = 0;
@@ -213,7 +213,7 @@
   std::map<std::string, Key> keys_;
   std::map<std::uint64_t, std::pair<Time, Time>> leases_;
   std::uint64_t revision_ = 0, last_lease_ = 0;
-  std::vector<StateItem> events_;
+  std::vector<KvItem> events_;
   std::list<WatchCall> watches_;
 };
 
@@ -230,9 +230,9 @@
   return name;
 }
 
-class Cloud {
+class FakeCloud {
  public:
-  explicit Cloud(std::uint64_t seed) : random_(seed) {}
+  explicit FakeCloud(std::uint64_t seed) : random_(seed) {}
 
   std::vector<MachineType> types;
   std::map<std::pair<std::string, bool>, std::uint32_t> capacity;  // by zone and kind
@@ -245,18 +245,18 @@
   std::function<void(const CloudMachine&)> on_rented;
   std::function<void(const std::string&)> on_released;
 
-  CloudReply handle(const CloudCall& call, Time now) {
-    CloudReply r;
+  CloudResponse handle(const CloudRequest& call, Time now) {
+    CloudResponse r;
     r.status = 200;
     if (outage) {
       r.status = 503;
       return r;
     }
     switch (call.kind) {
-      case CloudCall::Kind::Types:
+      case CloudRequest::Kind::Types:
         r.types = types;
         break;
-      case CloudCall::Kind::Rent: {
+      case CloudRequest::Kind::Rent: {
         if (const auto it = requests_.find(call.rental.request); it != requests_.end()) {
           r.names = it->second;
           break;
@@ -275,11 +275,11 @@
         requests_[call.rental.request] = r.names;
         break;
       }
-      case CloudCall::Kind::Release:
+      case CloudRequest::Kind::Release:
         for (const auto& name : call.names)
           if (machines.erase(name) > 0) on_released(name);
         break;
-      case CloudCall::Kind::List:
+      case CloudRequest::Kind::List:
         r = list_page(call);
         break;
     }
@@ -288,7 +288,7 @@
 
   /// Keeps what lists show: some seconds old, at times older than the one before.
   void tick(Time now, Time lag) {
-    CloudReply list;
+    CloudResponse list;
     for (const auto& [name, m] : machines) {
       ListedMachine l;
       l.name = name;
@@ -307,8 +307,8 @@
 
  private:
   /// Machines come in the order of their names, so many at a time.
-  [[nodiscard]] CloudReply list_page(const CloudCall& call) const {
-    CloudReply page;
+  [[nodiscard]] CloudResponse list_page(const CloudRequest& call) const {
+    CloudResponse page;
     page.status = 200;
     if (lists_.empty()) return page;
     for (const ListedMachine& listed : lists_.front().second.machines) {
@@ -326,7 +326,7 @@
     return address_prefix + std::to_string(number / kHostsPerNet) + "." +
            std::to_string(1 + number % kHostsPerNet) + kWorkerPort;
   }
-  void rent(const CloudCall& call, Time now, CloudReply& r) {
+  void rent(const CloudRequest& call, Time now, CloudResponse& r) {
     CloudMachine m;
     m.name = machine_name(next_++);
     m.address = address_of(next_);
@@ -344,7 +344,7 @@
   pcg32 random_;
   std::size_t next_ = 1;
   std::map<std::string, std::vector<std::string>> requests_;
-  std::list<std::pair<Time, CloudReply>> lists_;
+  std::list<std::pair<Time, CloudResponse>> lists_;
 };
 
 }  // namespace sailreel::sim
--- a/sim/troubles.cpp
+++ b/sim/troubles.cpp
@@ -33,7 +33,7 @@
     const auto& siblings = settings_[j].siblings;
     for (std::size_t k = 0; k < siblings.size(); ++k)
       if (siblings[k].name == n.name)
-        carry(n.name, nodes_[j].name, [this, j, k] { feed(j, PeerLost{k}); });
+        carry(n.name, nodes_[j].name, [this, j, k] { feed(j, PeerDisconnected{k}); });
   }
   at(now_ + for_ms, [this, node] {
     if (!nodes_[node].controller) start_node(node);
@@ -88,11 +88,11 @@
 
 void World::freeze(std::size_t node, Time for_ms) { nodes_[node].frozen_until = now_ + for_ms; }
 
-void World::refuse_state(std::size_t node, Time for_ms) {
+void World::reject_kv_requests(std::size_t node, Time for_ms) {
   nodes_[node].refused_until = now_ + for_ms;
 }
 
-void World::state_outage(Time for_ms) {
+void World::kv_store_outage(Time for_ms) {
   state_.outage = true;
   at(now_ + for_ms, [this] { state_.outage_over(now_); });
 }
@@ -270,9 +270,9 @@
     case 0:
       return isolate(target, longer, hold);
     case 1:
-      return refuse_state(target, longer);
+      return reject_kv_requests(target, longer);
     case 2:
-      return state_outage(longer);
+      return kv_store_outage(longer);
     case 3:
       return kill(target, random_(2) == 0 ? 300 : 6'000);
     case 4:  // all end, and one returns within a second
@@ -359,9 +359,9 @@
     case 4:
       return cut_from_workers();
     case 5:
-      return refuse_state(target, span_ms);
+      return reject_kv_requests(target, span_ms);
     case 6:
-      return state_outage(5'000 + random_(12'000));
+      return kv_store_outage(5'000 + random_(12'000));
     case 7:  // from the state service and the other controllers, but not from the workers
       return isolate(target, span_ms, hold);
     default:
--- a/sim/users.cpp
+++ b/sim/users.cpp
@@ -46,7 +46,8 @@
   carry("users", nodes_[node].name, [this, node, call, op, id, body] {
     const bool submits = op == UserOp::Submit;
     feed(node,
-         UserRequest{{Origin::Kind::Local, call, 0}, op, submits ? "" : id, submits ? body : ""});
+         UserRequest{
+             {RequestSource::Kind::Local, call, 0}, op, submits ? "" : id, submits ? body : ""});
   });
   at(now_ + patience(op), [this, call] { answers_.erase(call); });
   return call;
--- a/sim/workers.cpp
+++ b/sim/workers.cpp
@@ -17,9 +17,9 @@
   r.type = w.machine.type;
   r.zone = w.machine.zone;
   r.spot = w.machine.spot;
-  r.session = w.session;
+  r.incarnation = w.incarnation;
   r.seq = ++w.seq;
-  r.token = w.token;
+  r.fencing_token = w.fencing_token;
   if (w.notice_at > 0)
     r.notice_s = static_cast<double>(std::max<Time>(0, w.notice_at - now_)) / 1000;
   for (const auto& [key, list] : w.tasks)
@@ -37,7 +37,7 @@
     for (const WorkTask& t : list)
       if (t.on) ended(t.heartbeat.key, w.machine.name, false);
   w.tasks.clear();
-  ++w.session;
+  ++w.incarnation;
   w.began = w.last_ok_sent = now_;
   w.in_flight = false;
   w.changed = true;
@@ -110,7 +110,7 @@
   const std::string name = w.machine.name;
   const Heartbeat heartbeat = make_heartbeat(w);
   const Time sent = now_;
-  const std::uint64_t flight = ++w.flight, session = w.session;
+  const std::uint64_t flight = ++w.flight, incarnation = w.incarnation;
   w.in_flight = true;
   w.changed = false;
   w.last_heartbeat = now_;
@@ -119,23 +119,23 @@
                      static_cast<Time>(random_(static_cast<std::uint32_t>(interval / 2)));
   const std::size_t i = w.node;
   const std::uint64_t call = next_call_++;
-  const auto finish = [this, name, flight, sent, session](int status, const std::string& body) {
+  const auto finish = [this, name, flight, sent, incarnation](int status, const std::string& body) {
     const auto it = workers_.find(name);
     if (it == workers_.end() || !it->second.alive || now_ < it->second.deaf_until) return;
     if (now_ < it->second.mute_until) return;
-    take_answer(it->second, flight, sent, session, status, body);
+    take_answer(it->second, flight, sent, incarnation, status, body);
   };
   answers_[call] = [this, i, name, finish](int status, const std::string& body) {
     carry(nodes_[i].name, name, [finish, status, body] { finish(status, body); });
   };
   const std::string raw = encode_heartbeat(heartbeat);
-  const auto deliver = [this, i, raw](Origin origin) {
+  const auto deliver = [this, i, raw](RequestSource source) {
     ++heartbeats_;
-    if (auto decoded = decode_heartbeat(raw)) feed(i, HeartbeatReceived{origin, *decoded, raw});
+    if (auto decoded = decode_heartbeat(raw)) feed(i, HeartbeatReceived{source, *decoded, raw});
   };
   deliver_heartbeat(w, [this, i, deliver, call, finish] {
     if (!nodes_[i].controller) return finish(0, "");
-    deliver({Origin::Kind::Local, call, 0});
+    deliver({RequestSource::Kind::Local, call, 0});
   });
   if (random_(1000) < plan_.late_copies * 1000)
     at(now_ + 1000 + random_(40'000),
@@ -144,11 +144,11 @@
   if (strikes(late_heartbeats_))
     at(now_ + 2'000 + random_(static_cast<std::uint32_t>(2'500 * plan_.lease_s)),
        [this, raw] { deliver_everywhere(raw); });
-  at(now_ + kHeartbeatWait, [this, name, call, flight, sent, session] {
+  at(now_ + kHeartbeatWait, [this, name, call, flight, sent, incarnation] {
     answers_.erase(call);
     const auto it = workers_.find(name);
     if (it != workers_.end() && it->second.alive)
-      take_answer(it->second, flight, sent, session, 0, "");
+      take_answer(it->second, flight, sent, incarnation, 0, "");
   });
 }
 
@@ -162,7 +162,7 @@
   carry(w.machine.name, node, std::move(arrive));
 }
 
-void World::take_answer(Worker& w, std::uint64_t flight, Time sent, std::uint64_t session,
+void World::take_answer(Worker& w, std::uint64_t flight, Time sent, std::uint64_t incarnation,
                         int status, const std::string& body) {
   if (!w.in_flight || w.flight != flight) return;
   w.in_flight = false;
@@ -170,9 +170,11 @@
   if (now_ < w.hang_until) return;
   if (status == 200) {
     const auto batch = decode_commands(body);
-    if (!batch || session != w.session || batch->token < w.token || batch->token == 0) return;
-    if (batch->token > w.token) w.changed = true;
-    w.token = batch->token;
+    if (!batch || incarnation != w.incarnation || batch->fencing_token < w.fencing_token ||
+        batch->fencing_token == 0)
+      return;
+    if (batch->fencing_token > w.fencing_token) w.changed = true;
+    w.fencing_token = batch->fencing_token;
     w.last_ok_sent = std::max(w.last_ok_sent, sent);
     for (const Command& c : batch->commands) obey(w, c);
     return;
@@ -220,7 +222,7 @@
       t.heartbeat.key = c.key;
       t.heartbeat.attempt = c.attempt;
       const User* user = user_of(c.key.job);
-      const auto refuse = [&](ExitCause cause) {
+      const auto reject = [&](ExitCause cause) {
         t.heartbeat.state = RunState::Exited;
         t.heartbeat.cause = cause;
       };
@@ -230,13 +232,13 @@
           if (other.heartbeat.state != RunState::Exited)
             if (const User* u = user_of(key.first)) used += u->spec.need;
       if (user == nullptr) {
-        refuse(ExitCause::Unknown);
+        reject(ExitCause::Unknown);
       } else if (std::any_of(list.begin(), list.end(), [](const WorkTask& o) {
                    return o.heartbeat.state != RunState::Exited;
                  })) {
-        refuse(ExitCause::Busy);
+        reject(ExitCause::Busy);
       } else if (used += user->spec.need; !used.fits_in(cloud_.types.front().size)) {
-        refuse(ExitCause::NoRoom);
+        reject(ExitCause::NoRoom);
       } else {
         checker_.start_taken(c.key.job);
         t.image_at = w.images.contains(user->spec.image)
@@ -282,12 +284,12 @@
 void World::execute_direct(std::size_t node, std::uint64_t call, const std::string& name,
                            const std::string& body, std::uint64_t incarnation) {
   command(name, body, [=, this](int status, const Heartbeat& heartbeat) {
-    const auto answer = [this, node, call, incarnation, status, heartbeat] {
+    const auto response = [this, node, call, incarnation, status, heartbeat] {
       if (nodes_[node].incarnation != incarnation) return;
       nodes_[node].direct_calls.erase(call);
-      feed(node, WorkerAnswer{call, status, heartbeat});
+      feed(node, WorkerResponseReceived{call, status, heartbeat});
     };
-    carry_command(name, nodes_[node].name, answer);
+    carry_command(name, nodes_[node].name, response);
   });
 }
 
@@ -300,11 +302,12 @@
     return at(w.hang_until + 5, [=, this] { command(name, body, then); });
   int status = 400;
   const auto batch = decode_commands(body);
-  if (batch && batch->session) {
-    status = batch->token < w.token || *batch->session != w.session ? 409 : 200;
+  if (batch && batch->incarnation) {
+    status =
+        batch->fencing_token < w.fencing_token || *batch->incarnation != w.incarnation ? 409 : 200;
     if (status == 200) {
-      if (batch->token > w.token) w.changed = true;
-      w.token = batch->token;
+      if (batch->fencing_token > w.fencing_token) w.changed = true;
+      w.fencing_token = batch->fencing_token;
       for (const Command& c : batch->commands) obey(w, c);
     }
   }
--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -73,8 +73,8 @@
     out.controllers.push_back(std::move(s));
   }
   const Settings full = sample_settings(0, plan.scale);
-  out.state_rps = full.store.rps;
-  out.state_write_rps = full.store.write_rps;
+  out.kv_rps = full.store.rps;
+  out.kv_write_rps = full.store.write_rps;
   out.types = {sample_type()};
   for (const char* zone : {"za", "zb"}) {
     out.capacity[{zone, false}] = 4 * plan.scale;
@@ -91,7 +91,7 @@
       checker_(settings_[0].teams, ms(plan.cancel_s)),
       cloud_(plan.seed * 31 + 7),
       nodes_(settings_.size()) {
-  state_.limit_rates(deployment_.state_rps, deployment_.state_write_rps);
+  state_.limit_rates(deployment_.kv_rps, deployment_.kv_write_rps);
   cloud_.types = deployment_.types;
   cloud_.capacity = deployment_.capacity;
   cloud_.one_in_never_up = deployment_.one_in_never_up;
@@ -247,28 +247,28 @@
   });
 }
 
-void World::perform(std::size_t i, const Answer& answer) { node_answer(i, answer); }
+void World::perform(std::size_t i, const Response& response) { handle_node_response(i, response); }
 
-void World::perform(std::size_t i, const CallState& call) {
+void World::perform(std::size_t i, const CallKvStore& call) {
   const auto done = std::make_shared<bool>(false);
   const auto finish = [this, i, alive = still_alive(i), done,
-                       id = call.call](const StateReply& reply) {
+                       id = call.call](const KvResponse& reply) {
     if (*done || !alive()) return;
     *done = true;
-    feed(i, StateAnswer{id, reply});
+    feed(i, KvResponseReceived{id, reply});
   };
-  at(now_ + call.timeout_ms, [finish] { finish(StateReply{}); });
-  const bool is_write = call.request.kind == StateCall::Kind::Txn;
+  at(now_ + call.timeout_ms, [finish] { finish(KvResponse{}); });
+  const bool is_write = call.request.kind == KvRequest::Kind::Txn;
   if (is_write && strikes(late_writes_)) {
     at(now_ + 2'000 + random_(10'000), [this, request = call.request] {
-      state_.handle(request, false, now_, [](const StateReply&) {});
+      state_.handle(request, false, now_, [](const KvResponse&) {});
     });
     return;
   }
   const bool lost = is_write && strikes(lost_answers_);
   carry(nodes_[i].name, "state", [this, i, lost, request = call.request, finish] {
     const bool refused = now_ < nodes_[i].refused_until;
-    state_.handle(request, refused, now_, [this, i, lost, finish](const StateReply& reply) {
+    state_.handle(request, refused, now_, [this, i, lost, finish](const KvResponse& reply) {
       if (!lost) carry("state", nodes_[i].name, [finish, reply] { finish(reply); });
     });
   });
@@ -277,23 +277,23 @@
 void World::perform(std::size_t i, const CallCloud& call) {
   const auto done = std::make_shared<bool>(false);
   const auto finish = [this, i, alive = still_alive(i), done,
-                       id = call.call](const CloudReply& reply) {
+                       id = call.call](const CloudResponse& reply) {
     if (*done || !alive()) return;
     *done = true;
-    feed(i, CloudAnswer{id, reply});
+    feed(i, CloudResponseReceived{id, reply});
   };
   carry(nodes_[i].name, "cloud", [this, i, request = call.request, finish] {
-    const CloudReply reply = cloud_.handle(request, now_);
+    const CloudResponse reply = cloud_.handle(request, now_);
     carry("cloud", nodes_[i].name, [finish, reply] { finish(reply); });
   });
-  at(now_ + call.timeout_ms, [finish] { finish(CloudReply{}); });
+  at(now_ + call.timeout_ms, [finish] { finish(CloudResponse{}); });
 }
 
 void World::perform(std::size_t i, const CallWorker& call) {
   const auto fail = [this, i, alive = still_alive(i), id = call.call] {
     if (!alive()) return;
     nodes_[i].direct_calls.erase(id);
-    feed(i, WorkerAnswer{id, 0, {}});
+    feed(i, WorkerResponseReceived{id, 0, {}});
   };
   if (nodes_[i].direct_calls.size() >= settings_[i].limits.sockets / 4) return at(now_, fail);
   nodes_[i].direct_calls.insert(call.call);
@@ -306,7 +306,7 @@
 }
 
 void World::receive_region(const RegionMessage& message) {
-  for (std::size_t i = 0; i < nodes_.size(); ++i) feed(i, RegionInput{message});
+  for (std::size_t i = 0; i < nodes_.size(); ++i) feed(i, RegionMessageReceived{message});
 }
 
 void World::change_team_limit(const std::string& name, double gpus_max) {
@@ -336,37 +336,37 @@
                     const PeerMessage& message) {
   if (message.kind == PeerMessage::Kind::Request) {
     const PeerRequest& request = message.request;
-    const Origin origin{Origin::Kind::Peer, link, request.call};
+    const RequestSource source{RequestSource::Kind::Peer, link, request.call};
     if (request.op != UserOp::Heartbeat)
-      return feed(to, UserRequest{origin, request.op, request.id, request.body, request.relay});
+      return feed(to, UserRequest{source, request.op, request.id, request.body, request.relay});
     if (auto heartbeat = decode_heartbeat(request.body))
-      feed(to, HeartbeatReceived{origin, *heartbeat, request.body});
+      feed(to, HeartbeatReceived{source, *heartbeat, request.body});
     return;
   }
   const auto& siblings = settings_[to].siblings;
   for (std::size_t k = 0; k < siblings.size(); ++k)
-    if (siblings[k].name == nodes_[from].name) feed(to, PeerInput{k, message});
+    if (siblings[k].name == nodes_[from].name) feed(to, PeerMessageReceived{k, message});
 }
 
-void World::node_answer(std::size_t i, const Answer& a) {
-  if (a.origin.kind == Origin::Kind::Peer) {
-    const auto j = static_cast<std::size_t>(a.origin.link % nodes_.size());
-    const std::uint64_t incarnation = a.origin.link / nodes_.size();
+void World::handle_node_response(std::size_t i, const Response& a) {
+  if (a.source.kind == RequestSource::Kind::Peer) {
+    const auto j = static_cast<std::size_t>(a.source.link % nodes_.size());
+    const std::uint64_t incarnation = a.source.link / nodes_.size();
     PeerMessage m;
-    m.kind = PeerMessage::Kind::Answer;
-    m.answer = {a.origin.call, a.status, a.retry_after_s, {}, a.body};
+    m.kind = PeerMessage::Kind::Response;
+    m.response = {a.source.call, a.status, a.retry_after_s, {}, a.body};
     if (a.valid_until != kNever)
-      m.answer.valid_ms =
+      m.response.valid_ms =
           static_cast<std::uint32_t>(std::max<Time>(0, a.valid_until - steady_clock(i)));
     carry(nodes_[i].name, nodes_[j].name, [this, i, j, incarnation, m] {
       if (nodes_[j].incarnation != incarnation) return;
       const auto& siblings = settings_[j].siblings;
       for (std::size_t k = 0; k < siblings.size(); ++k)
-        if (siblings[k].name == nodes_[i].name) feed(j, PeerInput{k, m});
+        if (siblings[k].name == nodes_[i].name) feed(j, PeerMessageReceived{k, m});
     });
     return;
   }
-  if (const auto it = answers_.find(a.origin.link); it != answers_.end()) {
+  if (const auto it = answers_.find(a.source.link); it != answers_.end()) {
     const auto then = std::move(it->second);
     answers_.erase(it);
     then(a.status, a.body);
--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -28,7 +28,7 @@
   std::vector<MachineType> types;
   /// Machines that the cloud has, by zone and kind (spot or not).
   std::map<std::pair<std::string, bool>, std::uint32_t> capacity;
-  double state_rps = 1e9, state_write_rps = 1e9;
+  double kv_rps = 1e9, kv_write_rps = 1e9;
   /// One in so many rented machines stays booting for ever; 0: none.
   std::uint32_t one_in_never_up = 25;
   /// Workers get an address of their own below this; empty: a made-up one.
@@ -98,9 +98,9 @@
 
   Checker& checker() { return checker_; }
   [[nodiscard]] const Checker& checker() const { return checker_; }
-  StateService& state() { return state_; }
-  [[nodiscard]] const StateService& state() const { return state_; }
-  Cloud& cloud() { return cloud_; }
+  FakeKvStore& state() { return state_; }
+  [[nodiscard]] const FakeKvStore& state() const { return state_; }
+  FakeCloud& cloud() { return cloud_; }
   [[nodiscard]] Time now() const { return now_; }
 
   /// A message of another region reaches all controllers.
@@ -109,7 +109,7 @@
   void change_team_limit(const std::string& team, double gpus_max);
 
   /// What a controller outside of this process has answered to an input.
-  void deliver(std::size_t node, const Answer& answer) { node_answer(node, answer); }
+  void deliver(std::size_t node, const Response& response) { handle_node_response(node, response); }
   /// A direct command to a worker; `then` gets its answer, if it ever gives one.
   void command(const std::string& machine, const std::string& body,
                const std::function<void(int, const Heartbeat&)>& then);
@@ -131,8 +131,8 @@
   void freeze(std::size_t node, Time for_ms);
   /// The controller takes so many times as long for each step.
   void slow_down(std::size_t node, double factor, Time for_ms);
-  void refuse_state(std::size_t node, Time for_ms);
-  void state_outage(Time for_ms);
+  void reject_kv_requests(std::size_t node, Time for_ms);
+  void kv_store_outage(Time for_ms);
   void kill_machine(const std::string& name);
   void hang_machine(const std::string& name, Time for_ms);
   /// Answers and commands don't reach the machine; its reports still arrive.
@@ -257,7 +257,7 @@
   struct Worker {
     CloudMachine machine;
     bool alive = true;
-    std::uint64_t session = 1, seq = 0, token = 0;
+    std::uint64_t incarnation = 1, seq = 0, fencing_token = 0;
     std::size_t node = 0;
     Time began = 0, last_ok_sent = 0, hang_until = 0, deaf_until = 0, mute_until = 0, notice_at = 0;
     Time next_heartbeat = 0, last_heartbeat = 0;
@@ -306,8 +306,8 @@
   void act(std::size_t i, const Action& action);
   void perform(std::size_t i, const Log& line);
   void perform(std::size_t i, const ArmTimer& timer);
-  void perform(std::size_t i, const Answer& answer);
-  void perform(std::size_t i, const CallState& call);
+  void perform(std::size_t i, const Response& response);
+  void perform(std::size_t i, const CallKvStore& call);
   void perform(std::size_t i, const CallCloud& call);
   void perform(std::size_t i, const CallWorker& call);
   void perform(std::size_t i, const SendPeer& peer);
@@ -315,7 +315,7 @@
   void receive(std::size_t from, std::size_t to, std::uint64_t link, const PeerMessage& message);
   /// Whether the process that runs on the node now is still the one that does.
   [[nodiscard]] std::function<bool()> still_alive(std::size_t i) const;
-  void node_answer(std::size_t i, const Answer& a);
+  void handle_node_response(std::size_t i, const Response& a);
 
   void worker_tick(const std::string& name);
   void advance(Worker& w, WorkTask& t);
@@ -337,8 +337,8 @@
   void stop_work(Worker& w, WorkTask& t, const Command& c);
   void lapse(Worker& w);
   void ended(const TaskKey& key, const std::string& machine, bool completed);
-  void take_answer(Worker& w, std::uint64_t flight, Time sent, std::uint64_t session, int status,
-                   const std::string& body);
+  void take_answer(Worker& w, std::uint64_t flight, Time sent, std::uint64_t incarnation,
+                   int status, const std::string& body);
   void carry_command(const std::string& from, const std::string& to, std::function<void()> arrive);
   void direct(std::size_t node, std::uint64_t call, const std::string& address,
               const std::string& body);
@@ -393,8 +393,8 @@
   Time longest_input_wait_ = 0;
   std::priority_queue<Event> events_;
   Checker checker_;
-  StateService state_;
-  Cloud cloud_;
+  FakeKvStore state_;
+  FakeCloud cloud_;
   std::vector<Node> nodes_;
   std::map<std::string, Worker> workers_;
   std::map<std::string, std::string> by_address_;
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -8,7 +8,7 @@
 #include "coordination/capacity_check.hpp"
 #include "coordination/core.hpp"
 #include "protocol/cloud_codec.hpp"
-#include "protocol/state_codec.hpp"
+#include "protocol/kv_codec.hpp"
 #include "protocol/user_codec.hpp"
 #include "protocol/worker_codec.hpp"
 #include "transport/http_client.hpp"
@@ -119,51 +119,52 @@
   // The process may have stood still between the decision and this moment.
   static bool late(Time valid_until) { return EventLoop::now_ms() >= valid_until; }
 
-  void act(const Answer& a) {
+  void act(const Response& a) {
     if (late(a.valid_until))
-      respond(a.origin, 503, encode_error("leadership may have ended"), 1);
+      respond(a.source, 503, encode_error("leadership may have ended"), 1);
     else
-      respond(a.origin, a.status, a.body, a.retry_after_s, a.valid_until);
+      respond(a.source, a.status, a.body, a.retry_after_s, a.valid_until);
   }
 
-  void respond(const Origin& origin, int status, const std::string& body, int retry_after_s,
+  void respond(const RequestSource& source, int status, const std::string& body, int retry_after_s,
                Time valid_until = kNever) {
-    if (origin.kind == Origin::Kind::Local) {
-      server_.respond(origin.link, status, body, retry_after_s);
-    } else if (origin.kind == Origin::Kind::Peer) {
+    if (source.kind == RequestSource::Kind::Local) {
+      server_.respond(source.link, status, body, retry_after_s);
+    } else if (source.kind == RequestSource::Kind::Peer) {
       PeerMessage m;
-      m.kind = PeerMessage::Kind::Answer;
-      m.answer = {origin.call, status, retry_after_s, {}, body};
+      m.kind = PeerMessage::Kind::Response;
+      m.response = {source.call, status, retry_after_s, {}, body};
       if (valid_until != kNever)
-        m.answer.valid_ms = static_cast<std::uint32_t>(
+        m.response.valid_ms = static_cast<std::uint32_t>(
             std::clamp<Time>(valid_until - EventLoop::now_ms(), 0, UINT32_MAX - 1));
       // What answers the frames that are being read leaves with their last one.
-      peers_.send(origin.link, encode_peer(m),
-                  origin.link == reading_link_ ? Urgency::UntilFlush : Urgency::Now);
+      peers_.send(source.link, encode_peer(m),
+                  source.link == reading_link_ ? Urgency::UntilFlush : Urgency::Now);
     }
   }
 
-  void act(const CallState& a) {
-    const HttpRequest h = encode_state(a.request);
+  void act(const CallKvStore& a) {
+    const HttpRequest h = encode_kv_request(a.request);
     client_.request(settings_.state, h.method, h.path, h.body, a.timeout_ms, true,
                     [this, call = a.call, request = a.request](int status, std::string_view body) {
-                      feed(StateAnswer{call, decode_state(request, status, body)});
+                      feed(KvResponseReceived{call, decode_kv_response(request, status, body)});
                     });
   }
 
   void act(const CallCloud& a) {
-    const HttpRequest h = encode_cloud(a.request);
-    client_.request(settings_.cloud, h.method, h.path, h.body, a.timeout_ms, true,
-                    [this, call = a.call, request = a.request](int status, std::string_view body) {
-                      feed(CloudAnswer{call, decode_cloud(request, status, body)});
-                    });
+    const HttpRequest h = encode_cloud_request(a.request);
+    client_.request(
+        settings_.cloud, h.method, h.path, h.body, a.timeout_ms, true,
+        [this, call = a.call, request = a.request](int status, std::string_view body) {
+          feed(CloudResponseReceived{call, decode_cloud_response(request, status, body)});
+        });
   }
 
   void act(const CallWorker& a) {
-    if (late(a.valid_until)) return feed(WorkerAnswer{a.call, 0, {}});
+    if (late(a.valid_until)) return feed(WorkerResponseReceived{a.call, 0, {}});
     workers_.request(a.address, "POST", "/do", a.body, a.timeout_ms, false,
                      [this, call = a.call](int status, std::string_view body) {
-                       feed(WorkerAnswer{
+                       feed(WorkerResponseReceived{
                            call, status,
                            status == 200 || status == 409 ? decode_heartbeat(body) : std::nullopt});
                      });
@@ -211,9 +212,9 @@
   // ---- inputs ----
 
   void serve(ServerRequest r) {
-    const Origin origin{Origin::Kind::Local, r.connection, 0};
+    const RequestSource source{RequestSource::Kind::Local, r.connection, 0};
     const auto error = [&](int status, const char* text) {
-      respond(origin, status, encode_error(text), 0);
+      respond(source, status, encode_error(text), 0);
     };
     if (r.oversize) return error(400, "body too large");
     const std::string_view path = std::string_view(r.path).substr(0, r.path.find('?'));
@@ -221,17 +222,17 @@
       if (r.method != "POST") return error(405, "method not allowed");
       auto heartbeat = decode_heartbeat(r.body);
       if (!heartbeat) return error(400, "not a report");
-      return feed(HeartbeatReceived{origin, std::move(*heartbeat), std::move(r.body)});
+      return feed(HeartbeatReceived{source, std::move(*heartbeat), std::move(r.body)});
     }
     if (path == "/healthz") {
       if (r.method != "GET") return error(405, "method not allowed");
       const bool ok = core_.healthy(EventLoop::now_ms());
-      return respond(origin, ok ? 200 : 503, ok ? "{}" : encode_error("no leader"), 0);
+      return respond(source, ok ? 200 : 503, ok ? "{}" : encode_error("no leader"), 0);
     }
     constexpr std::string_view kJobs = "/v1/jobs";
     if (path == kJobs) {
       if (r.method != "POST") return error(405, "method not allowed");
-      return feed(UserRequest{origin, UserOp::Submit, {}, std::move(r.body)});
+      return feed(UserRequest{source, UserOp::Submit, {}, std::move(r.body)});
     }
     if (!path.starts_with("/v1/jobs/")) return error(404, "no such path");
     std::string_view id = path.substr(kJobs.size() + 1);
@@ -241,7 +242,7 @@
     if (id.find('/') != std::string_view::npos) return error(404, "no such path");
     if (r.method != (cancel ? "POST" : "GET")) return error(405, "method not allowed");
     if (!valid_job_id(id)) return error(404, "no such job");
-    feed(UserRequest{origin, cancel ? UserOp::Cancel : UserOp::Query, std::string(id), {}});
+    feed(UserRequest{source, cancel ? UserOp::Cancel : UserOp::Query, std::string(id), {}});
   }
 
   bool peer_bytes(std::uint64_t link, std::string_view bytes) {
@@ -263,23 +264,23 @@
       case PeerMessage::Kind::Heartbeat:
         for (std::size_t i = 0; i < settings_.siblings.size(); ++i)
           if (settings_.siblings[i].name == m.heartbeat.node)
-            return feed(PeerInput{i, std::move(m)});
+            return feed(PeerMessageReceived{i, std::move(m)});
         return;
       case PeerMessage::Kind::Request: {
-        const Origin origin{Origin::Kind::Peer, link, m.request.call};
+        const RequestSource source{RequestSource::Kind::Peer, link, m.request.call};
         if (m.request.op != UserOp::Heartbeat)
-          return feed(UserRequest{origin, m.request.op, std::move(m.request.id),
+          return feed(UserRequest{source, m.request.op, std::move(m.request.id),
                                   std::move(m.request.body), m.request.relay});
         auto heartbeat = decode_heartbeat(m.request.body);
-        if (!heartbeat) return respond(origin, 400, encode_error("not a report"), 0);
-        return feed(HeartbeatReceived{origin, std::move(*heartbeat), std::move(m.request.body)});
+        if (!heartbeat) return respond(source, 400, encode_error("not a report"), 0);
+        return feed(HeartbeatReceived{source, std::move(*heartbeat), std::move(m.request.body)});
       }
-      case PeerMessage::Kind::Answer:
+      case PeerMessage::Kind::Response:
         for (std::size_t i = 0; i < siblings_.size(); ++i)
-          if (siblings_[i].link == link) return feed(PeerInput{i, std::move(m)});
+          if (siblings_[i].link == link) return feed(PeerMessageReceived{i, std::move(m)});
         return;
       case PeerMessage::Kind::Region:
-        if (!m.region.from.empty()) feed(RegionInput{std::move(m.region)});
+        if (!m.region.from.empty()) feed(RegionMessageReceived{std::move(m.region)});
         return;
     }
   }
@@ -299,7 +300,7 @@
       lost_timer_ = std::make_unique<Timer>(loop_, [this] {
         auto lost = std::move(lost_);
         lost_.clear();
-        for (const std::size_t i : lost) feed(PeerLost{i});
+        for (const std::size_t i : lost) feed(PeerDisconnected{i});
       });
     if (!lost_.empty()) lost_timer_->set(0);
   }
--- a/src/coordination/actions.hpp
+++ b/src/coordination/actions.hpp
@@ -12,7 +12,7 @@
 namespace sailreel {
 
 /// Where a request came from, and so where its answer goes.
-struct Origin {
+struct RequestSource {
   enum class Kind : std::uint8_t { None, Local, Peer } kind = Kind::None;
   std::uint64_t link = 0;  // connection, or peer link
   std::uint64_t call = 0;  // the peer's number for the request
@@ -20,64 +20,65 @@
 
 // ---- inputs ----
 struct UserRequest {
-  Origin origin;
+  RequestSource source;
   UserOp op = UserOp::Query;
   std::string id;      // empty for a submission
   std::string body;    // a submission's
   bool relay = false;  // of a sibling that has no way to the leader
 };
 struct HeartbeatReceived {
-  Origin origin;
+  RequestSource source;
   Heartbeat heartbeat;
   std::string raw;  // as received, to be handed on
 };
-struct StateAnswer {
+struct KvResponseReceived {
   std::uint64_t call = 0;
-  StateReply reply;
+  KvResponse reply;
 };
-struct CloudAnswer {
+struct CloudResponseReceived {
   std::uint64_t call = 0;
-  CloudReply reply;
+  CloudResponse reply;
 };
 /// What a direct command or inquiry brought.
-struct WorkerAnswer {
+struct WorkerResponseReceived {
   std::uint64_t call = 0;
   int status = 0;
   std::optional<Heartbeat> heartbeat;
 };
-struct PeerInput {
+struct PeerMessageReceived {
   std::size_t sibling = 0;
   PeerMessage
       message;  // a heartbeat or an answer; requests come as UserRequest or HeartbeatReceived
 };
 /// A message of another region's leader, or of a former one.
-struct RegionInput {
+struct RegionMessageReceived {
   RegionMessage message;
 };
-struct PeerLost {
+struct PeerDisconnected {
   std::size_t sibling = 0;
 };
 struct Tick {};
-using Input = std::variant<Tick, UserRequest, HeartbeatReceived, StateAnswer, CloudAnswer,
-                           WorkerAnswer, PeerInput, PeerLost, RegionInput>;
+using Input = std::variant<Tick, UserRequest, HeartbeatReceived, KvResponseReceived,
+                           CloudResponseReceived, WorkerResponseReceived, PeerMessageReceived,
+                           PeerDisconnected, RegionMessageReceived>;
 
 // ---- actions ----
-struct Answer {
-  Origin origin;
+struct Response {
+  RequestSource source;
   int status = 0;
   std::string body;
   int retry_after_s = 0;
   /// Not to be sent at or after this moment: the right to say it may be over by then.
   Time valid_until = kNever;
 };
-struct CallState {
+struct CallKvStore {
   std::uint64_t call = 0;
-  StateCall request;
+  KvRequest request;
   Time timeout_ms = 0;
 };
 struct CallCloud {
   std::uint64_t call = 0;
-  CloudCall request;
+  CloudRequest request;
   Time timeout_ms = 0;
 };
 struct CallWorker {
@@ -103,7 +104,7 @@
   std::string text;
 };
 using Action =
-    std::variant<Answer, CallState, CallCloud, CallWorker, SendPeer, SendRegion, ArmTimer, Log>;
+    std::variant<Response, CallKvStore, CallCloud, CallWorker, SendPeer, SendRegion, ArmTimer, Log>;
 
 struct Clock {
   Time now = 0;
--- a/src/coordination/core.cpp
+++ b/src/coordination/core.cpp
@@ -23,8 +23,8 @@
       tables_(settings_),
       limits_(settings_, options_.federation, tables_),
       event_loop_lag_(heartbeat_interval() / kLateTickShare, worker_lease()),
-      state_limiter_(settings_.store.rps * options_.state_share,
-                     settings_.store.rps * options_.state_share),
+      kv_limiter_(settings_.store.rps * options_.state_share,
+                  settings_.store.rps * options_.state_share),
       write_limiter_(settings_.store.write_rps * options_.write_share,
                      settings_.store.write_rps * options_.write_share),
       cloud_limiter_(settings_.market.rps * 0.8, settings_.market.rps * 1.2),
@@ -49,20 +49,20 @@
           user_request(in);
         } else if constexpr (std::is_same_v<T, HeartbeatReceived>) {
           handle_heartbeat(in);
-        } else if constexpr (std::is_same_v<T, StateAnswer>) {
-          if (auto node = state_calls_.extract(in.call)) node.mapped()(in.reply);
-        } else if constexpr (std::is_same_v<T, CloudAnswer>) {
+        } else if constexpr (std::is_same_v<T, KvResponseReceived>) {
+          if (auto node = kv_calls_.extract(in.call)) node.mapped()(in.reply);
+        } else if constexpr (std::is_same_v<T, CloudResponseReceived>) {
           if (auto node = cloud_calls_.extract(in.call)) node.mapped()(in.reply);
-        } else if constexpr (std::is_same_v<T, WorkerAnswer>) {
-          worker_answer(in);
-        } else if constexpr (std::is_same_v<T, PeerInput>) {
+        } else if constexpr (std::is_same_v<T, WorkerResponseReceived>) {
+          handle_worker_response(in);
+        } else if constexpr (std::is_same_v<T, PeerMessageReceived>) {
           if (in.message.kind == PeerMessage::Kind::Heartbeat)
             peer_heartbeat(in.sibling, in.message.heartbeat);
-          else if (in.message.kind == PeerMessage::Kind::Answer)
-            peer_answer(in.sibling, in.message.answer);
-        } else if constexpr (std::is_same_v<T, RegionInput>) {
+          else if (in.message.kind == PeerMessage::Kind::Response)
+            handle_peer_response(in.sibling, in.message.response);
+        } else if constexpr (std::is_same_v<T, RegionMessageReceived>) {
           region_input(in);
-        } else if constexpr (std::is_same_v<T, PeerLost>) {
+        } else if constexpr (std::is_same_v<T, PeerDisconnected>) {
           siblings_.lost(in.sibling);
           for (auto& [call, f] : forwarded_)
             if (f.sibling == in.sibling) f.until = clock_.now;
@@ -118,30 +118,30 @@
   return heard;
 }
 
-void Core::answer(const Origin& origin, int status, std::string body, int retry_after_s,
-                  Time valid_until) {
-  if (origin.kind == Origin::Kind::None) return;
-  out_.push_back(Answer{origin, status, std::move(body), retry_after_s, valid_until});
+void Core::respond(const RequestSource& source, int status, std::string body, int retry_after_s,
+                   Time valid_until) {
+  if (source.kind == RequestSource::Kind::None) return;
+  out_.push_back(Response{source, status, std::move(body), retry_after_s, valid_until});
 }
 
-void Core::refuse(const Origin& origin, const char* why) {
-  answer(origin, 503, encode_error(why), 1);
+void Core::reject(const RequestSource& source, const char* why) {
+  respond(source, 503, encode_error(why), 1);
 }
 
-bool Core::call_state(StateCall request, StateThen then, bool urgent) {
+bool Core::call_kv_store(KvRequest request, KvContinuation then, bool urgent) {
   // Renewals and elections come first: they may overdraw the budget, others have to wait.
-  if (!urgent && !state_limiter_.allows(1 + settings_.store.rps / 20, clock_.now)) return false;
-  state_limiter_.spend(1, clock_.now);
+  if (!urgent && !kv_limiter_.allows(1 + settings_.store.rps / 20, clock_.now)) return false;
+  kv_limiter_.spend(1, clock_.now);
   const std::uint64_t call = next_call_++;
-  const bool watch = request.kind == StateCall::Kind::Watch;
+  const bool watch = request.kind == KvRequest::Kind::Watch;
   const Time timeout =
       watch ? request.wait_ms + worker_lease() / 10 : std::max<Time>(worker_lease() / 10, 500);
-  state_calls_.emplace(call, std::move(then));
-  out_.push_back(CallState{call, std::move(request), timeout});
+  kv_calls_.emplace(call, std::move(then));
+  out_.push_back(CallKvStore{call, std::move(request), timeout});
   return true;
 }
 
-bool Core::call_cloud(CloudCall request, CloudThen then, bool keep_reserve) {
+bool Core::call_cloud(CloudRequest request, CloudContinuation then, bool keep_reserve) {
   if (!cloud_limiter_.allows(keep_reserve ? 2 : 1, clock_.now)) return false;
   cloud_limiter_.spend(1, clock_.now);
   const std::uint64_t call = next_call_++;
@@ -150,7 +150,7 @@
   return true;
 }
 
-void Core::call_worker(const std::string& address, std::string body, WorkerThen then) {
+void Core::call_worker(const std::string& address, std::string body, WorkerContinuation then) {
   const std::uint64_t call = next_call_++;
   worker_calls_.emplace(call, std::move(then));
   out_.push_back(CallWorker{call, address, std::move(body),
--- a/src/coordination/core.hpp
+++ b/src/coordination/core.hpp
@@ -28,9 +28,9 @@
 #include "protocol/settings.hpp"
 #include "protocol/user_codec.hpp"
 #include "storage/checkpoint.hpp"
+#include "storage/compare_and_swap_builder.hpp"
 #include "storage/job_shards.hpp"
 #include "storage/tables.hpp"
-#include "storage/transaction_builder.hpp"
 
 namespace sailreel {
 
@@ -61,17 +61,17 @@
   // core.cpp
   void tick();
   void watch_event_loop_lag();
-  void answer(const Origin& origin, int status, std::string body, int retry_after_s = 0,
-              Time valid_until = kNever);
-  void refuse(const Origin& origin, const char* why);
+  void respond(const RequestSource& source, int status, std::string body, int retry_after_s = 0,
+               Time valid_until = kNever);
+  void reject(const RequestSource& source, const char* why);
   template <typename... Parts>
   void log(Log::Level level, const Parts&... parts);
-  using StateThen = std::function<void(const StateReply&)>;
-  bool call_state(StateCall request, StateThen then, bool urgent = false);
-  using CloudThen = std::function<void(const CloudReply&)>;
-  bool call_cloud(CloudCall request, CloudThen then, bool keep_reserve);
-  using WorkerThen = std::function<void(int, const std::optional<Heartbeat>&)>;
-  void call_worker(const std::string& address, std::string body, WorkerThen then);
+  using KvContinuation = std::function<void(const KvResponse&)>;
+  bool call_kv_store(KvRequest request, KvContinuation then, bool urgent = false);
+  using CloudContinuation = std::function<void(const CloudResponse&)>;
+  bool call_cloud(CloudRequest request, CloudContinuation then, bool keep_reserve);
+  using WorkerContinuation = std::function<void(int, const std::optional<Heartbeat>&)>;
+  void call_worker(const std::string& address, std::string body, WorkerContinuation then);
   [[nodiscard]] bool calls_full() const;
   [[nodiscard]] Time command_until() const { return lease_deadline_; }
   [[nodiscard]] Time heartbeat_interval() const {
@@ -82,7 +82,7 @@
   // election.cpp
   void election_tick();
   void watch_leader();
-  void learn_leader(const StateItem* item);
+  void learn_leader(const KvItem* item);
   void campaign();
   void claim(std::uint64_t lease, Time granted);
   [[nodiscard]] Time shortest_lease() const {
@@ -104,34 +104,34 @@
   void cancel_over(Job& job);
   [[nodiscard]] Time cancel_wait() const;
   [[nodiscard]] bool stops_at_once(const Job& job) const;
-  void refuse_cancel_waits(const std::string& id);
+  void reject_cancel_waits(const std::string& id);
   std::optional<std::size_t> relaying_sibling();
-  void forward(const Origin& origin, UserOp op, const std::string& id, std::string body,
-               std::size_t sibling, std::uint64_t token = 0);
-  void peer_answer(std::size_t sibling, const PeerAnswer& answer);
+  void forward(const RequestSource& source, UserOp op, const std::string& id, std::string body,
+               std::size_t sibling, std::uint64_t fencing_token = 0);
+  void handle_peer_response(std::size_t sibling, const PeerResponse& response);
   void intake_tick();
-  void look_up(const Origin& origin, const std::string& id);
+  void look_up(const RequestSource& source, const std::string& id);
   void refresh();
   void refresh_list(const std::string& from, std::uint64_t revision);
   void finish_lookups(bool ok);
   [[nodiscard]] JobView view(const Job& job) const;
   [[nodiscard]] JobView view(const std::string& id, const FinishedJob& job) const;
-  void answer_job(const Origin& origin, int status, const JobView& view);
+  void respond_with_job(const RequestSource& source, int status, const JobView& view);
 
   // rounds.cpp
   struct Waiter {
-    Origin origin;
+    RequestSource source;
     int status = 200;
     std::string id;
   };
-  void answer_unknown(const Origin& origin, bool unreadable, Time valid_until);
+  void respond_unknown(const RequestSource& source, bool unreadable, Time valid_until);
   [[nodiscard]] bool too_many_waiting() const;
   [[nodiscard]] std::size_t most_open_requests() const;
-  void after_commit(const Job& job, const Origin& origin, int status);
-  void answer_committed(const Origin& origin, int status, const Job& job);
+  void respond_after_commit(const Job& job, const RequestSource& source, int status);
+  void respond_committed(const RequestSource& source, int status, const Job& job);
   void maybe_commit();
   void send_round();
-  void round_done(const StateReply& reply);
+  void round_done(const KvResponse& reply);
   void round_committed(std::uint64_t revision);
   void resolve_round();
   [[nodiscard]] bool round_needed() const;
@@ -147,17 +147,17 @@
   [[nodiscard]] std::size_t head_bytes_of(const std::map<std::string, std::string>& tail) const;
   [[nodiscard]] std::size_t rental_bytes() const;
   [[nodiscard]] static std::size_t rental_size(const RentalRequest& rental);
-  void add_features(TransactionBuilder& transaction);
+  void add_features(CompareAndSwapBuilder& transaction);
   std::size_t add_rentals(Head& head);
-  void add_machine_shards(TransactionBuilder& transaction);
-  bool add_machine_shard(TransactionBuilder& transaction, std::size_t shard);
-  std::map<std::string, Job*> add_bitmaps(TransactionBuilder& transaction,
+  void add_machine_shards(CompareAndSwapBuilder& transaction);
+  bool add_machine_shard(CompareAndSwapBuilder& transaction, std::size_t shard);
+  std::map<std::string, Job*> add_bitmaps(CompareAndSwapBuilder& transaction,
                                           std::vector<Job*>& postponed);
   [[nodiscard]] bool small_pieces() const;
-  bool add_bitmap(TransactionBuilder& transaction, Job& job);
-  static bool erase_bitmap(TransactionBuilder& transaction, Job& job);
-  std::size_t flush_tail(TransactionBuilder& transaction, std::size_t wanted);
-  bool put_shard(TransactionBuilder& transaction, std::size_t shard);
+  bool add_bitmap(CompareAndSwapBuilder& transaction, Job& job);
+  static bool erase_bitmap(CompareAndSwapBuilder& transaction, Job& job);
+  std::size_t flush_tail(CompareAndSwapBuilder& transaction, std::size_t wanted);
+  bool put_shard(CompareAndSwapBuilder& transaction, std::size_t shard);
   std::size_t reserve_for(const std::string& id, const std::string& text);
   std::string text_for_shard(const std::string& id);
   void postpone_excess(std::map<std::string, Job*>& changed, std::vector<Job*>& postponed,
@@ -169,9 +169,9 @@
 
   // share_moves.cpp
   void share_tick();
-  void region_input(const RegionInput& input);
+  void region_input(const RegionMessageReceived& input);
   void perform_share_actions(std::vector<federation::ShareAction> actions);
-  void add_shares(TransactionBuilder& transaction);
+  void add_shares(CompareAndSwapBuilder& transaction);
   void stop_beyond_cap(const std::string& name, Priority below);
 
   // rebuild.cpp
@@ -191,14 +191,14 @@
   // heartbeat_handler.cpp
   void handle_heartbeat(const HeartbeatReceived& input);
   void handle_heartbeat_without_lease(const HeartbeatReceived& input);
-  void handle_heartbeat_with_old_token(const HeartbeatReceived& input);
-  void worker_answer(const WorkerAnswer& input);
+  void handle_heartbeat_with_old_fencing_token(const HeartbeatReceived& input);
+  void handle_worker_response(const WorkerResponseReceived& input);
   /// What became of a report.
   enum class HeartbeatOutcome : std::uint8_t {
     Taken,
-    Late,           // a newer one has come before it
-    SessionOver,    // it is of a session that is proved to be over
-    UnknownMachine  // it shows tasks on a machine that can't have any
+    Late,                // a newer one has come before it
+    IncarnationExpired,  // it is of a session that is proved to be over
+    UnknownMachine       // it shows tasks on a machine that can't have any
   };
   /// Takes in a report, or the answer to a direct command that left at `asked`.
   HeartbeatOutcome apply_heartbeat(const Heartbeat& heartbeat, std::optional<Time> asked);
@@ -206,7 +206,7 @@
   void reject_heartbeat(const HeartbeatReceived& in, Machine& m);
   [[nodiscard]] bool unknown_with_tasks(const Heartbeat& heartbeat);
   void apply_first_heartbeat(Machine& m, const Heartbeat& r);
-  void next_session(Machine& m);
+  void begin_incarnation(Machine& m);
   void note_address(Machine& m, const std::string& address);
   void record_heartbeat(Machine& m, const Heartbeat& r);
   void take_notice(Machine& m, double notice_s);
@@ -216,7 +216,7 @@
   void drop(Machine& m, std::size_t index);
   void drop_unsent(Machine& m);
   void quarantine(Machine& m, const char* why);
-  void session_lost(Machine& m, const char* why);
+  void incarnation_lost(Machine& m, const char* why);
   void take_task(Machine& m, const TaskStatus& t, std::vector<bool>& seen);
   Placement& adopt_attempt(Machine& m, const TaskStatus& t);
   Placement& add_stray(Machine& m, const TaskStatus& t, Job* job);
@@ -258,9 +258,10 @@
   bool redirect_to_own_zone(const HeartbeatReceived& in);
   [[nodiscard]] std::optional<std::size_t> sibling_for_zone(const std::string& zone);
   [[nodiscard]] bool was_redirected(const std::string& machine, Time within) const;
-  void redirect_worker(const Origin& origin, const std::string& machine, std::size_t sibling);
-  void keep_alive(const Origin& origin, const std::string& machine, std::uint64_t token,
-                  bool may_redirect);
+  void redirect_worker(const RequestSource& source, const std::string& machine,
+                       std::size_t sibling);
+  void keep_alive(const RequestSource& source, const std::string& machine,
+                  std::uint64_t fencing_token, bool may_redirect);
   [[nodiscard]] std::size_t node_before() const;
 
   // placement.cpp
@@ -415,9 +416,9 @@
   void fleet_tick();
   void poll_cloud();
   void ask_for_list();
-  void take_types(const CloudReply& reply);
+  void take_types(const CloudResponse& reply);
   void check_capacity();
-  void take_list(const CloudReply& reply);
+  void take_list(const CloudResponse& reply);
   void size_fleet();
   /// A kind of machine: its type, cheap (spot) or ordinary.
   struct MachineKind {
@@ -461,7 +462,7 @@
   void rent_missing(const MachineKind& kind, const Resources& total, FleetSupply& supply);
   void rent(const MachineKind& kind, const std::string& zone, std::uint32_t count);
   void send_rentals();
-  void take_rental(const std::string& name, const CloudReply& reply);
+  void take_rental(const std::string& name, const CloudResponse& reply);
   void add_rented(const RentalRequest& request, const std::vector<std::string>& names);
   void return_idle();
   [[nodiscard]] OrdinaryRoom ordinary_room() const;
@@ -491,10 +492,10 @@
 
   // calls in flight
   std::uint64_t next_call_ = 1;
-  std::unordered_map<std::uint64_t, StateThen> state_calls_;
-  std::unordered_map<std::uint64_t, CloudThen> cloud_calls_;
-  std::unordered_map<std::uint64_t, WorkerThen> worker_calls_;
-  RateLimiter state_limiter_, write_limiter_, cloud_limiter_;
+  std::unordered_map<std::uint64_t, KvContinuation> kv_calls_;
+  std::unordered_map<std::uint64_t, CloudContinuation> cloud_calls_;
+  std::unordered_map<std::uint64_t, WorkerContinuation> worker_calls_;
+  RateLimiter kv_limiter_, write_limiter_, cloud_limiter_;
   /// Raised when we begin or end to lead; continuations of an older one end.
   std::uint64_t term_ = 0;
 
@@ -530,15 +531,15 @@
 
   // followers' part in intake
   struct Forwarded {
-    Origin origin;
+    RequestSource source;
     UserOp op = UserOp::Query;
     std::string id;  // of the job, or of the machine that reports
     std::size_t sibling = 0;
     Time sent = 0, until = 0;
-    std::uint64_t token = 0;  // that a report showed
+    std::uint64_t fencing_token = 0;  // that a report showed
   };
   /// The leader hasn't answered in time, or not so that it can be said any more.
-  void give_up(const Forwarded& f);
+  void time_out(const Forwarded& f);
   std::map<std::uint64_t, Forwarded> forwarded_;
   std::uint64_t next_forward_ = 1;
   Snapshot snapshot_, loading_;
@@ -546,14 +547,14 @@
   std::uint64_t snapshot_revision_ = 0;
   Time snapshot_read_at_ = 0;
   struct Lookup {
-    Origin origin;
+    RequestSource source;
     std::string id;
     Time since = 0;
   };
   std::vector<Lookup> lookups_, lookups_served_;
   /// Who waits for a job's tasks to be gone, to be told that it is cancelled.
   struct CancelWait {
-    Origin origin;
+    RequestSource source;
     Time until = 0;
   };
   std::unordered_map<std::string, std::vector<CancelWait>> cancel_waits_;
@@ -577,7 +578,7 @@
     std::string machine;  // that reported it
   };
   struct Round {
-    StateCall call;
+    KvRequest call;
     std::uint64_t seq = 0, retries = 0;
     std::map<std::string, std::string> tail;
     struct Change {
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -33,14 +33,14 @@
 // Reads who leads, then waits for a change of that.
 void Core::watch_leader() {
   watching_ = true;
-  StateCall get;
-  get.kind = StateCall::Kind::List;
+  KvRequest get;
+  get.kind = KvRequest::Kind::List;
   get.key = kLeaderKey;
   get.limit = 1;
   const std::uint64_t term = term_;
-  call_state(
+  call_kv_store(
       get,
-      [this, term](const StateReply& r) {
+      [this, term](const KvResponse& r) {
         if (term != term_) return;
         watching_ = false;
         // A node that the state service refuses gets 503 at once: don't ask in a storm.
@@ -48,15 +48,15 @@
         if (r.status != 200) return;
         learn_leader(r.items.empty() ? nullptr : &r.items.front());
         if (campaign_at_ != kNever) return;
-        StateCall watch;
-        watch.kind = StateCall::Kind::Watch;
+        KvRequest watch;
+        watch.kind = KvRequest::Kind::Watch;
         watch.key = kLeaderKey;
         watch.revision = r.revision;
         watch.wait_ms = kWatchMs;
         watching_ = true;
-        call_state(
+        call_kv_store(
             watch,
-            [this, term](const StateReply& w) {
+            [this, term](const KvResponse& w) {
               if (term != term_) return;
               watching_ = false;
               watch_retry_ = clock_.now + (w.status == 200 ? 0 : worker_lease() / 40);
@@ -70,7 +70,7 @@
       true);
 }
 
-void Core::learn_leader(const StateItem* item) {
+void Core::learn_leader(const KvItem* item) {
   if (item == nullptr) {
     leader_name_.clear();
     if (campaign_at_ == kNever) {
@@ -101,30 +101,30 @@
   refreshing_ = false;
   lookups_.insert(lookups_.end(), lookups_served_.begin(), lookups_served_.end());
   lookups_served_.clear();
-  StateCall grant;
-  grant.kind = StateCall::Kind::Grant;
+  KvRequest grant;
+  grant.kind = KvRequest::Kind::Grant;
   const Time granted = clock_.now;
   election_history_.note(epoch_, granted);
   lease_length_ = election_history_.lease_length(shortest_lease(),
                                                  worker_lease() / kLongestLeaseShare, granted);
   grant.ttl_ms = lease_length_;
-  call_state(
+  call_kv_store(
       grant,
-      [this, term, granted](const StateReply& r) {
+      [this, term, granted](const KvResponse& r) {
         if (term != term_) return;
         if (r.status != 200) return step_down("no lease granted");
         const std::uint64_t lease = r.lease;
-        StateCall get;
-        get.kind = StateCall::Kind::List;
+        KvRequest get;
+        get.kind = KvRequest::Kind::List;
         get.key = kEpochKey;
         get.limit = 1;
-        call_state(
+        call_kv_store(
             get,
-            [this, term, lease, granted](const StateReply& e) {
+            [this, term, lease, granted](const KvResponse& e) {
               if (term != term_) return;
               if (e.status != 200) return step_down("epoch not readable");
               Snapshot image;
-              for (const StateItem& item : e.items) image.apply(item);
+              for (const KvItem& item : e.items) image.apply(item);
               epoch_ = std::max(epoch_, image.epoch);
               epoch_version_ = image.epoch_version;
               claim(lease, granted);
@@ -139,14 +139,14 @@
   const std::uint64_t term = term_;
   const std::uint64_t epoch = epoch_ + 1;
   const std::string value = encode_leader({settings_.name, epoch, nonce_});
-  StateCall txn;
-  txn.kind = StateCall::Kind::Txn;
+  KvRequest txn;
+  txn.kind = KvRequest::Kind::Txn;
   txn.conditions = {{kLeaderKey, 0}, {kEpochKey, epoch_version_}};
   txn.puts = {{kLeaderKey, value, lease}, {kEpochKey, value, 0}};
   write_limiter_.spend(kClaimWrites, clock_.now);
-  call_state(
+  call_kv_store(
       txn,
-      [this, term, lease, granted, epoch](const StateReply& r) {
+      [this, term, lease, granted, epoch](const KvResponse& r) {
         if (term != term_) return;
         if (r.status != 200) {
           // Without an answer it may still be carried out, even late. Giving the lease back first
@@ -176,19 +176,19 @@
 // Reads the whole checkpoint. Nobody else can change it any more: the epoch is ours.
 void Core::load(const std::string& from, std::uint64_t revision) {
   const std::uint64_t term = term_;
-  StateCall list;
-  list.kind = StateCall::Kind::List;
+  KvRequest list;
+  list.kind = KvRequest::Kind::List;
   list.key = kPrefix;
   list.from = from;
-  call_state(
+  call_kv_store(
       list,
-      [this, term, from, revision](const StateReply& r) {
+      [this, term, from, revision](const KvResponse& r) {
         if (term != term_) return;
         if (r.status != 200) {
           if (clock_.now >= lease_deadline_) return step_down("checkpoint not readable in time");
           return load(from, revision);
         }
-        for (const StateItem& item : r.items) loading_.apply(item);
+        for (const KvItem& item : r.items) loading_.apply(item);
         if (r.more && !r.items.empty()) return load(r.items.back().key, r.revision);
         begin_rebuild();
       },
@@ -202,12 +202,12 @@
   const Time sent = clock_.now;
   const Time ttl = lease_length_;
   next_renew_ = sent + ttl / kRenewalsPerLease;
-  StateCall call;
-  call.kind = StateCall::Kind::Renew;
+  KvRequest call;
+  call.kind = KvRequest::Kind::Renew;
   call.lease = lease_;
-  call_state(
+  call_kv_store(
       call,
-      [this, term, sent, ttl](const StateReply& r) {
+      [this, term, sent, ttl](const KvResponse& r) {
         if (term != term_) return;
         if (r.status == 404) return step_down("lease ended");
         if (r.status != 200) {
@@ -243,10 +243,10 @@
   if (!led) return;
   // Workers that know of no other leader are kept alive for as long as if we still led.
   keep_alive_permit_.allow(epoch_, lease_deadline_ + keep_alive_span());
-  for (const Waiter& w : round_.waiters) refuse(w.origin, "leadership lost");
-  for (const Waiter& w : waiting_next_) refuse(w.origin, "leadership lost");
+  for (const Waiter& w : round_.waiters) reject(w.source, "leadership lost");
+  for (const Waiter& w : waiting_next_) reject(w.source, "leadership lost");
   for (const auto& [id, waits] : cancel_waits_)
-    for (const CancelWait& w : waits) refuse(w.origin, "leadership lost");
+    for (const CancelWait& w : waits) reject(w.source, "leadership lost");
   cancel_waits_.clear();
   waiting_next_.clear();
   round_ = Round{};
@@ -282,11 +282,11 @@
 }
 
 void Core::revoke(std::uint64_t lease) {
-  StateCall call;
-  call.kind = StateCall::Kind::Revoke;
+  KvRequest call;
+  call.kind = KvRequest::Kind::Revoke;
   call.lease = lease;
-  call_state(
-      call, [](const StateReply&) {}, true);
+  call_kv_store(
+      call, [](const KvResponse&) {}, true);
 }
 
 // Gives the lease back, so that another can take it at once, and leaves it to the others for a
--- a/src/coordination/failure_detection.cpp
+++ b/src/coordination/failure_detection.cpp
@@ -66,12 +66,12 @@
     m.silent_since = now;
     drop_unsent(m);
     log(Log::Level::Info, "event=machine_silent machine=", m.name, " zone=", m.zone,
-        " session=", m.session, " heard_ms=", now - m.last_heartbeat,
+        " session=", m.incarnation, " heard_ms=", now - m.last_heartbeat,
         " lease_ms=", expiry(m) - now);
   }
   if (!m.silent || now < expiry(m)) return;
-  m.sessions.close(m.session, now);
-  session_lost(m, "lease expired");
+  m.incarnation_fence.close(m.incarnation, now);
+  incarnation_lost(m, "lease expired");
   // When many are silent, the network is rather at fault: they may come back, warm, and are waited
   // for a little.
   if (few_are_silent || now >= expiry(m) + 2 * worker_lease()) release(m, "lease expired");
--- a/src/coordination/fleet_sizing.cpp
+++ b/src/coordination/fleet_sizing.cpp
@@ -52,11 +52,11 @@
   const Time now = clock_.now;
   const std::uint64_t term = term_;
   if (now >= next_types_) {
-    CloudCall call;
-    call.kind = CloudCall::Kind::Types;
+    CloudRequest call;
+    call.kind = CloudRequest::Kind::Types;
     if (call_cloud(
             call,
-            [this, term](const CloudReply& r) {
+            [this, term](const CloudResponse& r) {
               if (term != term_) return;
               if (r.status == 200)
                 take_types(r);
@@ -74,12 +74,12 @@
 // anew instead was never read to its end where its pages are more than the rate's burst.
 void Core::ask_for_list() {
   const std::uint64_t term = term_;
-  CloudCall call;
-  call.kind = CloudCall::Kind::List;
+  CloudRequest call;
+  call.kind = CloudRequest::Kind::List;
   call.after = listed_up_to_;
   listing_ = call_cloud(
       call,
-      [this, term](const CloudReply& r) {
+      [this, term](const CloudResponse& r) {
         if (term == term_) take_list(r);
       },
       true);
@@ -87,7 +87,7 @@
     next_list_ = clock_.now + std::max<Time>(ms(settings_.market.list_lag_s / 2), kLeastListGap);
 }
 
-void Core::take_types(const CloudReply& r) {
+void Core::take_types(const CloudResponse& r) {
   tables_.types = r.types;
   for (auto& [name, m] : tables_.machines) tables_.size_machine(*m);
   placement_dirty_ = true;
@@ -107,7 +107,7 @@
       " described=", static_cast<std::uint64_t>(std::min(described, kMostDescribed)));
 }
 
-void Core::take_list(const CloudReply& r) {
+void Core::take_list(const CloudResponse& r) {
   const Time now = clock_.now;
   listing_ = false;
   listed_up_to_.clear();
@@ -376,12 +376,12 @@
   const std::uint64_t term = term_;
   for (auto& [name, rental] : rentals_) {
     if (!rental.committed || rental.asking || clock_.now < rental.retry) continue;
-    CloudCall call;
-    call.kind = CloudCall::Kind::Rent;
+    CloudRequest call;
+    call.kind = CloudRequest::Kind::Rent;
     call.rental = rental.request;
     rental.asking = call_cloud(
         call,
-        [this, term, name = name](const CloudReply& reply) {
+        [this, term, name = name](const CloudResponse& reply) {
           if (term == term_) take_rental(name, reply);
         },
         false);
@@ -389,7 +389,7 @@
   }
 }
 
-void Core::take_rental(const std::string& name, const CloudReply& reply) {
+void Core::take_rental(const std::string& name, const CloudResponse& reply) {
   const auto it = rentals_.find(name);
   if (it == rentals_.end()) return;
   OpenRental& open = it->second;
@@ -595,8 +595,8 @@
 
 void Core::send_releases() {
   if (releasing_ || release_queue_.empty()) return;
-  CloudCall call;
-  call.kind = CloudCall::Kind::Release;
+  CloudRequest call;
+  call.kind = CloudRequest::Kind::Release;
   for (const std::string& name : release_queue_) {
     if (call.names.size() >= kMaxRelease) break;
     call.names.push_back(name);
@@ -605,7 +605,7 @@
   const auto names = call.names;
   releasing_ = call_cloud(
       std::move(call),
-      [this, term, names](const CloudReply& r) {
+      [this, term, names](const CloudResponse& r) {
         if (term != term_) return;
         releasing_ = false;
         if (r.status != 200) return;
--- a/src/coordination/heartbeat_handler.cpp
+++ b/src/coordination/heartbeat_handler.cpp
@@ -9,22 +9,22 @@
 void Core::handle_heartbeat(const HeartbeatReceived& in) {
   const Time now = clock_.now;
   const Heartbeat& r = in.heartbeat;
-  if (in.origin.kind == Origin::Kind::Local) last_worker_heartbeat_ = now;
+  if (in.source.kind == RequestSource::Kind::Local) last_worker_heartbeat_ = now;
   if (role_ != Role::Leader) return forward_heartbeat(in);
-  if (r.token > epoch_) {
+  if (r.fencing_token > epoch_) {
     step_down("a worker has seen a higher token");
-    return answer(in.origin, 421, encode_redirect({}));
+    return respond(in.source, 421, encode_redirect({}));
   }
   if (!in_command(now)) return handle_heartbeat_without_lease(in);
   if (redirect_to_own_zone(in)) return;
   if (released_.contains(r.machine))
-    return answer(in.origin, 503, encode_error("machine was returned"));
-  if (r.token < epoch_) return handle_heartbeat_with_old_token(in);
+    return respond(in.source, 503, encode_error("machine was returned"));
+  if (r.fencing_token < epoch_) return handle_heartbeat_with_old_fencing_token(in);
   const HeartbeatOutcome outcome = apply_heartbeat(r, {});
   Machine* m = tables_.machine(r.machine);
-  if (outcome == HeartbeatOutcome::SessionOver) return reject_heartbeat(in, *m);
+  if (outcome == HeartbeatOutcome::IncarnationExpired) return reject_heartbeat(in, *m);
   if (outcome != HeartbeatOutcome::Taken)
-    return answer(in.origin, 503, encode_error("late report"));
+    return respond(in.source, 503, encode_error("late report"));
   m->last_own_heartbeat = now;
   heartbeat_sender_ = m;
   review_gangs();
@@ -32,42 +32,42 @@
   heartbeat_sender_ = nullptr;
   m->answered = now;
   const auto commands = commands_for(*m, r.seq);
-  answer(in.origin, 200, encode_heartbeat_response(epoch_, commands), 0, command_until());
+  respond(in.source, 200, encode_heartbeat_response(epoch_, commands), 0, command_until());
 }
 
 // The worker's tasks live on for a bounded time while we can't tell whether we still lead.
 void Core::handle_heartbeat_without_lease(const HeartbeatReceived& in) {
   const Time now = clock_.now, until = lease_deadline_ + keep_alive_span();
-  if (now >= until) return answer(in.origin, 503, encode_error("lease lapsed"));
+  if (now >= until) return respond(in.source, 503, encode_error("lease lapsed"));
   if (Machine* m = tables_.machine(in.heartbeat.machine)) {
-    if (!m->sessions.admits(in.heartbeat.session)) return reject_heartbeat(in, *m);
+    if (!m->incarnation_fence.admits(in.heartbeat.incarnation)) return reject_heartbeat(in, *m);
     m->answered = now;
     if (!is_late(*m, in.heartbeat)) m->last_heartbeat = now;
   }
-  answer(in.origin, 200, encode_heartbeat_response(epoch_, {}), 0, until);
+  respond(in.source, 200, encode_heartbeat_response(epoch_, {}), 0, until);
 }
 
 // Perhaps a copy from an earlier time. It learns our token; only what it reports under that counts.
-void Core::handle_heartbeat_with_old_token(const HeartbeatReceived& in) {
+void Core::handle_heartbeat_with_old_fencing_token(const HeartbeatReceived& in) {
   const Time now = clock_.now;
   Machine* m = tables_.machine(in.heartbeat.machine);
   if (m != nullptr && m->recorded) {
     // A machine that reports but never takes our token hears nothing, or the reports are copies.
     // Its lease can't be told from answers that it may or may not get: so it gets none until the
     // lease has surely run out. Otherwise a rebuild would wait for it as long as it reports.
-    if (m->token_refused_since == 0) m->token_refused_since = now;
+    if (m->fencing_token_refused_since == 0) m->fencing_token_refused_since = now;
     if (now >= expiry(*m)) {
       m->lease_passed = true;
-      m->token_refused_since = now;
-    } else if (now - m->token_refused_since > worker_lease() / 2) {
-      return answer(in.origin, 503, encode_error("token not taken"));
+      m->fencing_token_refused_since = now;
+    } else if (now - m->fencing_token_refused_since > worker_lease() / 2) {
+      return respond(in.source, 503, encode_error("token not taken"));
     }
   }
   if (m != nullptr) m->answered = now;
-  answer(in.origin, 200, encode_heartbeat_response(epoch_, {}), 0, command_until());
+  respond(in.source, 200, encode_heartbeat_response(epoch_, {}), 0, command_until());
 }
 
-void Core::worker_answer(const WorkerAnswer& in) {
+void Core::handle_worker_response(const WorkerResponseReceived& in) {
   if (auto node = worker_calls_.extract(in.call)) node.mapped()(in.status, in.heartbeat);
 }
 
@@ -78,12 +78,12 @@
 void Core::reject_heartbeat(const HeartbeatReceived& in, Machine& m) {
   const Heartbeat& r = in.heartbeat;
   log(Log::Level::Info, "event=report_refused machine=", m.name, " zone=", r.zone,
-      " session=", r.session, " seq=", r.seq, " tasks=", r.tasks.size(),
-      " over_ms=", clock_.now - m.sessions.closed_at());
-  answer(in.origin, 503, encode_error("session is over"));
+      " session=", r.incarnation, " seq=", r.seq, " tasks=", r.tasks.size(),
+      " over_ms=", clock_.now - m.incarnation_fence.closed_at());
+  respond(in.source, 503, encode_error("session is over"));
   if (!in_command(clock_.now)) return;
   if (m.address.empty()) m.address = r.address;
-  m.probe_session = std::max(m.probe_session, r.session);
+  m.probe_incarnation = std::max(m.probe_incarnation, r.incarnation);
   inquire_if_due(m);
 }
 
@@ -94,27 +94,27 @@
 }
 
 bool Core::is_late(const Machine& m, const Heartbeat& r) {
-  return m.heard_in_epoch && std::pair(r.session, r.seq) <= std::pair(m.session, m.seq);
+  return m.heard_in_epoch && std::pair(r.incarnation, r.seq) <= std::pair(m.incarnation, m.seq);
 }
 
 Core::HeartbeatOutcome Core::apply_heartbeat(const Heartbeat& r, std::optional<Time> asked) {
   if (unknown_with_tasks(r)) {
-    log(Log::Level::Info, "event=report_of_unknown machine=", r.machine, " session=", r.session,
+    log(Log::Level::Info, "event=report_of_unknown machine=", r.machine, " session=", r.incarnation,
         " tasks=", r.tasks.size());
     return HeartbeatOutcome::UnknownMachine;
   }
   Machine& m = tables_.add_machine(r.machine, clock_.now);
   if (is_late(m, r)) {
-    log(Log::Level::Debug, "event=report_late machine=", m.name, " session=", r.session,
-        " seq=", r.seq, " known_session=", m.session, " known_seq=", m.seq);
+    log(Log::Level::Debug, "event=report_late machine=", m.name, " session=", r.incarnation,
+        " seq=", r.seq, " known_session=", m.incarnation, " known_seq=", m.seq);
     return HeartbeatOutcome::Late;
   }
-  if (asked) m.sessions.answered(r.session, *asked);
-  if (!m.sessions.admits(r.session)) return HeartbeatOutcome::SessionOver;
+  if (asked) m.incarnation_fence.answered(r.incarnation, *asked);
+  if (!m.incarnation_fence.admits(r.incarnation)) return HeartbeatOutcome::IncarnationExpired;
   if (!m.heard_in_epoch)
     apply_first_heartbeat(m, r);
-  else if (r.session > m.session)
-    next_session(m);
+  else if (r.incarnation > m.incarnation)
+    begin_incarnation(m);
   note_address(m, r.address);
   record_heartbeat(m, r);
 
@@ -137,7 +137,7 @@
   m.spot = r.spot;
   m.idle_since = clock_.now;
   log(Log::Level::Info, "event=machine_up machine=", m.name, " zone=", m.zone,
-      " spot=", m.spot ? 1 : 0, " session=", r.session, " tasks=", r.tasks.size(),
+      " spot=", m.spot ? 1 : 0, " session=", r.incarnation, " tasks=", r.tasks.size(),
       " after_ms=", clock_.now - m.rented);
   placement_dirty_ = true;
 }
@@ -145,11 +145,11 @@
 // Its lease ran out. If we heard it all the time and answered, it doesn't hear us: until it has
 // proved otherwise for a while, work given to it would only wait. Reports that a cut held back and
 // let go at its end prove nothing: they once had half a fleet quarantined.
-void Core::next_session(Machine& m) {
+void Core::begin_incarnation(Machine& m) {
   const Time now = clock_.now;
   if (now - m.answered < worker_lease() / 2 && now - m.steady_since > worker_lease())
     quarantine(m, "deaf");
-  session_lost(m, "new session");
+  incarnation_lost(m, "new session");
 }
 
 void Core::note_address(Machine& m, const std::string& address) {
@@ -169,13 +169,13 @@
   // lease was over by our reckoning, we don't know how much is left. Machines that had come back
   // were once returned at their first silence, as if their old lease still counted. Only once until
   // it reports by itself: one that reaches no controller is to be returned in the end.
-  const bool lease_unknown = r.session > m.session || now >= expiry(m);
+  const bool lease_unknown = r.incarnation > m.incarnation || now >= expiry(m);
   if (!m.heard_in_epoch || (lease_unknown && m.last_own_heartbeat >= m.answered)) m.answered = now;
   if (!m.heard_in_epoch || now - m.last_heartbeat > silent_after()) m.steady_since = now;
   m.heard_in_epoch = true;
-  m.token_refused_since = 0;
+  m.fencing_token_refused_since = 0;
   m.lease_passed = false;
-  m.session = m.probe_session = r.session;
+  m.incarnation = m.probe_incarnation = r.incarnation;
   m.seq = r.seq;
   m.last_heartbeat = now;
   // It takes work again. Without a pass for it, what waited did so until something else changed.
--- a/src/coordination/intake.cpp
+++ b/src/coordination/intake.cpp
@@ -23,20 +23,20 @@
   }
   // A request is handed on once, or once more where its first receiver has no way to the leader:
   // two nodes that take each other for the leader must not play ball with it.
-  const bool may_forward =
-      (r.origin.kind == Origin::Kind::Local || r.relay) && forwarded_.size() < most_open_requests();
+  const bool may_forward = (r.source.kind == RequestSource::Kind::Local || r.relay) &&
+                           forwarded_.size() < most_open_requests();
   if (const auto leader = siblings_.leader(clock_.now); leader && may_forward) {
     // An older version would place a gang in its own way.
     if (r.op == UserOp::Submit && !siblings_[*leader].understands_gangs &&
         is_gang_submission(r.body))
-      return refuse(r.origin, "gangs wait until all controllers are of this version");
-    return forward(r.origin, r.op, r.id, r.body, *leader);
+      return reject(r.source, "gangs wait until all controllers are of this version");
+    return forward(r.source, r.op, r.id, r.body, *leader);
   }
-  if (r.origin.kind != Origin::Kind::Local) return refuse(r.origin, "no leader");
-  if (r.op == UserOp::Query) return look_up(r.origin, r.id);
+  if (r.source.kind != RequestSource::Kind::Local) return reject(r.source, "no leader");
+  if (r.op == UserOp::Query) return look_up(r.source, r.id);
   const std::optional<std::size_t> relay = relaying_sibling();
-  if (!relay || !may_forward) return refuse(r.origin, "no leader");
-  forward(r.origin, r.op, r.id, r.body, *relay);
+  if (!relay || !may_forward) return reject(r.source, "no leader");
+  forward(r.source, r.op, r.id, r.body, *relay);
   std::get<SendPeer>(out_.back()).message.request.relay = true;
 }
 
@@ -61,8 +61,8 @@
   return {id, job.phase, job.phase == Phase::Done ? job.tasks : 0, 0};
 }
 
-void Core::answer_job(const Origin& origin, int status, const JobView& view) {
-  answer(origin, status, encode_job(view), 0, command_until());
+void Core::respond_with_job(const RequestSource& source, int status, const JobView& view) {
+  respond(source, status, encode_job(view), 0, command_until());
 }
 
 void Core::lead_submit(const UserRequest& r) {
@@ -70,19 +70,19 @@
   const auto id = submission_id(r.body);
   if (id) {
     if (const auto f = tables_.finished.find(*id); f != tables_.finished.end())
-      return answer_job(r.origin, 200, view(*id, f->second));
-    if (const Job* job = tables_.job(*id)) return answer_committed(r.origin, 200, *job);
+      return respond_with_job(r.source, 200, view(*id, f->second));
+    if (const Job* job = tables_.job(*id)) return respond_committed(r.source, 200, *job);
   }
-  if (id && unknown_jobs_) return answer_unknown(r.origin, unknown_jobs_, command_until());
+  if (id && unknown_jobs_) return respond_unknown(r.source, unknown_jobs_, command_until());
   std::string error;
   auto spec = decode_submission(r.body, error);
-  if (!spec) return answer(r.origin, 400, encode_error("invalid: " + error));
-  if (tables_.types.empty()) return refuse(r.origin, "machine types not known yet");
-  if (never_fits(*spec, error)) return answer(r.origin, 422, encode_error(error));
+  if (!spec) return respond(r.source, 400, encode_error("invalid: " + error));
+  if (tables_.types.empty()) return reject(r.source, "machine types not known yet");
+  if (never_fits(*spec, error)) return respond(r.source, 422, encode_error(error));
   if (spec->kind == JobKind::Gang && !gangs_enabled_)
-    return refuse(r.origin, "gangs wait until all controllers are of this version");
-  if (round_.retries > 0) return refuse(r.origin, "the state service does not answer");
-  if (too_many_waiting()) return refuse(r.origin, "too many submissions at once");
+    return reject(r.source, "gangs wait until all controllers are of this version");
+  if (round_.retries > 0) return reject(r.source, "the state service does not answer");
+  if (too_many_waiting()) return reject(r.source, "too many submissions at once");
   JobRecord record;
   record.spec = std::move(*spec);
   record.submitted_wall_ms = clock_.wall_ms;
@@ -90,35 +90,35 @@
   if (record.spec.kind == JobKind::Gang) record.started = record.spec.tasks;
   // The head gives it to a shard at once if it is large itself.
   if (record_reserve(false, encode_record(record).size()) > value_limit(kValueFill))
-    return answer(r.origin, 422, encode_error("its description is too large to be kept"));
+    return respond(r.source, 422, encode_error("its description is too large to be kept"));
   Job& job = tables_.add_job(std::move(record));
   job.accepted = clock_.now;
   touch(job);
-  after_commit(job, r.origin, 201);
+  respond_after_commit(job, r.source, 201);
   log(Log::Level::Info, "event=submitted job=", job.spec().id, " class=", job.spec().job_class,
       " team=", job.spec().team, " tasks=", job.spec().tasks);
 }
 
 void Core::lead_query(const UserRequest& r) {
   if (const auto f = tables_.finished.find(r.id); f != tables_.finished.end())
-    return answer_job(r.origin, 200, view(r.id, f->second));
-  if (const Job* job = tables_.job(r.id)) return answer_committed(r.origin, 200, *job);
-  answer_unknown(r.origin, unknown_jobs_, command_until());
+    return respond_with_job(r.source, 200, view(r.id, f->second));
+  if (const Job* job = tables_.job(r.id)) return respond_committed(r.source, 200, *job);
+  respond_unknown(r.source, unknown_jobs_, command_until());
 }
 
-void Core::answer_unknown(const Origin& origin, bool unreadable, Time valid_until) {
-  if (unreadable) return refuse(origin, "parts of the checkpoint can't be read");
-  answer(origin, 404, encode_error("no such job"), 0, valid_until);
+void Core::respond_unknown(const RequestSource& source, bool unreadable, Time valid_until) {
+  if (unreadable) return reject(source, "parts of the checkpoint can't be read");
+  respond(source, 404, encode_error("no such job"), 0, valid_until);
 }
 
 void Core::lead_cancel(const UserRequest& r) {
   if (const auto f = tables_.finished.find(r.id); f != tables_.finished.end())
-    return answer_job(r.origin, 200, view(r.id, f->second));
+    return respond_with_job(r.source, 200, view(r.id, f->second));
   Job* job = tables_.job(r.id);
-  if (job == nullptr) return answer_unknown(r.origin, unknown_jobs_, command_until());
+  if (job == nullptr) return respond_unknown(r.source, unknown_jobs_, command_until());
   if (job->record.phase != Phase::Active) {
-    if (job->record.phase == job->committed_phase) return answer_committed(r.origin, 200, *job);
-    return after_commit(*job, r.origin, 200);
+    if (job->record.phase == job->committed_phase) return respond_committed(r.source, 200, *job);
+    return respond_after_commit(*job, r.source, 200);
   }
   if (!job->record.cancel_asked) {
     // Written too: a later leader goes on stopping it, and its user need not ask again.
@@ -128,11 +128,11 @@
     stop_job(*job);
     placement_dirty_ = true;
   }
-  cancel_waits_[r.id].push_back({r.origin, clock_.now + cancel_wait()});
+  cancel_waits_[r.id].push_back({r.source, clock_.now + cancel_wait()});
   settle_job(*job);
   if (job->record.final) return;
   // Where its end can't come at once, its user is told so at once.
-  if (!stops_at_once(*job)) refuse_cancel_waits(r.id);
+  if (!stops_at_once(*job)) reject_cancel_waits(r.id);
 }
 
 // As long as a direct stop and its answer usually take; no answer is held back for longer.
@@ -145,10 +145,10 @@
   });
 }
 
-void Core::refuse_cancel_waits(const std::string& id) {
+void Core::reject_cancel_waits(const std::string& id) {
   const auto waits = cancel_waits_.extract(id);
   if (!waits) return;
-  for (const CancelWait& w : waits.mapped()) refuse(w.origin, "its tasks are being stopped");
+  for (const CancelWait& w : waits.mapped()) reject(w.source, "its tasks are being stopped");
 }
 
 // None of its tasks is on a machine any more: now it may be called cancelled. To say so sooner
@@ -158,23 +158,23 @@
   job.record.phase = Phase::Cancelled;
   const auto waits = cancel_waits_.extract(job.spec().id);
   if (!waits) return;
-  for (const CancelWait& w : waits.mapped()) after_commit(job, w.origin, 200);
+  for (const CancelWait& w : waits.mapped()) respond_after_commit(job, w.source, 200);
 }
 
-void Core::forward(const Origin& origin, UserOp op, const std::string& id, std::string body,
-                   std::size_t sibling, std::uint64_t token) {
+void Core::forward(const RequestSource& source, UserOp op, const std::string& id, std::string body,
+                   std::size_t sibling, std::uint64_t fencing_token) {
   const std::uint64_t call = next_forward_++;
   const bool commits = op == UserOp::Submit || op == UserOp::Cancel;
   const Time now = clock_.now;
-  forwarded_[call] = {origin, op, id, sibling, now, now + (commits ? kForwardCommitMs : kForwardMs),
-                      token};
+  forwarded_[call] = {
+      source, op, id, sibling, now, now + (commits ? kForwardCommitMs : kForwardMs), fencing_token};
   PeerMessage m;
   m.kind = PeerMessage::Kind::Request;
   m.request = {call, op, op == UserOp::Heartbeat ? std::string() : id, std::move(body), false};
   out_.push_back(SendPeer{sibling, std::move(m)});
 }
 
-void Core::peer_answer(std::size_t, const PeerAnswer& a) {
+void Core::handle_peer_response(std::size_t, const PeerResponse& a) {
   const auto node = forwarded_.extract(a.call);
   if (!node) return;
   const Forwarded& f = node.mapped();
@@ -182,18 +182,18 @@
   // then on is safe, however long the answer was on its way or we stood still.
   const Time valid_until = a.valid_ms ? f.sent + *a.valid_ms - *a.valid_ms / 500 : kNever;
   const bool late = clock_.now >= std::min(f.until, valid_until);
-  if (late || (a.status == 503 && f.op == UserOp::Query)) return give_up(f);
-  answer(f.origin, a.status, a.body, a.retry_after_s, valid_until);
+  if (late || (a.status == 503 && f.op == UserOp::Query)) return time_out(f);
+  respond(f.source, a.status, a.body, a.retry_after_s, valid_until);
 }
 
-void Core::give_up(const Forwarded& f) {
+void Core::time_out(const Forwarded& f) {
   if (f.op == UserOp::Query)
-    look_up(f.origin, f.id);
+    look_up(f.source, f.id);
   else if (f.op == UserOp::Heartbeat)
     // Sent elsewhere now, a worker of a zone that has just been cut off would be lost.
-    keep_alive(f.origin, f.id, f.token, false);
+    keep_alive(f.source, f.id, f.fencing_token, false);
   else
-    refuse(f.origin, "the leader does not answer");
+    reject(f.source, "the leader does not answer");
 }
 
 void Core::intake_tick() {
@@ -201,11 +201,11 @@
   std::vector<std::uint64_t> over;
   for (const auto& [call, f] : forwarded_)
     if (now >= f.until) over.push_back(call);
-  for (const std::uint64_t call : over) give_up(forwarded_.extract(call).mapped());
+  for (const std::uint64_t call : over) time_out(forwarded_.extract(call).mapped());
   for (auto it = cancel_waits_.begin(); it != cancel_waits_.end();) {
     std::erase_if(it->second, [&](const CancelWait& w) {
       if (now < w.until) return false;
-      refuse(w.origin, "its tasks are being stopped");
+      reject(w.source, "its tasks are being stopped");
       return true;
     });
     it = it->second.empty() ? cancel_waits_.erase(it) : std::next(it);
@@ -213,14 +213,14 @@
   for (auto* list : {&lookups_, &lookups_served_})
     std::erase_if(*list, [&](const Lookup& l) {
       if (now - l.since < kLookupMs) return false;
-      refuse(l.origin, "state not readable");
+      reject(l.source, "state not readable");
       return true;
     });
   if (!lookups_.empty() && !refreshing_ && now >= next_refresh_) refresh();
 }
 
-void Core::look_up(const Origin& origin, const std::string& id) {
-  lookups_.push_back({origin, id, clock_.now});
+void Core::look_up(const RequestSource& source, const std::string& id) {
+  lookups_.push_back({source, id, clock_.now});
   if (!refreshing_ && clock_.now >= next_refresh_) refresh();
 }
 
@@ -231,7 +231,7 @@
     if (!in_command(clock_.now)) return;
     auto asked = std::move(lookups_);
     lookups_.clear();
-    for (const Lookup& l : asked) lead_query({l.origin, UserOp::Query, l.id, {}});
+    for (const Lookup& l : asked) lead_query({l.source, UserOp::Query, l.id, {}});
     return;
   }
   // A candidate is about to know whether it leads. Its reads of the checkpoint and a look-up's must
@@ -252,16 +252,16 @@
     return refresh_list("", 0);
   }
   const std::uint64_t term = term_;
-  StateCall watch;
-  watch.kind = StateCall::Kind::Watch;
+  KvRequest watch;
+  watch.kind = KvRequest::Kind::Watch;
   watch.key = kPrefix;
   watch.revision = snapshot_revision_;
   watch.wait_ms = 0;
-  const bool sent = call_state(watch, [this, term](const StateReply& r) {
+  const bool sent = call_kv_store(watch, [this, term](const KvResponse& r) {
     if (term != term_) return;
     if (r.status == 410) snapshot_loaded_ = false;
     if (r.status == 200) {
-      for (const StateItem& item : r.items) snapshot_.apply(item);
+      for (const KvItem& item : r.items) snapshot_.apply(item);
       snapshot_revision_ = std::max(snapshot_revision_, r.revision);
     }
     finish_lookups(r.status == 200);
@@ -271,14 +271,14 @@
 
 void Core::refresh_list(const std::string& from, std::uint64_t revision) {
   const std::uint64_t term = term_;
-  StateCall list;
-  list.kind = StateCall::Kind::List;
+  KvRequest list;
+  list.kind = KvRequest::Kind::List;
   list.key = kPrefix;
   list.from = from;
-  const bool sent = call_state(list, [this, term, revision](const StateReply& r) {
+  const bool sent = call_kv_store(list, [this, term, revision](const KvResponse& r) {
     if (term != term_) return;
     if (r.status != 200) return finish_lookups(false);
-    for (const StateItem& item : r.items) snapshot_.apply(item);
+    for (const KvItem& item : r.items) snapshot_.apply(item);
     // Later pages may be newer than the first; changes since the first are read again by the next
     // refresh, and records carry their own sequence.
     const std::uint64_t first = revision == 0 ? r.revision : revision;
@@ -297,19 +297,19 @@
   lookups_served_.clear();
   for (const Lookup& l : served) {
     if (!ok) {
-      refuse(l.origin, "state not readable");
+      reject(l.source, "state not readable");
       continue;
     }
     const auto it = snapshot_.jobs.find(l.id);
     if (it == snapshot_.jobs.end()) {
-      answer_unknown(l.origin, !snapshot_.unreadable.empty(), kNever);
+      respond_unknown(l.source, !snapshot_.unreadable.empty(), kNever);
       continue;
     }
     const JobRecord& r = it->second;
     const std::uint64_t done = r.phase == Phase::Done     ? r.spec.tasks
                                : r.phase == Phase::Active ? r.done.count()
                                                           : 0;
-    answer(l.origin, 200, encode_job({l.id, r.phase, done, 0}));
+    respond(l.source, 200, encode_job({l.id, r.phase, done, 0}));
   }
 }
 
--- a/src/coordination/keepalive.cpp
+++ b/src/coordination/keepalive.cpp
@@ -28,25 +28,26 @@
 // A report to a node that doesn't lead. It is handed on, not sent away: a worker that can't reach
 // the leader itself, as when two zones are apart, lost its tasks while it was sent to and fro.
 void Core::forward_heartbeat(const HeartbeatReceived& in) {
-  if (in.origin.kind == Origin::Kind::Peer)
-    return answer(in.origin, 503, encode_error("no leader"));
+  if (in.source.kind == RequestSource::Kind::Peer)
+    return respond(in.source, 503, encode_error("no leader"));
   std::optional<std::size_t> sibling = siblings_.leader(clock_.now);
   // A leader whose lease may have lapsed still keeps tasks alive.
   if (!sibling) sibling = siblings_.holding(clock_.now);
-  if (!sibling) return keep_alive(in.origin, in.heartbeat.machine, in.heartbeat.token, true);
+  if (!sibling)
+    return keep_alive(in.source, in.heartbeat.machine, in.heartbeat.fencing_token, true);
   if (!redirect_to_own_zone(in))
-    forward(in.origin, UserOp::Heartbeat, in.heartbeat.machine, in.raw, *sibling,
-            in.heartbeat.token);
+    forward(in.source, UserOp::Heartbeat, in.heartbeat.machine, in.raw, *sibling,
+            in.heartbeat.fencing_token);
 }
 
 // Sends a worker to a node of its own zone. When a zone was cut off, workers that reported to nodes
 // outside went from one to the next of them, 5 s each, until their leases had run out.
 bool Core::redirect_to_own_zone(const HeartbeatReceived& in) {
   const std::string& zone = in.heartbeat.zone;
-  if (in.origin.kind != Origin::Kind::Local || zone == settings_.zone) return false;
+  if (in.source.kind != RequestSource::Kind::Local || zone == settings_.zone) return false;
   if (was_redirected(in.heartbeat.machine, kRedirectLeases * worker_lease())) return false;
   const std::optional<std::size_t> near = sibling_for_zone(zone);
-  if (near) redirect_worker(in.origin, in.heartbeat.machine, *near);
+  if (near) redirect_worker(in.source, in.heartbeat.machine, *near);
   return near.has_value();
 }
 
@@ -75,7 +76,8 @@
   return it != redirected_at_.end() && clock_.now - it->second < within;
 }
 
-void Core::redirect_worker(const Origin& origin, const std::string& machine, std::size_t sibling) {
+void Core::redirect_worker(const RequestSource& source, const std::string& machine,
+                           std::size_t sibling) {
   const Time span = kRedirectLeases * worker_lease();
   // Once a span, so that each worker costs two looks at most, however many there are.
   if (clock_.now >= next_redirect_tidy_) {
@@ -83,26 +85,26 @@
     std::erase_if(redirected_at_, [&](const auto& s) { return clock_.now - s.second >= span; });
   }
   redirected_at_[machine] = clock_.now;
-  answer(origin, 421, encode_redirect(settings_.siblings[sibling].name));
+  respond(source, 421, encode_redirect(settings_.siblings[sibling].name));
 }
 
 // No leader can be reached. If that is so for the whole zone, its workers' tasks live on only if we
 // answer; if it is so for us alone, the worker had better go elsewhere. Each is tried out once on
 // the node before us: if that can't be reached, the worker comes back to us next.
-void Core::keep_alive(const Origin& origin, const std::string& machine, std::uint64_t token,
-                      bool may_redirect) {
-  if (!keep_alive_permit_.valid(token, clock_.now))
-    return answer(origin, 503, encode_error("no leader"));
+void Core::keep_alive(const RequestSource& source, const std::string& machine,
+                      std::uint64_t fencing_token, bool may_redirect) {
+  if (!keep_alive_permit_.valid(fencing_token, clock_.now))
+    return respond(source, 503, encode_error("no leader"));
   if (may_redirect && !was_redirected(machine, worker_lease())) {
     for (std::size_t i = 0; i < siblings_.size(); ++i)
-      if (siblings_.reaches_leader(i, clock_.now)) return redirect_worker(origin, machine, i);
-    if (!settings_.siblings.empty()) return redirect_worker(origin, machine, node_before());
+      if (siblings_.reaches_leader(i, clock_.now)) return redirect_worker(source, machine, i);
+    if (!settings_.siblings.empty()) return redirect_worker(source, machine, node_before());
   }
   if (clock_.now - kept_alive_at_ > worker_lease())
     log(Log::Level::Info, "event=keep_alive for_ms=", keep_alive_permit_.until() - clock_.now);
   kept_alive_at_ = clock_.now;
-  answer(origin, 200, encode_heartbeat_response(keep_alive_permit_.epoch(), {}), 0,
-         keep_alive_permit_.until());
+  respond(source, 200, encode_heartbeat_response(keep_alive_permit_.epoch(), {}), 0,
+          keep_alive_permit_.until());
 }
 
 // The sibling that workers try just before us: they go by the nodes' numbers, the last of which the
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -43,11 +43,11 @@
       if (p.stop && p.state >= PlaceState::Sent && p.state <= PlaceState::Running)
         stops.push_back({Command::Op::Stop, p.key, p.attempt, p.grace_s});
     if (stops.empty()) continue;
-    call_worker(m->address, encode_direct(epoch_, m->session, stops),
+    call_worker(m->address, encode_direct(epoch_, m->incarnation, stops),
                 [this, name = m->name, sent = clock_.now](
                     int status, const std::optional<Heartbeat>& heartbeat) {
                   if (status == 200 && heartbeat && heartbeat->machine == name &&
-                      heartbeat->token == epoch_ && tables_.machine(name) != nullptr)
+                      heartbeat->fencing_token == epoch_ && tables_.machine(name) != nullptr)
                     apply_heartbeat(*heartbeat, sent);
                 });
   }
--- a/src/coordination/rebuild.cpp
+++ b/src/coordination/rebuild.cpp
@@ -170,7 +170,7 @@
   std::size_t unheard = 0;
   for (auto& [name, m] : tables_.machines) {
     if (!m->recorded || m->heard_in_epoch) continue;
-    m->sessions.close_unheard(now);
+    m->incarnation_fence.close_unheard(now);
     ++unheard;
   }
   for (auto& [id, job] : tables_.jobs) {
@@ -215,7 +215,7 @@
   m.probing = true;
   const std::string name = m.name;
   const Time sent = clock_.now;
-  call_worker(m.address, encode_direct(epoch_, m.probe_session, {}),
+  call_worker(m.address, encode_direct(epoch_, m.probe_incarnation, {}),
               [this, name, sent](int status, const std::optional<Heartbeat>& heartbeat) {
                 Machine* machine = tables_.machine(name);
                 if (machine == nullptr) return;
@@ -228,12 +228,13 @@
                   return;
                 }
                 machine->probe_failures = 0;
-                if (heartbeat->token > epoch_) return step_down("a worker has seen a higher token");
+                if (heartbeat->fencing_token > epoch_)
+                  return step_down("a worker has seen a higher token");
                 if (status == 200) {
                   zone_reached_[heartbeat->zone] = clock_.now;
                   apply_heartbeat(*heartbeat, sent);
-                } else if (status == 409 && machine->probe_session != heartbeat->session) {
-                  machine->probe_session = heartbeat->session;
+                } else if (status == 409 && machine->probe_incarnation != heartbeat->incarnation) {
+                  machine->probe_incarnation = heartbeat->incarnation;
                   inquire(*machine);
                 }
               });
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/rounds.cpp
@@ -58,7 +58,7 @@
   double needed = 1;
   if (!someone_waits()) needed += kLeastOperations + kBackgroundReserve * write_limiter_.burst();
   if (!write_limiter_.allows(needed, clock_.now)) return;
-  if (!state_limiter_.allows(settings_.store.rps / 10, clock_.now)) return;
+  if (!kv_limiter_.allows(settings_.store.rps / 10, clock_.now)) return;
   send_round();
 }
 
@@ -99,7 +99,7 @@
       1 + (!someone_waits() ? std::max(kLeastOperations, operations_allowed(kBackgroundReserve))
                             : operations_allowed(kUrgentReserve));
   const std::size_t most = operations_limit();
-  TransactionBuilder transaction(std::min(most, allowed), kConditionBytes + value_limit(1));
+  CompareAndSwapBuilder transaction(std::min(most, allowed), kConditionBytes + value_limit(1));
 
   Head head{round_.seq, epoch_, {}};
   std::size_t head_bytes = add_rentals(head);
@@ -145,7 +145,7 @@
 // What a round writes, by the kind of key.
 void Core::log_round() {
   std::size_t jobs = 0, machines = 0, other = 0;
-  for (const StateCall::Put& put : round_.call.puts) {
+  for (const KvRequest::Put& put : round_.call.puts) {
     if (put.key.starts_with(kShardPrefix))
       ++jobs;
     else if (put.key.starts_with(kMachinesPrefix))
@@ -183,7 +183,7 @@
 void Core::send_spill() {
   round_.spill = true;
   round_.seq = head_seq_;
-  TransactionBuilder transaction(operations_limit(), kConditionBytes);
+  CompareAndSwapBuilder transaction(operations_limit(), kConditionBytes);
   flush_tail(transaction, SIZE_MAX);
   round_.call =
       std::move(transaction).finish({{kEpochKey, epoch_version_}, {kHeadKey, head_version_}});
@@ -204,12 +204,12 @@
 
 // Once every controller understands gangs, that is written down: a later leader need not hear all
 // of them again.
-void Core::add_features(TransactionBuilder& transaction) {
+void Core::add_features(CompareAndSwapBuilder& transaction) {
   if (features_written_ || !siblings_.all_understand_gangs()) return;
   round_.features = transaction.put(kFeaturesKey, encode_features({.gangs = true}));
 }
 
-void Core::add_machine_shards(TransactionBuilder& transaction) {
+void Core::add_machine_shards(CompareAndSwapBuilder& transaction) {
   const std::size_t hints = operations_allowed(kImageHintReserve);
   if (dirty_machine_shards_.empty() &&
       (stale_image_shards_.empty() || transaction.operations() > hints))
@@ -226,7 +226,7 @@
 
 // The machines of the shard alone are looked at. A look at all machines for each shard grew with
 // the square of a fleet that boots: at some 5,000 machines the leader lost its lease.
-bool Core::add_machine_shard(TransactionBuilder& transaction, std::size_t shard) {
+bool Core::add_machine_shard(CompareAndSwapBuilder& transaction, std::size_t shard) {
   std::vector<MachineRecord> list;
   std::vector<std::string> names;
   for (const Machine* m : tables_.machines_of_shard(shard)) {
@@ -247,7 +247,7 @@
 
 // Adds the changed pieces of the jobs' bitmaps. Returns the jobs whose record may be written in
 // this round: those of which no piece is left.
-std::map<std::string, Job*> Core::add_bitmaps(TransactionBuilder& transaction,
+std::map<std::string, Job*> Core::add_bitmaps(CompareAndSwapBuilder& transaction,
                                               std::vector<Job*>& postponed) {
   std::map<std::string, Job*> whole;
   for (Job* job : dirty_jobs_)
@@ -266,7 +266,7 @@
          (gangs_enabled_ || refused_rounds_ > 0);
 }
 
-bool Core::add_bitmap(TransactionBuilder& transaction, Job& job) {
+bool Core::add_bitmap(CompareAndSwapBuilder& transaction, Job& job) {
   if (job.record.final) return erase_bitmap(transaction, job);
   const bool small = small_pieces();
   const std::size_t bits = small ? kSmallPieceBits : kPieceBits;
@@ -285,7 +285,7 @@
 }
 
 // A finished job's pieces are deleted, as far as there are any. `dirty_pieces` says which are left.
-bool Core::erase_bitmap(TransactionBuilder& transaction, Job& job) {
+bool Core::erase_bitmap(CompareAndSwapBuilder& transaction, Job& job) {
   const std::string& id = job.spec().id;
   constexpr std::size_t kSmallPerPiece = kPieceBits / kSmallPieceBits;
   while (!job.dirty_pieces.empty()) {
@@ -302,7 +302,7 @@
 
 // Moves `wanted` bytes of the head, or as much as the transaction takes, to their shards, together
 // with what lies there already. Returns how many bytes of the head that frees.
-std::size_t Core::flush_tail(TransactionBuilder& transaction, std::size_t wanted) {
+std::size_t Core::flush_tail(CompareAndSwapBuilder& transaction, std::size_t wanted) {
   std::map<std::size_t, std::vector<std::string>> by_shard;
   for (const auto& [id, text] : round_.tail)
     by_shard[shards_.place(id, reserve_for(id, text))].push_back(id);
@@ -325,7 +325,7 @@
 }
 
 // Writes a shard with all its jobs; false if it doesn't fit.
-bool Core::put_shard(TransactionBuilder& transaction, std::size_t shard) {
+bool Core::put_shard(CompareAndSwapBuilder& transaction, std::size_t shard) {
   std::vector<std::string> records;
   std::size_t bytes = kPunctuationBytes;
   const std::set<std::string> jobs_in_shard = shards_.jobs_in(shard);
@@ -411,9 +411,9 @@
   const std::uint64_t term = term_;
   write_limiter_.spend(static_cast<double>(round_.call.puts.size() + round_.call.deletes.size()),
                        clock_.now);
-  call_state(
+  call_kv_store(
       round_.call,
-      [this, term](const StateReply& reply) {
+      [this, term](const KvResponse& reply) {
         if (term == term_ && role_ == Role::Leader) round_done(reply);
       },
       true);
@@ -424,7 +424,7 @@
 void Core::round_refused() {
   std::size_t largest = 0;
   std::string key;
-  for (const StateCall::Put& put : round_.call.puts) {
+  for (const KvRequest::Put& put : round_.call.puts) {
     if (put.value.size() < largest) continue;
     largest = put.value.size();
     key = put.key;
@@ -438,7 +438,7 @@
   step_down("the state service refuses a round");
 }
 
-void Core::round_done(const StateReply& reply) {
+void Core::round_done(const KvResponse& reply) {
   if (reply.status == 200) return round_committed(reply.revision);
   if (reply.status == 400) return round_refused();
   if (reply.status != 409) {
@@ -446,7 +446,7 @@
     // Whoever waits is told at once to come back; what they asked for goes on to be written, and a
     // repeat finds it.
     for (auto* waiters : {&round_.waiters, &waiting_next_}) {
-      for (const Waiter& w : *waiters) refuse(w.origin, "the state service does not answer");
+      for (const Waiter& w : *waiters) reject(w.source, "the state service does not answer");
       waiters->clear();
     }
     if (round_.retries++ == 0)
@@ -456,20 +456,20 @@
   if (round_.spill) return step_down("the checkpoint is another's");
   // Either an earlier copy of it was carried out, or another leads.
   const std::uint64_t term = term_;
-  StateCall get;
-  get.kind = StateCall::Kind::List;
+  KvRequest get;
+  get.kind = KvRequest::Kind::List;
   get.key = kHeadKey;
   get.limit = 1;
-  call_state(
+  call_kv_store(
       get,
-      [this, term](const StateReply& r) {
+      [this, term](const KvResponse& r) {
         if (term != term_ || role_ != Role::Leader) return;
         if (r.status != 200) {
           round_retry_ = clock_.now + 100;
           return;
         }
         Snapshot image;
-        for (const StateItem& item : r.items) image.apply(item);
+        for (const KvItem& item : r.items) image.apply(item);
         if (image.head.seq == round_.seq && image.head.epoch == epoch_)
           round_committed(image.head_version);
         else
@@ -521,11 +521,11 @@
   }
   for (const Waiter& w : r.waiters) {
     if (const Job* job = tables_.job(w.id))
-      answer_job(w.origin, w.status, view(*job));
+      respond_with_job(w.source, w.status, view(*job));
     else if (const auto f = tables_.finished.find(w.id); f != tables_.finished.end())
-      answer_job(w.origin, w.status, view(w.id, f->second));
+      respond_with_job(w.source, w.status, view(w.id, f->second));
     else
-      refuse(w.origin, "job not found after its commit");
+      reject(w.source, "job not found after its commit");
   }
   for (Job* job : over) finish_job(*job);
 }
@@ -541,20 +541,20 @@
 
 // To be answered once what is known of the job is in the checkpoint: with the round in flight, if
 // that has it.
-void Core::after_commit(const Job& job, const Origin& origin, int status) {
-  if (round_.retries > 0) return refuse(origin, "the state service does not answer");
-  if (too_many_waiting()) return refuse(origin, "too many requests at once");
+void Core::respond_after_commit(const Job& job, const RequestSource& source, int status) {
+  if (round_.retries > 0) return reject(source, "the state service does not answer");
+  if (too_many_waiting()) return reject(source, "too many requests at once");
   // The round in flight may have been sent before the last change: a cancellation was once answered
   // "running" with the round that recorded that it had been asked for.
   const bool with_this = job.round_phase && !job.dirty;
-  (with_this ? round_.waiters : waiting_next_).push_back({origin, status, job.spec().id});
+  (with_this ? round_.waiters : waiting_next_).push_back({source, status, job.spec().id});
 }
 
 // While a round is in flight, or its answer was lost, another node may have read what it wrote and
 // told a user so. What it changes is answered once its fate is known, and not in the old form.
-void Core::answer_committed(const Origin& origin, int status, const Job& job) {
-  if (!job.committed || job.in_doubt()) return after_commit(job, origin, status);
-  answer_job(origin, status, view(job));
+void Core::respond_committed(const RequestSource& source, int status, const Job& job) {
+  if (!job.committed || job.in_doubt()) return respond_after_commit(job, source, status);
+  respond_with_job(source, status, view(job));
 }
 
 // Marks a job that is over for its last record, once none of its tasks can be on a machine.
--- a/src/coordination/share_moves.cpp
+++ b/src/coordination/share_moves.cpp
@@ -17,7 +17,7 @@
   perform_share_actions(limits_.observe(clock_.now, complete, siblings_.all_share_limits()));
 }
 
-void Core::region_input(const RegionInput& input) {
+void Core::region_input(const RegionMessageReceived& input) {
   if (!in_command(clock_.now)) return;
   perform_share_actions(limits_.take(clock_.now, input.message));
   if (input.message.kind != RegionMessage::Kind::Demand) return;
@@ -38,7 +38,7 @@
 }
 
 // Adds what is to be written of the shares; all of it, or none.
-void Core::add_shares(TransactionBuilder& transaction) {
+void Core::add_shares(CompareAndSwapBuilder& transaction) {
   if (!limits_.wants_round()) return;
   const std::size_t room = operations_limit() - transaction.operations();
   for (auto& write : limits_.writes(std::min(room, kMostShareWrites))) {
--- a/src/coordination/siblings.hpp
+++ b/src/coordination/siblings.hpp
@@ -80,8 +80,8 @@
  public:
   /// Extends it; what is said of an older epoch counts no more.
   void allow(std::uint64_t epoch, Time until);
-  [[nodiscard]] bool valid(std::uint64_t token, Time now) const {
-    return now < until_ && token == epoch_;
+  [[nodiscard]] bool valid(std::uint64_t fencing_token, Time now) const {
+    return now < until_ && fencing_token == epoch_;
   }
   [[nodiscard]] std::uint64_t epoch() const { return epoch_; }
   [[nodiscard]] Time until() const { return until_; }
--- a/src/coordination/task_status_handler.cpp
+++ b/src/coordination/task_status_handler.cpp
@@ -55,10 +55,10 @@
   log(Log::Level::Info, "event=quarantine machine=", m.name, " cause=\"", why, "\"");
 }
 
-void Core::session_lost(Machine& m, const char* why) {
+void Core::incarnation_lost(Machine& m, const char* why) {
   if (m.placements.empty()) return;
   log(Log::Level::Info, "event=tasks_gone machine=", m.name, " count=", m.placements.size(),
-      " zone=", m.zone, " session=", m.session, " heard_ms=", clock_.now - m.last_heartbeat,
+      " zone=", m.zone, " session=", m.incarnation, " heard_ms=", clock_.now - m.last_heartbeat,
       " answered_ms=", clock_.now - m.answered, " cause=\"", why, "\"");
   while (!m.placements.empty()) drop(m, m.placements.size() - 1);
   m.idle_since = clock_.now;
@@ -315,7 +315,7 @@
 
 void Core::machine_gone(Machine& m, const char* why) {
   log(Log::Level::Info, "event=machine_gone machine=", m.name, " cause=\"", why, "\"");
-  session_lost(m, why);
+  incarnation_lost(m, why);
   if (m.recorded || m.record_dirty) dirty_machine_shards_.insert(machine_shard(m.name));
   reservations_.erase(&m);
   placement_dirty_ = true;
--- a/src/federation/share_manager.cpp
+++ b/src/federation/share_manager.cpp
@@ -426,10 +426,10 @@
   const std::string& from = regions_[region].name;
   const TransferRecord& transfers = committed_.regions[from];
   if (message.transfer.number <= transfers.credited) {
-    RegionMessage answer;
-    answer.kind = RegionMessage::Kind::Acknowledgement;
-    answer.acknowledgement.number = message.transfer.number;
-    return send(region, std::move(answer));
+    RegionMessage response;
+    response.kind = RegionMessage::Kind::Acknowledgement;
+    response.acknowledgement.number = message.transfer.number;
+    return send(region, std::move(response));
   }
   if (message.transfer.number != transfers.credited + 1)
     return event("event=share_refused region=" + from +
@@ -585,10 +585,10 @@
   } else if (const auto* transfer = std::get_if<CreditTransfer>(&change)) {
     for (const TeamAmounts& entry : transfer->transfer.amounts)
       event("event=share_credited region=" + regions_[transfer->region].name + describe(entry));
-    RegionMessage answer;
-    answer.kind = RegionMessage::Kind::Acknowledgement;
-    answer.acknowledgement.number = transfer->transfer.number;
-    send(transfer->region, std::move(answer));
+    RegionMessage response;
+    response.kind = RegionMessage::Kind::Acknowledgement;
+    response.acknowledgement.number = transfer->transfer.number;
+    send(transfer->region, std::move(response));
   } else if (const auto* limit = std::get_if<ChangeLimit>(&change)) {
     const bool in_force = committed_.teams[limit->team].excess.none();
     event("event=limit_changed" + describe({limit->team, limit->limit}) +
--- a/src/protocol/cloud_codec.cpp
+++ b/src/protocol/cloud_codec.cpp
@@ -5,7 +5,7 @@
 namespace sailreel {
 namespace {
 
-bool read_types(const json::Document& doc, CloudReply& out) {
+bool read_types(const json::Document& doc, CloudResponse& out) {
   const json::Value* list = json::member(doc, "hulls");
   if (list == nullptr || !list->IsArray()) return false;
   for (const auto& v : list->GetArray()) {
@@ -27,7 +27,7 @@
   return true;
 }
 
-bool read_names(const json::Document& doc, CloudReply& out) {
+bool read_names(const json::Document& doc, CloudResponse& out) {
   const json::Value* list = json::member(doc, "vessels");
   if (list == nullptr || !list->IsArray()) return false;
   for (const auto& v : list->GetArray())
@@ -35,7 +35,7 @@
   return true;
 }
 
-bool read_machines(const json::Document& doc, CloudReply& out) {
+bool read_machines(const json::Document& doc, CloudResponse& out) {
   const json::Value* list = json::member(doc, "vessels");
   if (list == nullptr || !list->IsArray()) return false;
   std::string state;
@@ -58,16 +58,16 @@
 
 }  // namespace
 
-HttpRequest encode_cloud(const CloudCall& call) {
+HttpRequest encode_cloud_request(const CloudRequest& call) {
   switch (call.kind) {
-    case CloudCall::Kind::Types:
+    case CloudRequest::Kind::Types:
       return {"GET", "/flavors", ""};
-    case CloudCall::Kind::List:
+    case CloudRequest::Kind::List:
       return {"GET",
               "/machines?" + (call.after.empty() ? "" : "from=" + call.after + "&") +
                   "limit=" + std::to_string(call.limit),
               ""};
-    case CloudCall::Kind::Rent: {
+    case CloudRequest::Kind::Rent: {
       rapidjson::StringBuffer b;
       json::Writer w(b);
       w.StartObject();
@@ -84,7 +84,7 @@
       w.EndObject();
       return {"POST", "/machines", json::text(b)};
     }
-    case CloudCall::Kind::Release: {
+    case CloudRequest::Kind::Release: {
       rapidjson::StringBuffer b;
       json::Writer w(b);
       w.StartObject();
@@ -99,22 +99,22 @@
   return {};
 }
 
-CloudReply decode_cloud(const CloudCall& call, int status, std::string_view body) {
-  CloudReply out;
+CloudResponse decode_cloud_response(const CloudRequest& call, int status, std::string_view body) {
+  CloudResponse out;
   out.status = status;
-  if (status == 503 && call.kind == CloudCall::Kind::Rent) {
+  if (status == 503 && call.kind == CloudRequest::Kind::Rent) {
     json::Document error;
     std::string text;
     out.no_capacity =
         json::parse_object(body, error) && json::get(error, "error", text) && text == "no capacity";
   }
-  if (status != 200 || call.kind == CloudCall::Kind::Release) return out;
+  if (status != 200 || call.kind == CloudRequest::Kind::Release) return out;
   json::Document doc;
   const bool ok = json::parse_object(body, doc) &&
-                  (call.kind == CloudCall::Kind::Types  ? read_types(doc, out)
-                   : call.kind == CloudCall::Kind::Rent ? read_names(doc, out)
-                                                        : read_machines(doc, out));
-  if (!ok) out = CloudReply{};
+                  (call.kind == CloudRequest::Kind::Types  ? read_types(doc, out)
+                   : call.kind == CloudRequest::Kind::Rent ? read_names(doc, out)
+                                                           : read_machines(doc, out));
+  if (!ok) out = CloudResponse{};
   return out;
 }
 
--- a/src/protocol/cloud_codec.hpp
+++ b/src/protocol/cloud_codec.hpp
@@ -12,8 +12,8 @@
   std::string method, path, body;
 };
 
-HttpRequest encode_cloud(const CloudCall& call);
+HttpRequest encode_cloud_request(const CloudRequest& call);
 /// A 200 whose body can't be read becomes status 0: what it did is unknown.
-CloudReply decode_cloud(const CloudCall& call, int status, std::string_view body);
+CloudResponse decode_cloud_response(const CloudRequest& call, int status, std::string_view body);
 
 }  // namespace sailreel
--- a/src/protocol/counterpart_codec.cpp
+++ b/src/protocol/counterpart_codec.cpp
@@ -63,17 +63,17 @@
   return {};
 }
 
-std::optional<StateCall> decode_transaction(std::string_view body) {
+std::optional<KvRequest> decode_transaction(std::string_view body) {
   json::Document doc;
   if (!json::parse_object(body, doc)) return {};
-  StateCall call;
-  call.kind = StateCall::Kind::Txn;
+  KvRequest call;
+  call.kind = KvRequest::Kind::Txn;
   const json::Value* when = json::member(doc, "when");
   const json::Value* then = json::member(doc, "then");
   if ((when != nullptr && !when->IsArray()) || (then != nullptr && !then->IsArray())) return {};
   if (when != nullptr)
     for (const auto& item : when->GetArray()) {
-      StateCall::Condition condition;
+      KvRequest::Condition condition;
       if (!item.IsObject() || !json::get(item, "path", condition.key) ||
           !json::get(item, "mark", condition.version))
         return {};
@@ -82,7 +82,7 @@
   if (then == nullptr) return call;
   for (const auto& item : then->GetArray()) {
     if (!item.IsObject()) return {};
-    StateCall::Put put;
+    KvRequest::Put put;
     std::string deleted;
     if (json::get(item, "set", put.key)) {
       const json::Value* data = json::member(item, "data");
@@ -99,32 +99,32 @@
   return call;
 }
 
-std::optional<StateCall> decode_lease_call(std::string_view method, std::string_view path,
+std::optional<KvRequest> decode_lease_call(std::string_view method, std::string_view path,
                                            std::string_view body) {
   constexpr std::string_view kLeases = "/leases", kRenew = "/renew";
-  StateCall call;
+  KvRequest call;
   auto rest = path.substr(kLeases.size());
   if (rest.empty()) {
     json::Document doc;
     std::uint64_t ttl = 0;
     if (method != "POST" || !json::parse_object(body, doc) || !json::get(doc, "ttl_ms", ttl))
       return {};
-    call.kind = StateCall::Kind::Grant;
+    call.kind = KvRequest::Kind::Grant;
     call.ttl_ms = static_cast<Time>(ttl);
     return call;
   }
-  call.kind = StateCall::Kind::Revoke;
+  call.kind = KvRequest::Kind::Revoke;
   if (rest.ends_with(kRenew)) {
-    call.kind = StateCall::Kind::Renew;
+    call.kind = KvRequest::Kind::Renew;
     rest.remove_suffix(kRenew.size());
   }
   if (!rest.starts_with("/") || !parse_number(rest.substr(1), call.lease)) return {};
-  const bool renews = call.kind == StateCall::Kind::Renew;
+  const bool renews = call.kind == KvRequest::Kind::Renew;
   if (method != (renews ? "POST" : "DELETE")) return {};
   return call;
 }
 
-void write_item(json::Writer& writer, const StateItem& item) {
+void write_item(json::Writer& writer, const KvItem& item) {
   json::ObjectWriter object(writer);
   object.text("path", item.key);
   object.raw("data", item.value);
@@ -132,7 +132,7 @@
   object.end();
 }
 
-void write_change(json::Writer& writer, const StateItem& item) {
+void write_change(json::Writer& writer, const KvItem& item) {
   json::ObjectWriter object(writer);
   object.text(item.deleted ? "drop" : "set", item.key);
   if (!item.deleted) object.raw("data", item.value);
@@ -140,8 +140,8 @@
   object.end();
 }
 
-std::string encode_state_body(const StateCall& call, const StateReply& reply) {
-  using Kind = StateCall::Kind;
+std::string encode_state_body(const KvRequest& call, const KvResponse& reply) {
+  using Kind = KvRequest::Kind;
   rapidjson::StringBuffer buffer;
   json::Writer writer(buffer);
   if (call.kind == Kind::Get && !reply.items.empty()) {
@@ -150,10 +150,10 @@
   }
   json::ObjectWriter object(writer);
   if (call.kind == Kind::List) {
-    object.list("pairs", reply.items, [&](const StateItem& item) { write_item(writer, item); });
+    object.list("pairs", reply.items, [&](const KvItem& item) { write_item(writer, item); });
     object.flag("has_next", reply.more);
   } else if (call.kind == Kind::Watch) {
-    object.list("log", reply.items, [&](const StateItem& item) { write_change(writer, item); });
+    object.list("log", reply.items, [&](const KvItem& item) { write_change(writer, item); });
   } else if (call.kind == Kind::Grant) {
     object.whole("mooring", reply.lease);
   }
@@ -162,10 +162,10 @@
   return json::text(buffer);
 }
 
-std::optional<CloudCall> decode_rental(std::string_view body) {
+std::optional<CloudRequest> decode_rental(std::string_view body) {
   json::Document doc;
-  CloudCall call;
-  call.kind = CloudCall::Kind::Rent;
+  CloudRequest call;
+  call.kind = CloudRequest::Kind::Rent;
   std::uint64_t count = 0;
   if (!json::parse_object(body, doc) || !json::get(doc, "charter", call.rental.request) ||
       !json::get(doc, "hull", call.rental.type) || !json::get(doc, "harbor", call.rental.zone) ||
@@ -176,10 +176,10 @@
   return call;
 }
 
-std::optional<CloudCall> decode_release(std::string_view body) {
+std::optional<CloudRequest> decode_release(std::string_view body) {
   json::Document doc;
-  CloudCall call;
-  call.kind = CloudCall::Kind::Release;
+  CloudRequest call;
+  call.kind = CloudRequest::Kind::Release;
   if (!json::parse_object(body, doc)) return {};
   const json::Value* names = json::member(doc, "vessels");
   if (names == nullptr || !names->IsArray()) return {};
@@ -217,23 +217,23 @@
   object.end();
 }
 
-std::string encode_cloud_body(const CloudCall& call, const CloudReply& reply) {
+std::string encode_cloud_body(const CloudRequest& call, const CloudResponse& reply) {
   rapidjson::StringBuffer buffer;
   json::Writer writer(buffer);
   json::ObjectWriter object(writer);
   switch (call.kind) {
-    case CloudCall::Kind::Types:
+    case CloudRequest::Kind::Types:
       object.list("hulls", reply.types, [&](const MachineType& t) { write_type(writer, t); });
       break;
-    case CloudCall::Kind::Rent:
+    case CloudRequest::Kind::Rent:
       object.list("vessels", reply.names, [&](const std::string& n) { json::put(writer, n); });
       break;
-    case CloudCall::Kind::List:
+    case CloudRequest::Kind::List:
       object.list("vessels", reply.machines,
                   [&](const ListedMachine& m) { write_machine(writer, m); });
       object.flag("has_next", reply.more);
       break;
-    case CloudCall::Kind::Release:
+    case CloudRequest::Kind::Release:
       break;
   }
   object.end();
@@ -253,9 +253,9 @@
   object.text("hull", heartbeat.type);
   object.text("harbor", heartbeat.zone);
   object.flag("driftwood", heartbeat.spot);
-  object.whole("watch", heartbeat.session);
+  object.whole("watch", heartbeat.incarnation);
   object.whole("bell", heartbeat.seq);
-  object.whole("helm", heartbeat.token);
+  object.whole("helm", heartbeat.fencing_token);
   if (heartbeat.notice_s) object.number("recall_s", *heartbeat.notice_s);
   object.list("hands", heartbeat.tasks, [&](const TaskStatus& task) { write_task(writer, task); });
   object.end();
@@ -265,8 +265,9 @@
 std::optional<CommandBatch> decode_commands(std::string_view body) {
   json::Document doc;
   CommandBatch batch;
-  if (!json::parse_object(body, doc) || !json::get(doc, "helm", batch.token)) return {};
-  if (std::uint64_t session = 0; json::get(doc, "watch", session)) batch.session = session;
+  if (!json::parse_object(body, doc) || !json::get(doc, "helm", batch.fencing_token)) return {};
+  if (std::uint64_t incarnation = 0; json::get(doc, "watch", incarnation))
+    batch.incarnation = incarnation;
   const json::Value* orders = json::member(doc, "orders");
   if (orders == nullptr || !orders->IsArray()) return batch;
   for (const auto& item : orders->GetArray()) {
@@ -324,16 +325,16 @@
   return state;
 }
 
-std::optional<StateCall> decode_state_call(std::string_view method, std::string_view path,
+std::optional<KvRequest> decode_state_call(std::string_view method, std::string_view path,
                                            std::string_view body) {
   constexpr std::string_view kStore = "/store", kFollow = "/follow", kLeases = "/leases";
   if (path == "/multi" && method == "POST") return decode_transaction(body);
   if (path.starts_with(kLeases)) return decode_lease_call(method, path, body);
   if (method != "GET") return {};
-  StateCall call;
+  KvRequest call;
   call.key = parameter(path, "prefix");
   if (path.starts_with(kFollow)) {
-    call.kind = StateCall::Kind::Watch;
+    call.kind = KvRequest::Kind::Watch;
     std::uint64_t hold = 0;
     if (!parse_number(parameter(path, "from"), call.revision)) return {};
     parse_number(parameter(path, "hold_ms"), hold);
@@ -342,28 +343,28 @@
   }
   if (!path.starts_with(kStore)) return {};
   if (path.starts_with("/store/")) {
-    call.kind = StateCall::Kind::Get;
+    call.kind = KvRequest::Kind::Get;
     call.key = path.substr(kStore.size() + 1);
     return call;
   }
-  call.kind = StateCall::Kind::List;
+  call.kind = KvRequest::Kind::List;
   call.from = parameter(path, "from");
   parse_number(parameter(path, "limit"), call.limit);
   return call;
 }
 
-ServiceResponse encode_state_reply(const StateCall& call, const StateReply& reply) {
+ServiceResponse encode_state_reply(const KvRequest& call, const KvResponse& reply) {
   if (reply.status == 200 || reply.status == 404)
     return {reply.status, encode_state_body(call, reply)};
   return {reply.status, error_body(reply.status == 400 ? "no such lease" : "trouble")};
 }
 
-std::optional<CloudCall> decode_cloud_call(std::string_view method, std::string_view path,
-                                           std::string_view body) {
-  CloudCall call;
+std::optional<CloudRequest> decode_cloud_call(std::string_view method, std::string_view path,
+                                              std::string_view body) {
+  CloudRequest call;
   if (method == "GET" && path == "/flavors") return call;
   if (method == "GET" && path.starts_with("/machines")) {
-    call.kind = CloudCall::Kind::List;
+    call.kind = CloudRequest::Kind::List;
     call.after = parameter(path, "from");
     parse_number(parameter(path, "limit"), call.limit);
     return call;
@@ -373,7 +374,7 @@
   return {};
 }
 
-ServiceResponse encode_cloud_reply(const CloudCall& call, const CloudReply& reply) {
+ServiceResponse encode_cloud_reply(const CloudRequest& call, const CloudResponse& reply) {
   if (reply.status == 200) return {reply.status, encode_cloud_body(call, reply)};
   return {reply.status, error_body(reply.no_capacity ? "no capacity" : "trouble")};
 }
--- a/src/protocol/counterpart_codec.hpp
+++ b/src/protocol/counterpart_codec.hpp
@@ -18,9 +18,9 @@
 
 /// The commands of a report's answer or of a direct command.
 struct CommandBatch {
-  std::uint64_t token = 0;
+  std::uint64_t fencing_token = 0;
   /// Only direct commands carry one.
-  std::optional<std::uint64_t> session;
+  std::optional<std::uint64_t> incarnation;
   std::vector<Command> commands;
 };
 /// Empty if the body carries no token, or names a task that can't be read.
@@ -44,15 +44,15 @@
 };
 
 /// A request to the state service; empty if it is malformed.
-std::optional<StateCall> decode_state_call(std::string_view method, std::string_view path,
+std::optional<KvRequest> decode_state_call(std::string_view method, std::string_view path,
                                            std::string_view body);
 /// The answer to such a request.
-ServiceResponse encode_state_reply(const StateCall& call, const StateReply& reply);
+ServiceResponse encode_state_reply(const KvRequest& call, const KvResponse& reply);
 
 /// A request to the cloud; empty if it is malformed.
-std::optional<CloudCall> decode_cloud_call(std::string_view method, std::string_view path,
-                                           std::string_view body);
+std::optional<CloudRequest> decode_cloud_call(std::string_view method, std::string_view path,
+                                              std::string_view body);
 /// The answer to such a request.
-ServiceResponse encode_cloud_reply(const CloudCall& call, const CloudReply& reply);
+ServiceResponse encode_cloud_reply(const CloudRequest& call, const CloudResponse& reply);
 
 }  // namespace sailreel
--- a/src/protocol/state_codec.cpp
+++ b/src/protocol/kv_codec.cpp
@@ -1,24 +1,24 @@
-#include "protocol/state_codec.hpp"
+#include "protocol/kv_codec.hpp"
 
 #include "protocol/json.hpp"
 
 namespace sailreel {
 namespace {
 
-bool read_item(const json::Value& v, StateItem& item) {
+bool read_item(const json::Value& v, KvItem& item) {
   const json::Value* value = json::member(v, "data");
   if (!json::get(v, "path", item.key) || !json::get(v, "mark", item.version)) return false;
   if (value != nullptr) item.value = json::text(*value);
   return true;
 }
 
-bool read_events(const json::Document& doc, StateReply& out) {
+bool read_events(const json::Document& doc, KvResponse& out) {
   const json::Value* list = json::member(doc, "log");
   if (list == nullptr) return true;
   if (!list->IsArray()) return false;
   for (const auto& v : list->GetArray()) {
     if (!v.IsObject()) return false;
-    StateItem item;
+    KvItem item;
     json::get(v, "mark", item.version);
     if (json::get(v, "set", item.key)) {
       if (const json::Value* value = json::member(v, "data")) item.value = json::text(*value);
@@ -32,7 +32,7 @@
   return true;
 }
 
-std::string encode_txn(const StateCall& call) {
+std::string encode_txn(const KvRequest& call) {
   rapidjson::StringBuffer b;
   json::Writer w(b);
   w.StartObject();
@@ -74,8 +74,8 @@
 
 }  // namespace
 
-HttpRequest encode_state(const StateCall& call) {
-  using Kind = StateCall::Kind;
+HttpRequest encode_kv_request(const KvRequest& call) {
+  using Kind = KvRequest::Kind;
   const auto num = [](auto v) { return std::to_string(v); };
   switch (call.kind) {
     case Kind::Get:
@@ -102,9 +102,9 @@
   return {};
 }
 
-StateReply decode_state(const StateCall& call, int status, std::string_view body) {
-  using Kind = StateCall::Kind;
-  StateReply out;
+KvResponse decode_kv_response(const KvRequest& call, int status, std::string_view body) {
+  using Kind = KvRequest::Kind;
+  KvResponse out;
   out.status = status;
   json::Document doc;
   const bool object = json::parse_object(body, doc);
@@ -113,7 +113,7 @@
   if (status != 200 || call.kind == Kind::Renew || call.kind == Kind::Revoke) return out;
   bool ok = object;
   if (ok && call.kind == Kind::Get) {
-    StateItem item;
+    KvItem item;
     ok = read_item(doc, item);
     out.items.push_back(std::move(item));
   } else if (ok && call.kind == Kind::List) {
@@ -121,7 +121,7 @@
     ok = list != nullptr && list->IsArray() && dated;
     if (ok)
       for (const auto& v : list->GetArray()) {
-        StateItem item;
+        KvItem item;
         ok = ok && v.IsObject() && read_item(v, item);
         out.items.push_back(std::move(item));
       }
@@ -133,7 +133,7 @@
   } else if (ok && call.kind == Kind::Watch) {
     ok = dated && read_events(doc, out);
   }
-  if (!ok) out = StateReply{};
+  if (!ok) out = KvResponse{};
   return out;
 }
 
--- a/src/protocol/state_codec.hpp
+++ b/src/protocol/kv_codec.hpp
@@ -8,8 +8,8 @@
 
 namespace sailreel {
 
-HttpRequest encode_state(const StateCall& call);
+HttpRequest encode_kv_request(const KvRequest& call);
 /// A 200 whose body can't be read becomes status 0: what it did is unknown.
-StateReply decode_state(const StateCall& call, int status, std::string_view body);
+KvResponse decode_kv_response(const KvRequest& call, int status, std::string_view body);
 
 }  // namespace sailreel
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -95,7 +95,7 @@
 struct Heartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
-  std::uint64_t session = 0, seq = 0, token = 0;
+  std::uint64_t incarnation = 0, seq = 0, fencing_token = 0;
   std::optional<double> notice_s;
   std::vector<TaskStatus> tasks;
 };
@@ -127,7 +127,7 @@
   double age_s = 0;
 };
 
-struct CloudCall {
+struct CloudRequest {
   enum class Kind : std::uint8_t { Types, Rent, Release, List } kind = Kind::Types;
   RentalRequest rental;
   std::vector<std::string> names;  // Release
@@ -135,7 +135,7 @@
   std::uint32_t limit = 500;
 };
 
-struct CloudReply {
+struct CloudResponse {
   int status = 0;  // 0: no answer
   std::vector<MachineType> types;
   std::vector<std::string> names;
@@ -144,7 +144,7 @@
   bool no_capacity = false;  // a refusal for want of machines, not for trouble
 };
 
-struct StateCall {
+struct KvRequest {
   enum class Kind : std::uint8_t { Get, List, Txn, Grant, Renew, Revoke, Watch } kind = Kind::Get;
   struct Condition {
     std::string key;
@@ -165,16 +165,16 @@
   std::vector<std::string> deletes;
 };
 
-struct StateItem {
+struct KvItem {
   std::string key, value;  // the value as JSON text
   std::uint64_t version = 0;
   bool deleted = false;
 };
 
-struct StateReply {
+struct KvResponse {
   int status = 0;  // 0: no answer; the request may still be carried out
   std::uint64_t revision = 0, lease = 0;
-  std::vector<StateItem> items;
+  std::vector<KvItem> items;
   bool more = false;
 };
 
--- a/src/protocol/peer_frames.cpp
+++ b/src/protocol/peer_frames.cpp
@@ -39,7 +39,7 @@
   std::uint16_t id_length;
   std::uint32_t body_length;
 };
-struct AnswerBody {
+struct ResponseBody {
   std::uint64_t call;
   std::uint16_t status, retry_after_s;
   std::uint32_t valid_ms, body_length;
@@ -48,7 +48,7 @@
 static_assert(sizeof(FrameHeader) == 12);
 static_assert(sizeof(HeartbeatBody) == 52);
 static_assert(sizeof(RequestBody) == 15);
-static_assert(sizeof(AnswerBody) == 20);
+static_assert(sizeof(ResponseBody) == 20);
 
 /// An answer that may be passed on for ever.
 constexpr std::uint32_t kForEver = UINT32_MAX;
@@ -114,11 +114,11 @@
                    std::string(payload.substr(b.id_length)), false};
       return true;
     }
-    case PeerMessage::Kind::Answer: {
-      AnswerBody b;
+    case PeerMessage::Kind::Response: {
+      ResponseBody b;
       if (!take(payload, b) || payload.size() != b.body_length) return false;
-      m.answer = {b.call, b.status, b.retry_after_s, {}, std::string(payload)};
-      if (b.valid_ms != kForEver) m.answer.valid_ms = b.valid_ms;
+      m.response = {b.call, b.status, b.retry_after_s, {}, std::string(payload)};
+      if (b.valid_ms != kForEver) m.response.valid_ms = b.valid_ms;
       return true;
     }
     case PeerMessage::Kind::Region: {
@@ -164,13 +164,13 @@
                                static_cast<std::uint16_t>(m.request.id.size()),
                                static_cast<std::uint32_t>(m.request.body.size())},
                    m.request.id, m.request.body, m.request.relay ? kRelay : 0);
-    case PeerMessage::Kind::Answer:
+    case PeerMessage::Kind::Response:
       return frame(m.kind,
-                   AnswerBody{m.answer.call, static_cast<std::uint16_t>(m.answer.status),
-                              static_cast<std::uint16_t>(m.answer.retry_after_s),
-                              m.answer.valid_ms.value_or(kForEver),
-                              static_cast<std::uint32_t>(m.answer.body.size())},
-                   m.answer.body);
+                   ResponseBody{m.response.call, static_cast<std::uint16_t>(m.response.status),
+                                static_cast<std::uint16_t>(m.response.retry_after_s),
+                                m.response.valid_ms.value_or(kForEver),
+                                static_cast<std::uint32_t>(m.response.body.size())},
+                   m.response.body);
     case PeerMessage::Kind::Region:
       return frame_region(m.region);
   }
--- a/src/protocol/peer_frames.hpp
+++ b/src/protocol/peer_frames.hpp
@@ -41,7 +41,7 @@
   /// Versions before gangs ignore it, and turn such a request away.
   bool relay = false;
 };
-struct PeerAnswer {
+struct PeerResponse {
   std::uint64_t call = 0;
   int status = 0, retry_after_s = 0;
   /// From its sending on, so long it may be passed on; empty: for ever.
@@ -52,11 +52,11 @@
 struct PeerMessage {
   /// Versions before shares close a link that brings a message of a region; only regions that are
   /// named in the operators' options are sent any.
-  enum class Kind : std::uint8_t { Heartbeat = 1, Request = 2, Answer = 3, Region = 4 };
+  enum class Kind : std::uint8_t { Heartbeat = 1, Request = 2, Response = 3, Region = 4 };
   Kind kind = Kind::Heartbeat;
   ControllerHeartbeat heartbeat;
   PeerRequest request;
-  PeerAnswer answer;
+  PeerResponse response;
   RegionMessage region;
 };
 
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -19,7 +19,7 @@
 }
 
 // A state that isn't known is one of before the task runs.
-RunState decode_state(std::string_view word) {
+RunState decode_kv_response(std::string_view word) {
   if (word == "running") return RunState::Running;
   if (word == "gathering") return RunState::Waiting;
   if (word == "flushing") return RunState::Saving;
@@ -44,7 +44,7 @@
   if (!item.IsObject() || !json::get(item, "hand", name) || !parse_task(name, task.key) ||
       !json::get(item, "launch", task.attempt) || !json::get(item, "heading", state))
     return {};
-  task.state = decode_state(state);
+  task.state = decode_kv_response(state);
   if (task.state != RunState::Exited) return task;
   json::get(item, "wake", cause);
   task.cause = decode_cause(cause);
@@ -80,8 +80,8 @@
   if (!json::parse_object(body, doc) || !json::get(doc, "vessel", r.machine) || r.machine.empty() ||
       r.machine.size() > 200 || !json::get(doc, "endpoint", r.address) ||
       !json::get(doc, "hull", r.type) || !json::get(doc, "harbor", r.zone) ||
-      !json::get(doc, "watch", r.session) || !json::get(doc, "bell", r.seq) ||
-      !json::get(doc, "helm", r.token))
+      !json::get(doc, "watch", r.incarnation) || !json::get(doc, "bell", r.seq) ||
+      !json::get(doc, "helm", r.fencing_token))
     return {};
   json::get(doc, "driftwood", r.spot);
   double notice = 0;
@@ -98,26 +98,27 @@
   return r;
 }
 
-std::string encode_heartbeat_response(std::uint64_t token, const std::vector<Command>& commands) {
+std::string encode_heartbeat_response(std::uint64_t fencing_token,
+                                      const std::vector<Command>& commands) {
   rapidjson::StringBuffer b;
   json::Writer w(b);
   w.StartObject();
   w.Key("helm");
-  w.Uint64(token);
+  w.Uint64(fencing_token);
   write_commands(w, commands);
   w.EndObject();
   return json::text(b);
 }
 
-std::string encode_direct(std::uint64_t token, std::uint64_t session,
+std::string encode_direct(std::uint64_t fencing_token, std::uint64_t incarnation,
                           const std::vector<Command>& commands) {
   rapidjson::StringBuffer b;
   json::Writer w(b);
   w.StartObject();
   w.Key("helm");
-  w.Uint64(token);
+  w.Uint64(fencing_token);
   w.Key("watch");
-  w.Uint64(session);
+  w.Uint64(incarnation);
   write_commands(w, commands);
   w.EndObject();
   return json::text(b);
--- a/src/protocol/worker_codec.hpp
+++ b/src/protocol/worker_codec.hpp
@@ -12,9 +12,10 @@
 
 std::optional<Heartbeat> decode_heartbeat(std::string_view body);
 /// The answer to a report.
-std::string encode_heartbeat_response(std::uint64_t token, const std::vector<Command>& commands);
+std::string encode_heartbeat_response(std::uint64_t fencing_token,
+                                      const std::vector<Command>& commands);
 /// The body of a direct command.
-std::string encode_direct(std::uint64_t token, std::uint64_t session,
+std::string encode_direct(std::uint64_t fencing_token, std::uint64_t incarnation,
                           const std::vector<Command>& commands);
 /// The body that sends a worker to another node; `node` may be empty.
 std::string encode_redirect(const std::string& node);
--- a/src/storage/checkpoint.cpp
+++ b/src/storage/checkpoint.cpp
@@ -253,7 +253,7 @@
   return "{" + list_of("t", records) + "}";
 }
 
-void Snapshot::apply(const StateItem& item) {
+void Snapshot::apply(const KvItem& item) {
   const std::string& key = item.key;
   if (key == kLeaderKey) {
     leader = item.deleted ? std::nullopt : decode_leader(item.value);
@@ -299,7 +299,7 @@
   json::get(doc, "gangs", features.gangs);
 }
 
-void Snapshot::apply_piece(const StateItem& item, std::string_view prefix, Pieces& target) {
+void Snapshot::apply_piece(const KvItem& item, std::string_view prefix, Pieces& target) {
   const std::string& key = item.key;
   const auto slash = key.rfind('/');
   const std::string job = key.substr(prefix.size(), slash - prefix.size());
--- a/src/storage/checkpoint.hpp
+++ b/src/storage/checkpoint.hpp
@@ -153,7 +153,7 @@
 /// A node's picture of the checkpoint, kept by reading keys or their changes.
 class Snapshot {
  public:
-  void apply(const StateItem& item);
+  void apply(const KvItem& item);
 
   std::optional<LeaderRecord> leader;
   std::uint64_t epoch = 0, epoch_version = 0;
@@ -177,7 +177,7 @@
   std::set<std::string> unreadable;
 
  private:
-  void apply_piece(const StateItem& item, std::string_view prefix, Pieces& target);
+  void apply_piece(const KvItem& item, std::string_view prefix, Pieces& target);
   void apply_features(const json::Document& doc);
   void apply_machines(const json::Document& doc, const std::string& key, std::size_t shard);
   void apply_head(const json::Document& doc, std::uint64_t version);
--- a/src/storage/transaction_builder.hpp
+++ b/src/storage/compare_and_swap_builder.hpp
@@ -10,9 +10,9 @@
 
 /// Collects the writes of a transaction. What doesn't fit is left to a later one. One operation and
 /// `reserved_bytes` are set aside from the beginning, for the head and the conditions.
-class TransactionBuilder {
+class CompareAndSwapBuilder {
  public:
-  TransactionBuilder(std::size_t max_operations, std::size_t reserved_bytes)
+  CompareAndSwapBuilder(std::size_t max_operations, std::size_t reserved_bytes)
       : max_operations_(max_operations), bytes_(reserved_bytes) {}
 
   void limit_operations(std::size_t most) { max_operations_ = most; }
@@ -36,15 +36,15 @@
   }
 
   /// The transaction, with the head as its first write.
-  StateCall finish(std::vector<StateCall::Condition> conditions, StateCall::Put head) && {
+  KvRequest finish(std::vector<KvRequest::Condition> conditions, KvRequest::Put head) && {
     puts_.insert(puts_.begin(), std::move(head));
     return std::move(*this).finish(std::move(conditions));
   }
 
   /// The transaction without a head.
-  StateCall finish(std::vector<StateCall::Condition> conditions) && {
-    StateCall call;
-    call.kind = StateCall::Kind::Txn;
+  KvRequest finish(std::vector<KvRequest::Condition> conditions) && {
+    KvRequest call;
+    call.kind = KvRequest::Kind::Txn;
     call.conditions = std::move(conditions);
     call.puts = std::move(puts_);
     call.deletes = std::move(deletes_);
@@ -64,7 +64,7 @@
   std::size_t max_operations_;
   std::size_t operations_ = 1;
   std::size_t bytes_;
-  std::vector<StateCall::Put> puts_;
+  std::vector<KvRequest::Put> puts_;
   std::vector<std::string> deletes_;
 };
 
--- a/src/storage/session_fence.hpp
+++ b/src/storage/incarnation_fence.hpp
@@ -11,12 +11,12 @@
 /// lease has surely expired; the network may deliver what the worker reported in it minutes later.
 /// What shows a session to be alive is a later number, or an answer to a command that was sent
 /// after the proof.
-class SessionFence {
+class IncarnationFence {
  public:
   /// All sessions up to this one are over.
-  void close(std::uint64_t session, Time now) {
-    if (!unknown_ && session <= last_closed_) return;
-    last_closed_ = session;
+  void close(std::uint64_t incarnation, Time now) {
+    if (!unknown_ && incarnation <= last_closed_) return;
+    last_closed_ = incarnation;
     unknown_ = false;
     closed_at_ = now;
   }
@@ -30,17 +30,17 @@
   }
 
   /// Whether a report of that session may tell of the present.
-  bool admits(std::uint64_t session) {
-    if (unknown_) last_closed_ = session;
+  bool admits(std::uint64_t incarnation) {
+    if (unknown_) last_closed_ = incarnation;
     unknown_ = false;
-    return session > last_closed_;
+    return incarnation > last_closed_;
   }
 
   /// The worker answered in that session a command that left at `asked`.
-  void answered(std::uint64_t session, Time asked) {
+  void answered(std::uint64_t incarnation, Time asked) {
     if (closed_at_ == 0 || asked < closed_at_) return;
-    if (!unknown_ && session > last_closed_) return;
-    last_closed_ = session - 1;
+    if (!unknown_ && incarnation > last_closed_) return;
+    last_closed_ = incarnation - 1;
     unknown_ = false;
   }
 
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -15,7 +15,7 @@
 #include "protocol/messages.hpp"
 #include "protocol/settings.hpp"
 #include "storage/checkpoint.hpp"
-#include "storage/session_fence.hpp"
+#include "storage/incarnation_fence.hpp"
 
 namespace sailreel {
 
@@ -141,13 +141,13 @@
   bool heard_in_epoch = false;  // in this epoch, and under its token
   bool recorded = false;        // the checkpoint lists it
   bool record_dirty = false;
-  std::uint64_t session = 0, seq = 0;
-  SessionFence sessions;        // those that are over by our own proof
-  Time rented = 0;              // or first heard of
-  Time last_heartbeat = 0;      // fresh, or a direct answer
-  Time steady_since = 0;        // heard without a gap since then
-  Time last_own_heartbeat = 0;  // last report that it sent by itself
-  Time answered = 0;            // last answer that may have renewed its lease
+  std::uint64_t incarnation = 0, seq = 0;
+  IncarnationFence incarnation_fence;  // those that are over by our own proof
+  Time rented = 0;                     // or first heard of
+  Time last_heartbeat = 0;             // fresh, or a direct answer
+  Time steady_since = 0;               // heard without a gap since then
+  Time last_own_heartbeat = 0;         // last report that it sent by itself
+  Time answered = 0;                   // last answer that may have renewed its lease
   Time idle_since = 0;
   bool draining = false;  // takes no more work
   std::string drain_cause;
@@ -157,13 +157,13 @@
   Time silent_since = 0;
   bool probing = false;
   Time probe_at = 0;
-  std::uint64_t probe_session = 1;
+  std::uint64_t probe_incarnation = 1;
   std::uint32_t probe_failures = 0;
-  Time probe_failed = 0;         // when the last that failed was sent
-  Time notice_until = 0;         // 0: no notice
-  Time token_refused_since = 0;  // reports that don't show our token, since then
-  bool lease_passed = false;     // before it ever took our token
-  Time quarantined_until = 0;    // gets no work: it doesn't hear us
+  Time probe_failed = 0;                 // when the last that failed was sent
+  Time notice_until = 0;                 // 0: no notice
+  Time fencing_token_refused_since = 0;  // reports that don't show our token, since then
+  bool lease_passed = false;             // before it ever took our token
+  Time quarantined_until = 0;            // gets no work: it doesn't hear us
   std::set<std::string> error_jobs;
   std::vector<Placement> placements;
   std::list<CachedImage> images;  // most recently used first
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -119,7 +119,7 @@
      }},
     {"WhileTheStateServiceRefusesTheLeader",
      [](World& w, std::uint64_t) {
-       w.refuse_state(leader_of(w), 5'000);
+       w.reject_kv_requests(leader_of(w), 5'000);
        w.cancel_now(3, 0);
      }},
     {"WhileTheLeaderStandsStill",
@@ -129,7 +129,7 @@
     {"WhileASiblingStandsStill",
      [](World& w, std::uint64_t seed) {
        w.freeze((leader_of(w) + 1) % 3, 1'000 + static_cast<Time>(seed) * 500);
-       w.refuse_state(leader_of(w), 4'000);
+       w.reject_kv_requests(leader_of(w), 4'000);
      }},
     {"WhileTheLeaderEnds",
      [](World& w, std::uint64_t seed) { w.kill(leader_of(w), seed % 2 == 0 ? 300 : 5'000); }},
@@ -147,7 +147,7 @@
     Time now = 1'000'000;
     const auto step = [&](Input input) { return core.step({now, 0}, std::move(input)); };
     step(Tick{});
-    PeerInput heartbeat;
+    PeerMessageReceived heartbeat;
     heartbeat.message.kind = PeerMessage::Kind::Heartbeat;
     heartbeat.message.heartbeat.node = "node-1";
     heartbeat.message.heartbeat.epoch = 3;
@@ -156,16 +156,16 @@
     step(heartbeat);
     std::uint64_t call = 0;
     for (const Action& a :
-         step(UserRequest{{Origin::Kind::Local, 5, 0}, UserOp::Query, "job-1", ""}))
+         step(UserRequest{{RequestSource::Kind::Local, 5, 0}, UserOp::Query, "job-1", ""}))
       if (const auto* peer = std::get_if<SendPeer>(&a)) call = peer->message.request.call;
     EXPECT_NE(call, 0U);
     now += after;
-    PeerInput answer;
-    answer.message.kind = PeerMessage::Kind::Answer;
-    answer.message.answer = {call, 200, 0, valid_ms, "{}"};
+    PeerMessageReceived response;
+    response.message.kind = PeerMessage::Kind::Response;
+    response.message.response = {call, 200, 0, valid_ms, "{}"};
     bool passed_on = false;
-    for (const Action& a : step(answer))
-      if (const auto* said = std::get_if<Answer>(&a)) passed_on = said->status == 200;
+    for (const Action& a : step(response))
+      if (const auto* said = std::get_if<Response>(&a)) passed_on = said->status == 200;
     return passed_on;
   };
   EXPECT_TRUE(answered(5, 2'000));
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -52,7 +52,7 @@
   if (gap.apart == Apart::Isolated)
     world.isolate(lead, apart, true);
   else
-    world.refuse_state(lead, apart);
+    world.reject_kv_requests(lead, apart);
   if (gap.apart == Apart::RefusedNoPeers || gap.apart == Apart::RefusedUnreached)
     for (const std::size_t other : {friendly, far})
       world.cut(node_name(lead), node_name(other), apart, false);
@@ -60,7 +60,7 @@
     // One sibling hears the machines and the old leader, and keeps tasks alive by itself when that
     // ends; the other, which hears neither, is the successor.
     world.cut(node_name(lead), node_name(friendly), 0, false);
-    world.refuse_state(friendly, apart);
+    world.reject_kv_requests(friendly, apart);
     if (seed % 3 == 0) world.kill(lead, apart);
     world.cut(node_name(friendly), node_name(far), apart, false);
     for (const auto& m : world.machines_up()) world.cut(node_name(far), m, apart, false);
@@ -72,7 +72,7 @@
     const Time when = from + gap.outage_after * static_cast<Time>(n) / static_cast<Time>(kJobs - 2);
     world.run_until(when);
     world.cancel(job_id(n));
-    if (when >= from + gap.outage_after && !world.state().outage) world.state_outage(outage);
+    if (when >= from + gap.outage_after && !world.state().outage) world.kv_store_outage(outage);
   }
   world.run_until(from + gap.outage_after + outage + 4 * lease);
   world.run();
@@ -245,7 +245,7 @@
        for (int round = 0; round < 4; ++round) {
          const std::size_t lead = leader_of(w);
          if (round % 2 == 0)
-           w.refuse_state(lead, 6'000);
+           w.reject_kv_requests(lead, 6'000);
          else
            w.isolate(lead, 9'000, seed % 2 == 0);
          for (int n = 0; n < 8; ++n) {
--- a/tests/counterpart_codec_test.cpp
+++ b/tests/counterpart_codec_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "protocol/cloud_codec.hpp"
-#include "protocol/state_codec.hpp"
+#include "protocol/kv_codec.hpp"
 #include "protocol/user_codec.hpp"
 #include "protocol/worker_codec.hpp"
 
@@ -18,9 +18,9 @@
   heartbeat.type = "g8";
   heartbeat.zone = "a";
   heartbeat.spot = true;
-  heartbeat.session = 3;
+  heartbeat.incarnation = 3;
   heartbeat.seq = 88;
-  heartbeat.token = 41;
+  heartbeat.fencing_token = 41;
   heartbeat.notice_s = 7.5;
   heartbeat.tasks.push_back({{"job-412", 3}, 2, RunState::Waiting, ExitCause::None, false});
   heartbeat.tasks.push_back({{"job-398", 0}, 1, RunState::Exited, ExitCause::PeersGone, true});
@@ -31,9 +31,9 @@
   EXPECT_EQ(read->type, heartbeat.type);
   EXPECT_EQ(read->zone, heartbeat.zone);
   EXPECT_TRUE(read->spot);
-  EXPECT_EQ(read->session, 3U);
+  EXPECT_EQ(read->incarnation, 3U);
   EXPECT_EQ(read->seq, 88U);
-  EXPECT_EQ(read->token, 41U);
+  EXPECT_EQ(read->fencing_token, 41U);
   EXPECT_EQ(read->notice_s, 7.5);
   ASSERT_EQ(read->tasks.size(), 2U);
   EXPECT_EQ(task_name(read->tasks[0].key), "job-412/3");
@@ -47,24 +47,24 @@
   const std::vector<Command> commands{{Command::Op::Start, {"job-1", 4}, 9, 0},
                                       {Command::Op::Stop, {"job-2", 0}, 1, 2.5},
                                       {Command::Op::Forget, {"job-3", 1}, 7, 0}};
-  const auto answer = decode_commands(encode_heartbeat_response(41, commands));
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->token, 41U);
-  EXPECT_FALSE(answer->session);
-  ASSERT_EQ(answer->commands.size(), 3U);
-  EXPECT_EQ(answer->commands[0].op, Command::Op::Start);
-  EXPECT_EQ(task_name(answer->commands[0].key), "job-1/4");
-  EXPECT_EQ(answer->commands[0].attempt, 9U);
-  EXPECT_EQ(answer->commands[1].op, Command::Op::Stop);
-  EXPECT_EQ(answer->commands[1].grace_s, 2.5);
-  EXPECT_EQ(answer->commands[2].op, Command::Op::Forget);
+  const auto response = decode_commands(encode_heartbeat_response(41, commands));
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->fencing_token, 41U);
+  EXPECT_FALSE(response->incarnation);
+  ASSERT_EQ(response->commands.size(), 3U);
+  EXPECT_EQ(response->commands[0].op, Command::Op::Start);
+  EXPECT_EQ(task_name(response->commands[0].key), "job-1/4");
+  EXPECT_EQ(response->commands[0].attempt, 9U);
+  EXPECT_EQ(response->commands[1].op, Command::Op::Stop);
+  EXPECT_EQ(response->commands[1].grace_s, 2.5);
+  EXPECT_EQ(response->commands[2].op, Command::Op::Forget);
 
   const auto direct = decode_commands(encode_direct(41, 5, commands));
   ASSERT_TRUE(direct);
-  EXPECT_EQ(direct->session, 5U);
+  EXPECT_EQ(direct->incarnation, 5U);
 }
 
-TEST(CounterpartCodec, CommandsWithoutATokenOrWithATaskThatCannotBeReadAreRefused) {
+TEST(CounterpartCodec, CommandsWithoutAFencingTokenOrWithAnUnreadableTaskAreRejected) {
   EXPECT_FALSE(decode_commands(R"({"orders":[]})"));
   EXPECT_FALSE(
       decode_commands(R"({"helm":1,"orders":[{"signal":"start","hand":"job-1","launch":1}]})"));
@@ -108,16 +108,16 @@
 }
 
 // The request as the daemon's codec writes it, as the stand-in reads it.
-std::optional<StateCall> through_the_wire(const StateCall& call) {
-  const HttpRequest request = encode_state(call);
+std::optional<KvRequest> through_the_wire(const KvRequest& call) {
+  const HttpRequest request = encode_kv_request(call);
   return decode_state_call(request.method, request.path, request.body);
 }
 
 TEST(CounterpartCodec, EachKindOfStateCallIsReadAsItWasWritten) {
-  using Kind = StateCall::Kind;
+  using Kind = KvRequest::Kind;
   for (const Kind kind :
        {Kind::Get, Kind::List, Kind::Txn, Kind::Grant, Kind::Renew, Kind::Revoke, Kind::Watch}) {
-    StateCall call;
+    KvRequest call;
     call.kind = kind;
     call.key = "sailreel/x";
     call.from = "sailreel/a";
@@ -160,64 +160,64 @@
 }
 
 TEST(CounterpartCodec, StateRepliesAreReadAsTheyWereWritten) {
-  StateCall list;
-  list.kind = StateCall::Kind::List;
-  StateReply reply;
+  KvRequest list;
+  list.kind = KvRequest::Kind::List;
+  KvResponse reply;
   reply.status = 200;
   reply.revision = 9;
   reply.more = true;
   reply.items.push_back({"k/1", R"({"a":1})", 4, false});
   ServiceResponse response = encode_state_reply(list, reply);
-  StateReply read = decode_state(list, response.status, response.body);
+  KvResponse read = decode_kv_response(list, response.status, response.body);
   EXPECT_EQ(read.revision, 9U);
   EXPECT_TRUE(read.more);
   ASSERT_EQ(read.items.size(), 1U);
   EXPECT_EQ(read.items[0].value, R"({"a":1})");
 
-  StateCall watch;
-  watch.kind = StateCall::Kind::Watch;
+  KvRequest watch;
+  watch.kind = KvRequest::Kind::Watch;
   reply.items.push_back({"k/2", "", 5, true});
   response = encode_state_reply(watch, reply);
-  read = decode_state(watch, response.status, response.body);
+  read = decode_kv_response(watch, response.status, response.body);
   ASSERT_EQ(read.items.size(), 2U);
   EXPECT_TRUE(read.items[1].deleted);
 
-  StateCall transaction;
-  transaction.kind = StateCall::Kind::Txn;
+  KvRequest transaction;
+  transaction.kind = KvRequest::Kind::Txn;
   reply.status = 409;
   response = encode_state_reply(transaction, reply);
-  EXPECT_EQ(decode_state(transaction, response.status, response.body).status, 409);
+  EXPECT_EQ(decode_kv_response(transaction, response.status, response.body).status, 409);
 }
 
 TEST(CounterpartCodec, CloudCallsAndRepliesAreReadAsTheyWereWritten) {
-  CloudCall rent;
-  rent.kind = CloudCall::Kind::Rent;
+  CloudRequest rent;
+  rent.kind = CloudRequest::Kind::Rent;
   rent.rental = {"r-17", "g8", "a", true, 12};
-  HttpRequest request = encode_cloud(rent);
+  HttpRequest request = encode_cloud_request(rent);
   auto read = decode_cloud_call(request.method, request.path, request.body);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->rental.request, "r-17");
   EXPECT_EQ(read->rental.count, 12U);
   EXPECT_TRUE(read->rental.spot);
-  CloudReply refusal;
+  CloudResponse refusal;
   refusal.status = 503;
   refusal.no_capacity = true;
   ServiceResponse response = encode_cloud_reply(rent, refusal);
-  EXPECT_TRUE(decode_cloud(rent, response.status, response.body).no_capacity);
+  EXPECT_TRUE(decode_cloud_response(rent, response.status, response.body).no_capacity);
 
-  CloudCall list;
-  list.kind = CloudCall::Kind::List;
+  CloudRequest list;
+  list.kind = CloudRequest::Kind::List;
   list.after = "m-000230";
-  request = encode_cloud(list);
+  request = encode_cloud_request(list);
   read = decode_cloud_call(request.method, request.path, request.body);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->after, "m-000230");
-  CloudReply machines;
+  CloudResponse machines;
   machines.status = 200;
   machines.machines.push_back(
       {ListedMachine::State::Failed, "m-1", "127.10.0.1:9000", "g8", "a", true, 61.5});
   response = encode_cloud_reply(list, machines);
-  const CloudReply listed = decode_cloud(list, response.status, response.body);
+  const CloudResponse listed = decode_cloud_response(list, response.status, response.body);
   ASSERT_EQ(listed.machines.size(), 1U);
   EXPECT_EQ(listed.machines[0].state, ListedMachine::State::Failed);
   EXPECT_EQ(listed.machines[0].age_s, 61.5);
--- a/tests/delayed_heartbeats_test.cpp
+++ b/tests/delayed_heartbeats_test.cpp
@@ -108,7 +108,7 @@
     case 7:
       return world.slow_commands(span);
     default:
-      return world.refuse_state(lead, span);
+      return world.reject_kv_requests(lead, span);
   }
 }
 
--- a/tests/fixtures_test.cpp
+++ b/tests/fixtures_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_FALSE(heartbeat.understands_gangs);
   EXPECT_EQ(heartbeat.kept_alive_ms, 500U);
   EXPECT_EQ(read(fixture("request.bin")).request.id, "job-000412");
-  EXPECT_EQ(read(fixture("answer.bin")).answer.valid_ms, 2'500U);
+  EXPECT_EQ(read(fixture("answer.bin")).response.valid_ms, 2'500U);
 }
 
 // What is new in a heartbeat lies in one bit that the version in production doesn't look at.
--- a/tests/session_fence_test.cpp
+++ b/tests/incarnation_fence_test.cpp
@@ -8,8 +8,8 @@
 namespace sailreel::sim {
 namespace {
 
-TEST(SessionFence, AdmitsLaterSessionsOnly) {
-  SessionFence fence;
+TEST(IncarnationFence, AdmitsLaterIncarnationsOnly) {
+  IncarnationFence fence;
   EXPECT_TRUE(fence.admits(1));
   fence.close(3, 1'000);
   EXPECT_FALSE(fence.admits(2));
@@ -20,8 +20,8 @@
   EXPECT_EQ(fence.closed_at(), 1'000);
 }
 
-TEST(SessionFence, AnAnswerToALaterQuestionOpensASession) {
-  SessionFence fence;
+TEST(IncarnationFence, AResponseToALaterInquiryReopensAnIncarnation) {
+  IncarnationFence fence;
   fence.close(3, 1'000);
   fence.answered(3, 999);
   EXPECT_FALSE(fence.admits(3)) << "the question left before the proof";
@@ -32,13 +32,13 @@
   EXPECT_FALSE(fence.admits(3));
 }
 
-TEST(SessionFence, TheFirstSessionOfAWorkerThatWasNotHeardIsTakenToBeOver) {
-  SessionFence fence;
+TEST(IncarnationFence, TheFirstIncarnationOfAnUnheardWorkerIsTakenAsExpired) {
+  IncarnationFence fence;
   fence.close_unheard(1'000);
   EXPECT_FALSE(fence.admits(7));
   EXPECT_FALSE(fence.admits(7));
   EXPECT_TRUE(fence.admits(8));
-  SessionFence asked;
+  IncarnationFence asked;
   asked.close_unheard(1'000);
   asked.answered(7, 1'500);
   EXPECT_TRUE(asked.admits(7));
@@ -48,20 +48,22 @@
   return {{job, index}, attempt, RunState::Running, ExitCause::None, false};
 }
 
-Heartbeat incarnation_heartbeat(const std::string& machine, std::uint64_t session,
+Heartbeat incarnation_heartbeat(const std::string& machine, std::uint64_t incarnation,
                                 std::uint64_t seq, std::vector<TaskStatus> tasks) {
   Heartbeat heartbeat = heartbeat_of(machine, seq, std::move(tasks));
   heartbeat.spot = true;
-  heartbeat.session = session;
+  heartbeat.incarnation = incarnation;
   heartbeat.address = "10.1.0.1:" + machine.substr(2);
   return heartbeat;
 }
 
 /// A leader that has taken over four machines, m-1 to m-4. Too many fall silent at once to be
 /// returned: only m-4 goes on to report, and answers no inquiry.
-class SessionsOver : public ::testing::Test {
+class IncarnationsExpired : public ::testing::Test {
  protected:
-  SessionsOver() : driver_(settings_without_siblings()) { driver_.set_types({sample_type()}); }
+  IncarnationsExpired() : driver_(settings_without_siblings()) {
+    driver_.set_types({sample_type()});
+  }
 
   void add_job(const std::string& id, std::uint32_t tasks,
                const std::function<void(JobSpec&)>& set) {
@@ -105,7 +107,7 @@
 constexpr Time kBeyondLease = 13'000;
 
 // m-1 has a task that is placed anew while it is silent, and one that nobody else has room for.
-class SilentBeyondItsLease : public SessionsOver {
+class SilentBeyondItsLease : public IncarnationsExpired {
  protected:
   SilentBeyondItsLease() {
     add_job("job-1", 1, {});
@@ -141,7 +143,7 @@
   EXPECT_EQ(machine("m-1").answered, answered);
 }
 
-TEST_F(SilentBeyondItsLease, ItsNextSessionIsTakenAtOnce) {
+TEST_F(SilentBeyondItsLease, ItsNextIncarnationIsAcceptedAtOnce) {
   EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 1, 9, of_before())).status, 503);
   EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 2, 10, {})).status, 200);
   EXPECT_FALSE(machine("m-1").silent);
@@ -153,7 +155,7 @@
 
 // If the proof was wrong, the worker says so itself when it is asked: it comes back within one
 // question, keeps the task that nobody else has, and is told to end the one that has a new place.
-TEST_F(SilentBeyondItsLease, AHealthySessionComesBackByItself) {
+TEST_F(SilentBeyondItsLease, AHealthyIncarnationComesBackByItself) {
   driver_.on_direct = [](const std::string& address) -> std::optional<Heartbeat> {
     if (address != "10.1.0.1:1") return {};
     return incarnation_heartbeat("m-1", 1, 10, of_before());
@@ -162,15 +164,15 @@
   EXPECT_FALSE(machine("m-1").silent);
   EXPECT_EQ(job("job-2").tasks[0].machine, &machine("m-1"));
   EXPECT_EQ(job("job-1").strays.size(), 1U);
-  const Answer& answer = driver_.answer_to(incarnation_heartbeat("m-1", 1, 11, of_before()));
-  EXPECT_EQ(answer.status, 200);
-  EXPECT_NE(answer.body.find("kill"), std::string::npos);
-  EXPECT_NE(answer.body.find("job-1/0"), std::string::npos);
-  EXPECT_EQ(answer.body.find("job-2/0"), std::string::npos);
+  const Response& response = driver_.answer_to(incarnation_heartbeat("m-1", 1, 11, of_before()));
+  EXPECT_EQ(response.status, 200);
+  EXPECT_NE(response.body.find("kill"), std::string::npos);
+  EXPECT_NE(response.body.find("job-1/0"), std::string::npos);
+  EXPECT_EQ(response.body.find("job-2/0"), std::string::npos);
 }
 
 // A machine that was never heard by this leader: nobody knows which of its sessions was over.
-TEST_F(SessionsOver, AlsoOfAMachineThatTheLeaderNeverHeard) {
+TEST_F(IncarnationsExpired, AlsoOfAMachineThatTheLeaderNeverHeard) {
   add_job("job-1", 1, {});
   take_over();
   run_with_heartbeats_of_the_last(33'000);
@@ -184,7 +186,7 @@
 }
 
 // Returned machines are remembered for a while, and forgotten in the end.
-TEST_F(SessionsOver, TasksOfAMachineThatNobodyKnowsAreNotTaken) {
+TEST_F(IncarnationsExpired, TasksOfAMachineThatNobodyKnowsAreNotTaken) {
   add_job("job-1", 2, {});
   take_over();
   for (const char* name : {"m-1", "m-2", "m-3"})
@@ -199,7 +201,7 @@
 
 // The second line of defence: a job that is bound to one zone and known in two gets no further
 // place until one is left, and what was placed there before doesn't start.
-TEST_F(SessionsOver, AJobKnownInTwoZonesGetsNoPlaceUntilOneIsLeft) {
+TEST_F(IncarnationsExpired, AJobKnownInTwoZonesGetsNoPlaceUntilOneIsLeft) {
   add_job("job-1", 3, [](JobSpec& s) { s.one_zone = true; });
   take_over();
   const auto in_zb = [](std::uint64_t seq, std::vector<TaskStatus> tasks) {
@@ -232,7 +234,7 @@
 
 // An attempt that is on a machine beside its task's place counts until it is gone: the task isn't
 // started again before.
-TEST_F(SessionsOver, ATaskIsNotStartedWhileAnotherAttemptOfItMayRun) {
+TEST_F(IncarnationsExpired, ATaskIsNotStartedWhileAnotherAttemptOfItMayRun) {
   add_job("job-1", 1, {});
   take_over();
   driver_.heartbeat(incarnation_heartbeat("m-1", 1, 1, {running("job-1", 0, 5)}));
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -20,12 +20,12 @@
   plan.boots_ms = 4'000;
   Deployment deployment = sample_deployment(plan);
   deployment.one_in_never_up = 0;
-  deployment.state_write_rps = std::max(90.0, kWritesPerMachine * machines);
-  deployment.state_rps = 10 * deployment.state_write_rps;
+  deployment.kv_write_rps = std::max(90.0, kWritesPerMachine * machines);
+  deployment.kv_rps = 10 * deployment.kv_write_rps;
   for (Settings& settings : deployment.controllers) {
     settings.workers.heartbeat_interval_s = 2.5;
-    settings.store.rps = deployment.state_rps;
-    settings.store.write_rps = deployment.state_write_rps;
+    settings.store.rps = deployment.kv_rps;
+    settings.store.write_rps = deployment.kv_write_rps;
     settings.market.rps = std::max(4.0, machines / 100.0);
   }
   plan.deployment = deployment;
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -48,7 +48,7 @@
 
   void send(const std::string& frame, Urgency urgency) { from_.send(link_, frame, urgency); }
   void flush() { from_.flush(link_); }
-  void answer() { to_.send(back_, "answer"); }
+  void respond() { to_.send(back_, "answer"); }
   [[nodiscard]] std::uint64_t writes() const { return from_.writes() - writes_before_; }
   [[nodiscard]] const std::string& received() const { return received_; }
 
@@ -119,7 +119,7 @@
   links.send("3", Urgency::MayWait);
   links.run_for(100);
   EXPECT_EQ(links.writes(), 1U);
-  links.answer();
+  links.respond();
   links.wait_for("123");
   EXPECT_EQ(links.writes(), 2U);
 }
@@ -132,7 +132,7 @@
   links.wait_for("12");
 }
 
-enum class Step : std::uint8_t { SendNow, SendLater, SendHeld, Flush, Answer, Run };
+enum class Step : std::uint8_t { SendNow, SendLater, SendHeld, Flush, Response, Run };
 
 std::optional<Urgency> urgency_of(Step step) {
   if (step == Step::SendNow) return Urgency::Now;
@@ -147,7 +147,7 @@
   const bool held = rc::check("frames arrive in order", [] {
     const auto steps = *rc::gen::container<std::vector<Step>>(
         rc::gen::element(Step::SendNow, Step::SendLater, Step::SendLater, Step::SendHeld,
-                         Step::Flush, Step::Answer, Step::Run));
+                         Step::Flush, Step::Response, Step::Run));
     PeerLinkPair links({1, 4});
     std::string sent;
     int next = 0;
@@ -164,7 +164,7 @@
         links.flush();
         held = false;
       }
-      if (step == Step::Answer) links.answer();
+      if (step == Step::Response) links.respond();
       if (step == Step::Run) links.run_for(1);
     }
     // Nothing but a flush may be needed, and that only for a frame which asked for one.
--- a/tests/production/production_controller.cpp
+++ b/tests/production/production_controller.cpp
@@ -44,11 +44,11 @@
   return out;
 }
 
-old::Origin translate(const Origin& o) {
+old::Origin translate(const RequestSource& o) {
   return {static_cast<old::Origin::Kind>(o.kind), o.link, o.call};
 }
-Origin translate(const old::Origin& o) {
-  return {static_cast<Origin::Kind>(o.kind), o.link, o.call};
+RequestSource translate(const old::Origin& o) {
+  return {static_cast<RequestSource::Kind>(o.kind), o.link, o.call};
 }
 
 old::Resources translate(const Resources& r) { return {r.cpus, r.gpus, r.memory_gb}; }
@@ -61,9 +61,9 @@
   out.type = r.type;
   out.zone = r.zone;
   out.spot = r.spot;
-  out.session = r.session;
+  out.session = r.incarnation;
   out.seq = r.seq;
-  out.token = r.token;
+  out.token = r.fencing_token;
   out.notice_s = r.notice_s;
   for (const TaskStatus& t : r.tasks) {
     const RunState state = t.state == RunState::Waiting ? RunState::Fetching : t.state;
@@ -77,13 +77,13 @@
   return out;
 }
 
-old::StateReply translate(const StateReply& r) {
+old::StateReply translate(const KvResponse& r) {
   old::StateReply out{r.status, r.revision, r.lease, {}, r.more};
-  for (const StateItem& i : r.items) out.items.push_back({i.key, i.value, i.version, i.deleted});
+  for (const KvItem& i : r.items) out.items.push_back({i.key, i.value, i.version, i.deleted});
   return out;
 }
 
-old::CloudReply translate(const CloudReply& r) {
+old::CloudReply translate(const CloudResponse& r) {
   old::CloudReply out;
   out.status = r.status;
   for (const MachineType& t : r.types)
@@ -122,21 +122,21 @@
         if constexpr (std::is_same_v<T, Tick>) {
           return old::Tick{};
         } else if constexpr (std::is_same_v<T, UserRequest>) {
-          return old::UserRequest{translate(in.origin), static_cast<old::UserOp>(in.op), in.id,
+          return old::UserRequest{translate(in.source), static_cast<old::UserOp>(in.op), in.id,
                                   in.body};
         } else if constexpr (std::is_same_v<T, HeartbeatReceived>) {
-          return old::WorkerReport{translate(in.origin), translate(in.heartbeat), in.raw};
-        } else if constexpr (std::is_same_v<T, StateAnswer>) {
+          return old::WorkerReport{translate(in.source), translate(in.heartbeat), in.raw};
+        } else if constexpr (std::is_same_v<T, KvResponseReceived>) {
           return old::StateAnswer{in.call, translate(in.reply)};
-        } else if constexpr (std::is_same_v<T, CloudAnswer>) {
+        } else if constexpr (std::is_same_v<T, CloudResponseReceived>) {
           return old::CloudAnswer{in.call, translate(in.reply)};
-        } else if constexpr (std::is_same_v<T, WorkerAnswer>) {
+        } else if constexpr (std::is_same_v<T, WorkerResponseReceived>) {
           old::WorkerAnswer out{in.call, in.status, {}};
           if (in.heartbeat) out.report = translate(*in.heartbeat);
           return out;
-        } else if constexpr (std::is_same_v<T, PeerInput>) {
+        } else if constexpr (std::is_same_v<T, PeerMessageReceived>) {
           return old::PeerInput{in.sibling, translate(in.message)};
-        } else if constexpr (std::is_same_v<T, PeerLost>) {
+        } else if constexpr (std::is_same_v<T, PeerDisconnected>) {
           return old::PeerLost{in.sibling};
         } else {
           throw std::logic_error("the version in production knows no such input");
@@ -145,9 +145,9 @@
       input);
 }
 
-StateCall translate(const old::StateCall& c) {
-  StateCall out;
-  out.kind = static_cast<StateCall::Kind>(c.kind);
+KvRequest translate(const old::StateCall& c) {
+  KvRequest out;
+  out.kind = static_cast<KvRequest::Kind>(c.kind);
   out.key = c.key;
   out.from = c.from;
   out.limit = c.limit;
@@ -162,9 +162,9 @@
   return out;
 }
 
-CloudCall translate(const old::CloudCall& c) {
-  CloudCall out;
-  out.kind = static_cast<CloudCall::Kind>(c.kind);
+CloudRequest translate(const old::CloudCall& c) {
+  CloudRequest out;
+  out.kind = static_cast<CloudRequest::Kind>(c.kind);
   out.rental = {c.rental.request, c.rental.type, c.rental.zone, c.rental.spot, c.rental.count};
   out.names = c.names;
   out.after = c.after;
@@ -177,9 +177,9 @@
       [](const auto& a) -> Action {
         using T = std::decay_t<decltype(a)>;
         if constexpr (std::is_same_v<T, old::Answer>)
-          return Answer{translate(a.origin), a.status, a.body, a.retry_after_s, a.valid_until};
+          return Response{translate(a.origin), a.status, a.body, a.retry_after_s, a.valid_until};
         else if constexpr (std::is_same_v<T, old::CallState>)
-          return CallState{a.call, translate(a.request), a.timeout_ms};
+          return CallKvStore{a.call, translate(a.request), a.timeout_ms};
         else if constexpr (std::is_same_v<T, old::CallCloud>)
           return CallCloud{a.call, translate(a.request), a.timeout_ms};
         else if constexpr (std::is_same_v<T, old::CallWorker>)
@@ -200,7 +200,7 @@
       : core_(translate(settings), old::Options{}, seed) {}
   std::vector<Action> step(Clock clock, Input input) override {
     // It closes a link that brings a frame of a kind that it doesn't know.
-    if (std::holds_alternative<RegionInput>(input)) return {};
+    if (std::holds_alternative<RegionMessageReceived>(input)) return {};
     std::vector<Action> out;
     for (const old::Action& action : core_.step({clock.now, clock.wall_ms}, translate(input)))
       out.push_back(translate(action));
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -4,9 +4,9 @@
 #include <pcg_random.hpp>
 
 #include "protocol/cloud_codec.hpp"
+#include "protocol/kv_codec.hpp"
 #include "protocol/peer_frames.hpp"
 #include "protocol/settings.hpp"
-#include "protocol/state_codec.hpp"
 #include "protocol/user_codec.hpp"
 #include "protocol/worker_codec.hpp"
 
@@ -100,9 +100,9 @@
       R"({"hand":"job-000398/0","launch":1,"heading":"ended","wake":"done"}]})";
   const auto r = decode_heartbeat(text);
   ASSERT_TRUE(r);
-  EXPECT_EQ(r->session, 1U);
+  EXPECT_EQ(r->incarnation, 1U);
   EXPECT_EQ(r->seq, 88U);
-  EXPECT_EQ(r->token, 41U);
+  EXPECT_EQ(r->fencing_token, 41U);
   EXPECT_FALSE(r->notice_s);
   ASSERT_EQ(r->tasks.size(), 2U);
   EXPECT_EQ(r->tasks[0].key.index, 3U);
@@ -124,28 +124,28 @@
 }
 
 TEST(State, TransactionsAndAnswersHaveTheWiresForm) {
-  StateCall txn;
-  txn.kind = StateCall::Kind::Txn;
+  KvRequest txn;
+  txn.kind = KvRequest::Kind::Txn;
   txn.conditions = {{"a/b", 0}};
   txn.puts = {{"a/b", "{\"x\":1}", 7}};
   txn.deletes = {"c/d"};
-  EXPECT_EQ(encode_state(txn).body,
+  EXPECT_EQ(encode_kv_request(txn).body,
             R"({"when":[{"path":"a/b","mark":0}],"then":[{"set":"a/b","data":{"x":1},"mooring":7},)"
             R"({"drop":"c/d"}]})");
-  EXPECT_EQ(decode_state(txn, 200, R"({"tide":432})").revision, 432U);
-  EXPECT_EQ(decode_state(txn, 409, R"({"failed":["a/b"],"tide":431})").status, 409);
+  EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":432})").revision, 432U);
+  EXPECT_EQ(decode_kv_response(txn, 409, R"({"failed":["a/b"],"tide":431})").status, 409);
   // What can't be read tells nothing of what was done.
-  EXPECT_EQ(decode_state(txn, 200, R"({"tide":)").status, 0);
-  StateCall list;
-  list.kind = StateCall::Kind::List;
+  EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":)").status, 0);
+  KvRequest list;
+  list.kind = KvRequest::Kind::List;
   list.key = "sr/";
   list.from = "sr/m";
-  EXPECT_EQ(encode_state(list).path, "/store?prefix=sr/&from=sr/m&limit=200");
+  EXPECT_EQ(encode_kv_request(list).path, "/store?prefix=sr/&from=sr/m&limit=200");
   // A store that nobody has written to is at revision 0.
-  EXPECT_EQ(decode_state(list, 200, R"({"pairs":[],"has_next":false,"tide":0})").status, 200);
-  StateCall watch;
-  watch.kind = StateCall::Kind::Watch;
-  const auto w = decode_state(
+  EXPECT_EQ(decode_kv_response(list, 200, R"({"pairs":[],"has_next":false,"tide":0})").status, 200);
+  KvRequest watch;
+  watch.kind = KvRequest::Kind::Watch;
+  const auto w = decode_kv_response(
       watch, 200,
       R"({"tide":9,"log":[{"set":"c/9","data":{"y":2},"mark":8},{"drop":"c/d","mark":9}]})");
   ASSERT_EQ(w.items.size(), 2U);
@@ -153,26 +153,26 @@
   EXPECT_TRUE(w.items[1].deleted);
 }
 
-TEST(Cloud, ARefusalForWantOfMachinesDiffersFromTrouble) {
-  CloudCall rent;
-  rent.kind = CloudCall::Kind::Rent;
+TEST(FakeCloud, ARefusalForWantOfMachinesDiffersFromTrouble) {
+  CloudRequest rent;
+  rent.kind = CloudRequest::Kind::Rent;
   rent.rental = {"r-1-1", "g8", "a", true, 12};
-  EXPECT_EQ(encode_cloud(rent).body,
+  EXPECT_EQ(encode_cloud_request(rent).body,
             R"({"charter":"r-1-1","hull":"g8","harbor":"a","driftwood":true,"how_many":12})");
-  EXPECT_TRUE(decode_cloud(rent, 503, R"({"error":"no capacity"})").no_capacity);
-  EXPECT_FALSE(decode_cloud(rent, 503, R"({"error":"trouble"})").no_capacity);
-  EXPECT_EQ(decode_cloud(rent, 200, "gibberish").status, 0);
+  EXPECT_TRUE(decode_cloud_response(rent, 503, R"({"error":"no capacity"})").no_capacity);
+  EXPECT_FALSE(decode_cloud_response(rent, 503, R"({"error":"trouble"})").no_capacity);
+  EXPECT_EQ(decode_cloud_response(rent, 200, "gibberish").status, 0);
 }
 
 TEST(PeerFrames, RoundTripInAnyPieces) {
   PeerMessage request;
   request.kind = PeerMessage::Kind::Request;
   request.request = {77, UserOp::Submit, "job-1", std::string(60'000, 'x'), true};
-  PeerMessage answer;
-  answer.kind = PeerMessage::Kind::Answer;
-  answer.answer = {78, 503, 1, 2'500, "{}"};
-  PeerMessage lasting = answer;
-  lasting.answer.valid_ms.reset();
+  PeerMessage response;
+  response.kind = PeerMessage::Kind::Response;
+  response.response = {78, 503, 1, 2'500, "{}"};
+  PeerMessage lasting = response;
+  lasting.response.valid_ms.reset();
   PeerMessage heartbeat;
   heartbeat.heartbeat.node = "node-0";
   heartbeat.heartbeat.epoch = 5;
@@ -186,7 +186,7 @@
   heartbeat.heartbeat.keep_ms = 35'000;
   heartbeat.heartbeat.kept_alive_ms = 0;
   const std::string bytes =
-      encode_peer(request) + encode_peer(answer) + encode_peer(heartbeat) + encode_peer(lasting);
+      encode_peer(request) + encode_peer(response) + encode_peer(heartbeat) + encode_peer(lasting);
   pcg32 random(3);
   PeerReader reader;
   std::vector<PeerMessage> out;
@@ -199,9 +199,9 @@
   ASSERT_EQ(out.size(), 4U);
   EXPECT_EQ(out[0].request.body.size(), 60'000U);
   EXPECT_TRUE(out[0].request.relay);
-  EXPECT_EQ(out[1].answer.status, 503);
-  EXPECT_EQ(out[1].answer.valid_ms, 2'500U);
-  EXPECT_FALSE(out[3].answer.valid_ms.has_value());
+  EXPECT_EQ(out[1].response.status, 503);
+  EXPECT_EQ(out[1].response.valid_ms, 2'500U);
+  EXPECT_FALSE(out[3].response.valid_ms.has_value());
   const ControllerHeartbeat& b = out[2].heartbeat;
   EXPECT_TRUE(b.leading && b.hears_leader && !b.holding && b.hears_workers);
   EXPECT_EQ(b.node, "node-0");
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -233,7 +233,7 @@
   world.run_until(40'000);
   int starts = 0;
   count_starts(world, starts);
-  world.state_outage(16'000);
+  world.kv_store_outage(16'000);
   world.run_until(90'000);
   EXPECT_EQ(starts, 0);
   EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
@@ -248,7 +248,7 @@
   };
   World world(quiet(21));
   world.run_until(30'000);
-  world.state_outage(20'000);
+  world.kv_store_outage(20'000);
   world.run_until(48'000);
   for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(healthy(world, i)) << i;
   world.run_until(60'000);
@@ -265,7 +265,7 @@
   world.run_until(5'000);
   const int leader = world.leader();
   ASSERT_GE(leader, 0);
-  world.state_outage(8'000);
+  world.kv_store_outage(8'000);
   for (int n = 0; n < 5; ++n) world.submit(array("job-" + std::to_string(n), 1, 2));
   world.run_until(12'900);
   EXPECT_EQ(world.unanswered_submissions(), 0U);
@@ -432,7 +432,7 @@
   for (const auto& name : cut) {
     const auto m = core->tables().machines.find(name);
     ASSERT_NE(m, core->tables().machines.end()) << name;
-    EXPECT_GT(m->second->session, 1U);
+    EXPECT_GT(m->second->incarnation, 1U);
     EXPECT_EQ(m->second->quarantined_until, 0) << name;
   }
   world.run();
--- a/tests/share_protocol_test.cpp
+++ b/tests/share_protocol_test.cpp
@@ -244,18 +244,18 @@
         next(message.to).acknowledged[static_cast<std::size_t>(message.from)] = true;
       return;
     }
-    const Sent answer{true, message.to, message.from, message.number, 0};
+    const Sent response{true, message.to, message.from, message.number, 0};
     ShareLedger changed = to.ledger;
     const ShareTransfer transfer{message.number, {{kTeam, {0, message.gpus}}}};
     const Credit result = credit(changed, region_name(message.from), transfer);
     if (result == Credit::Repeated) {
       next(message.to);
-      out.back().network.insert(answer);
+      out.back().network.insert(response);
     } else if (result == Credit::Credited && !to.writing) {
       Region& region = next(message.to);
       region.writing = true;
       region.written = changed;
-      region.after_write = answer;
+      region.after_write = response;
     }
   }
 
--- a/tests/slow_processor_test.cpp
+++ b/tests/slow_processor_test.cpp
@@ -97,7 +97,7 @@
      }},
     {"UsersRepeatThemselvesWhileTheStateServiceIsOut",
      [](World& w, std::uint64_t) {
-       w.state_outage(25'000);
+       w.kv_store_outage(25'000);
        submit_mixed_jobs(w, kJobs, 8, 3);
      }},
     {"TheLeaderIsSeveralTimesSlower",
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -4,9 +4,9 @@
 #include <pcg_random.hpp>
 
 #include "storage/checkpoint.hpp"
+#include "storage/compare_and_swap_builder.hpp"
 #include "storage/job_shards.hpp"
 #include "storage/tables.hpp"
-#include "storage/transaction_builder.hpp"
 
 namespace sailreel {
 namespace {
@@ -30,7 +30,7 @@
   return r;
 }
 
-StateItem item(const std::string& key, const std::string& value) { return {key, value, 3, false}; }
+KvItem item(const std::string& key, const std::string& value) { return {key, value, 3, false}; }
 
 TEST(Bitmap, SurvivesHexInPieces) {
   pcg32 random(5);
@@ -181,15 +181,15 @@
   EXPECT_EQ(shards.place("job-1", 10), 1U);
 }
 
-TEST(TransactionBuilder, KeepsToTheLimitOfOperations) {
-  TransactionBuilder builder(3, 0);
+TEST(CompareAndSwapBuilder, KeepsToTheLimitOfOperations) {
+  CompareAndSwapBuilder builder(3, 0);
   EXPECT_TRUE(builder.put("a", "1"));
   EXPECT_TRUE(builder.erase("b"));
   EXPECT_FALSE(builder.put("c", "1"));
   builder.limit_operations(4);
   EXPECT_TRUE(builder.put("c", "1"));
   EXPECT_FALSE(builder.erase("d"));
-  const StateCall call = std::move(builder).finish({{"epoch", 7}}, {"head", "{}", 0});
+  const KvRequest call = std::move(builder).finish({{"epoch", 7}}, {"head", "{}", 0});
   ASSERT_EQ(call.puts.size(), 3U);
   EXPECT_EQ(call.puts.front().key, "head");
   EXPECT_EQ(call.deletes, std::vector<std::string>{"b"});
@@ -197,9 +197,9 @@
   EXPECT_EQ(call.conditions.front().version, 7U);
 }
 
-TEST(TransactionBuilder, KeepsToTheLimitOfBytes) {
+TEST(CompareAndSwapBuilder, KeepsToTheLimitOfBytes) {
   constexpr std::size_t kValue = 8'000;
-  TransactionBuilder builder(100, 0);
+  CompareAndSwapBuilder builder(100, 0);
   std::size_t bytes = 0;
   while (builder.put("key", std::string(kValue, 'x'))) bytes += kValue;
   EXPECT_LE(bytes, std::size_t{64} * 1024);
--- a/tests/support/behaviour_digest.cpp
+++ b/tests/support/behaviour_digest.cpp
@@ -4,9 +4,9 @@
 #include <variant>
 
 #include "protocol/cloud_codec.hpp"
+#include "protocol/kv_codec.hpp"
 #include "protocol/peer_frames.hpp"
 #include "protocol/region_frames.hpp"
-#include "protocol/state_codec.hpp"
 
 namespace sailreel::sim {
 
@@ -36,18 +36,18 @@
   return text;
 }
 
-void BehaviourDigest::add_action(const Answer& answer) {
-  add_number(static_cast<std::uint8_t>(answer.origin.kind));
-  add_number(answer.origin.link);
-  add_number(answer.origin.call);
-  add_number(answer.status);
-  add_bytes(answer.body);
-  add_number(answer.retry_after_s);
-  add_number(answer.valid_until);
+void BehaviourDigest::add_action(const Response& response) {
+  add_number(static_cast<std::uint8_t>(response.source.kind));
+  add_number(response.source.link);
+  add_number(response.source.call);
+  add_number(response.status);
+  add_bytes(response.body);
+  add_number(response.retry_after_s);
+  add_number(response.valid_until);
 }
 
-void BehaviourDigest::add_action(const CallState& call) {
-  const HttpRequest request = encode_state(call.request);
+void BehaviourDigest::add_action(const CallKvStore& call) {
+  const HttpRequest request = encode_kv_request(call.request);
   add_number(call.call);
   add_bytes(request.method);
   add_bytes(request.path);
@@ -56,7 +56,7 @@
 }
 
 void BehaviourDigest::add_action(const CallCloud& call) {
-  const HttpRequest request = encode_cloud(call.request);
+  const HttpRequest request = encode_cloud_request(call.request);
   add_number(call.call);
   add_bytes(request.method);
   add_bytes(request.path);
--- a/tests/support/behaviour_digest.hpp
+++ b/tests/support/behaviour_digest.hpp
@@ -30,8 +30,8 @@
     void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
   };
 
-  void add_action(const Answer& answer);
-  void add_action(const CallState& call);
+  void add_action(const Response& response);
+  void add_action(const CallKvStore& call);
   void add_action(const CallCloud& call);
   void add_action(const CallWorker& call);
   void add_action(const SendPeer& message);
--- a/tests/support/core_driver.hpp
+++ b/tests/support/core_driver.hpp
@@ -30,7 +30,7 @@
   heartbeat.address = "10.1.0.1:9000";
   heartbeat.type = "box";
   heartbeat.zone = "za";
-  heartbeat.session = 1;
+  heartbeat.incarnation = 1;
   heartbeat.seq = seq;
   heartbeat.tasks = std::move(tasks);
   return heartbeat;
@@ -40,16 +40,16 @@
  public:
   explicit CoreDriver(Settings settings) : core_(std::move(settings), Options{}, 7) {}
 
-  StateService& state() { return state_; }
+  FakeKvStore& state() { return state_; }
   [[nodiscard]] const std::vector<std::string>& warnings() const { return warnings_; }
   const Core& core() const { return core_; }
 
   /// Writes a key of the checkpoint, as a former leader would have.
   void write(const std::string& key, std::string value) {
-    StateCall call;
-    call.kind = StateCall::Kind::Txn;
+    KvRequest call;
+    call.kind = KvRequest::Kind::Txn;
     call.puts.push_back({key, std::move(value), 0});
-    state_.handle(call, false, now_, [](const StateReply&) {});
+    state_.handle(call, false, now_, [](const KvResponse&) {});
   }
 
   /// Ticks every 50 ms.
@@ -70,10 +70,10 @@
   }
 
   /// Sends a report and returns its answer.
-  const Answer& answer_to(Heartbeat heartbeat) {
+  const Response& answer_to(Heartbeat heartbeat) {
     const std::uint64_t call = ++next_origin_;
-    heartbeat.token = core_.epoch();
-    step(HeartbeatReceived{{Origin::Kind::Local, call, 0}, std::move(heartbeat), {}});
+    heartbeat.fencing_token = core_.epoch();
+    step(HeartbeatReceived{{RequestSource::Kind::Local, call, 0}, std::move(heartbeat), {}});
     return answers_[call];
   }
   /// The same, of which only the commands matter.
@@ -88,62 +88,63 @@
   /// Submits a job and returns the answer's status; 0: none yet.
   int submit(const std::string& body) {
     const std::uint64_t call = ++next_origin_;
-    step(UserRequest{{Origin::Kind::Local, call, 0}, UserOp::Submit, {}, body});
+    step(UserRequest{{RequestSource::Kind::Local, call, 0}, UserOp::Submit, {}, body});
     return answers_[call].status;
   }
   int cancel(const std::string& id) {
     const std::uint64_t call = ++next_origin_;
-    step(UserRequest{{Origin::Kind::Local, call, 0}, UserOp::Cancel, id, {}});
+    step(UserRequest{{RequestSource::Kind::Local, call, 0}, UserOp::Cancel, id, {}});
     return answers_[call].status;
   }
 
   /// The checkpoint as another node would read it.
   Snapshot checkpoint() {
-    StateCall list;
-    list.kind = StateCall::Kind::List;
+    KvRequest list;
+    list.kind = KvRequest::Kind::List;
     list.key = kPrefix;
     list.limit = 1'000;
     Snapshot image;
-    state_.handle(list, false, now_, [&](const StateReply& reply) {
-      for (const StateItem& item : reply.items) image.apply(item);
+    state_.handle(list, false, now_, [&](const KvResponse& reply) {
+      for (const KvItem& item : reply.items) image.apply(item);
     });
     return image;
   }
 
  private:
   void act(const Action& action) {
-    if (const auto* answer = std::get_if<Answer>(&action)) {
-      answers_[answer->origin.link] = *answer;
-    } else if (const auto* call = std::get_if<CallState>(&action)) {
-      state_.handle(call->request, false, now_, [this, id = call->call](StateReply reply) {
-        inputs_.push_back(StateAnswer{id, std::move(reply)});
+    if (const auto* response = std::get_if<Response>(&action)) {
+      answers_[response->source.link] = *response;
+    } else if (const auto* call = std::get_if<CallKvStore>(&action)) {
+      state_.handle(call->request, false, now_, [this, id = call->call](KvResponse reply) {
+        inputs_.push_back(KvResponseReceived{id, std::move(reply)});
       });
     } else if (const auto* cloud = std::get_if<CallCloud>(&action)) {
-      CloudReply reply;
+      CloudResponse reply;
       reply.status = 503;
-      if (cloud->request.kind == CloudCall::Kind::Types && !types_.empty()) {
+      if (cloud->request.kind == CloudRequest::Kind::Types && !types_.empty()) {
         reply.status = 200;
         reply.types = types_;
       }
-      inputs_.push_back(CloudAnswer{cloud->call, reply});
+      inputs_.push_back(CloudResponseReceived{cloud->call, reply});
     } else if (const auto* worker = std::get_if<CallWorker>(&action)) {
       std::optional<Heartbeat> heartbeat;
       if (on_direct) heartbeat = on_direct(worker->address);
-      if (heartbeat) heartbeat->token = core_.epoch();
-      inputs_.push_back(WorkerAnswer{worker->call, heartbeat ? 200 : 0, std::move(heartbeat)});
+      if (heartbeat) heartbeat->fencing_token = core_.epoch();
+      inputs_.push_back(
+          WorkerResponseReceived{worker->call, heartbeat ? 200 : 0, std::move(heartbeat)});
     } else if (const auto* line = std::get_if<Log>(&action)) {
       if (line->level == Log::Level::Warning) warnings_.push_back(line->text);
     }
   }
 
   Core core_;
-  StateService state_;
+  FakeKvStore state_;
   std::vector<MachineType> types_;
   /// What is still to be fed. A watch may be answered long after the step that opened it.
   std::vector<Input> inputs_;
   Time now_ = 1'000;
   std::uint64_t next_origin_ = 0;
-  std::map<std::uint64_t, Answer> answers_;
+  std::map<std::uint64_t, Response> answers_;
   std::vector<std::string> warnings_;
 };
 
--- a/tests/support/work_meter.hpp
+++ b/tests/support/work_meter.hpp
@@ -24,14 +24,22 @@
 };
 inline Allocations allocations;
 
-enum class InputKind : std::uint8_t { Tick, Heartbeat, Poll, Submission, StateAnswer, Peer, Other };
+enum class InputKind : std::uint8_t {
+  Tick,
+  Heartbeat,
+  Poll,
+  Submission,
+  KvResponseReceived,
+  Peer,
+  Other
+};
 constexpr std::size_t kInputKinds = 7;
 
 inline InputKind kind_of(const Input& input) {
   if (std::holds_alternative<Tick>(input)) return InputKind::Tick;
   if (std::holds_alternative<HeartbeatReceived>(input)) return InputKind::Heartbeat;
-  if (std::holds_alternative<StateAnswer>(input)) return InputKind::StateAnswer;
-  if (std::holds_alternative<PeerInput>(input)) return InputKind::Peer;
+  if (std::holds_alternative<KvResponseReceived>(input)) return InputKind::KvResponseReceived;
+  if (std::holds_alternative<PeerMessageReceived>(input)) return InputKind::Peer;
   const auto* request = std::get_if<UserRequest>(&input);
   if (request == nullptr) return InputKind::Other;
   if (request->op == UserOp::Query) return InputKind::Poll;
--- a/tests/takeover_test.cpp
+++ b/tests/takeover_test.cpp
@@ -138,7 +138,7 @@
     {"TenLeadersInTwoMinutesAlsoInAnOutage",
      [](World& w, std::uint64_t seed) {
        for (int round = 0; round < 10; ++round) {
-         if (round == 4) w.state_outage(9'000);
+         if (round == 4) w.kv_store_outage(9'000);
          if (w.leader() >= 0) end_leader(w, round % 3 == 0 ? 6'000 : 600);
          w.cancel_now(1, 0);
          w.run_until(w.now() + 9'000 + static_cast<Time>(seed) * 400);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -82,12 +82,12 @@
                                   }},
                                  {"OneIsRefusedByTheStateService",
                                   [](World& w, int step) {
-                                    w.refuse_state(static_cast<std::size_t>(step), 14'000);
+                                    w.reject_kv_requests(static_cast<std::size_t>(step), 14'000);
                                     w.run_until(w.now() + 1'000);
                                   }},
                                  {"TheStateServiceIsDown",
                                   [](World& w, int) {
-                                    w.state_outage(8'000);
+                                    w.kv_store_outage(8'000);
                                     w.run_until(w.now() + 1'000);
                                   }},
                                  {"AZoneIsCutOff",
--- a/tests/work_cost_test.cpp
+++ b/tests/work_cost_test.cpp
@@ -103,7 +103,7 @@
   day.serve();
   StepWork idle;
   for (const InputKind kind :
-       {InputKind::Tick, InputKind::StateAnswer, InputKind::Peer, InputKind::Other})
+       {InputKind::Tick, InputKind::KvResponseReceived, InputKind::Peer, InputKind::Other})
     idle.add(day.meter().leader(kind));
   expect_at_most("second", idle, static_cast<std::uint64_t>(kSpan / 1'000), {75, 1});  // 57.9, 0
 }
@@ -127,7 +127,7 @@
                  {800, 6});  // 640, 4.0
   MeteredDay outage;
   outage.play([](World& world) {
-    world.state_outage(kSpan);
+    world.kv_store_outage(kSpan);
     for (std::size_t n = kJobs; n < 2 * kJobs; ++n) world.submit(service(job_id(n), 1));
   });
   expect_at_most("second of an outage", outage.meter().total(), kSeconds,
--- a/tools/scale/deployment.cpp
+++ b/tools/scale/deployment.cpp
@@ -184,8 +184,8 @@
     const std::uint32_t rest = zone < there.workers() % zones ? 1 : 0;
     out.capacity[{there.zone(static_cast<int>(zone)), false}] = there.workers() / zones + rest;
   }
-  out.state_rps = plan.fleet().state_rps();
-  out.state_write_rps = plan.fleet().state_write_rps();
+  out.kv_rps = plan.fleet().state_rps();
+  out.kv_write_rps = plan.fleet().state_write_rps();
   out.one_in_never_up = 0;
   out.worker_address_prefix = worker_address_prefix(region);
   return out;
--- a/tools/scale/region_process.cpp
+++ b/tools/scale/region_process.cpp
@@ -138,8 +138,8 @@
   if (sockets.reports_to != address) sockets.client->close_idle(sockets.reports_to);
   sockets.reports_to = address;
   sockets.client->request(address, "POST", "/hello", body, kHeartbeatTimeoutMs, true,
-                          [done = std::move(done)](int status, std::string_view answer) {
-                            done(status, std::string(answer));
+                          [done = std::move(done)](int status, std::string_view response) {
+                            done(status, std::string(response));
                           });
 }
 
@@ -152,13 +152,13 @@
                                                         : job + "/withdraw";
   const std::string body = request.op == UserOp::Submit ? request.body : query ? "" : "{}";
   users_.request(address, query ? "GET" : "POST", path, body, kUserTimeoutMs, true,
-                 [done = std::move(done)](int status, std::string_view answer) {
-                   done(status, std::string(answer));
+                 [done = std::move(done)](int status, std::string_view response) {
+                   done(status, std::string(response));
                  });
 }
 
-void RegionProcess::answered(std::size_t node, const Answer& answer) {
-  world_->deliver(node, answer);
+void RegionProcess::answered(std::size_t node, const Response& response) {
+  world_->deliver(node, response);
   advance();
 }
 
@@ -168,7 +168,7 @@
   state_writes_ += call->puts.size() + call->deletes.size();
   world_->state().handle(
       *call, false, world_->now(),
-      [this, call = *call, connection = request.connection](const StateReply& reply) {
+      [this, call = *call, connection = request.connection](const KvResponse& reply) {
         const ServiceResponse response = encode_state_reply(call, reply);
         state_->respond(connection, response.status, response.body, 0);
       });
@@ -213,7 +213,7 @@
     case Fault::LEADER_KILLED:
       return world_->kill(busiest_controller(), span);
     case Fault::STATE_SERVICE_DOWN:
-      return world_->state_outage(span);
+      return world_->kv_store_outage(span);
     case Fault::ZONE_WORKERS_GONE:
       return remove_zone_workers(fault.zone());
     case Fault::REGION_CUT:
