--- a/tools/scale/region_process.hpp
+++ b/tools/scale/region_process.hpp
@@ -47,7 +47,7 @@
                       const std::string& body, std::function<void(int, std::string)> done) override;
   void send_user_request(const std::string& address, const UserRequest& request,
                          std::function<void(int, std::string)> done) override;
-  void answered(std::size_t node, const Answer& answer) override;
+  void answered(std::size_t node, const Response& response) override;
 
   std::unique_ptr<sim::Controller> start_controller(std::size_t node, const Settings& settings);
   WorkerSockets& worker_sockets(const std::string& machine);
--- a/tools/scale/remote_controller.hpp
+++ b/tools/scale/remote_controller.hpp
@@ -21,7 +21,7 @@
   virtual void send_user_request(const std::string& address, const UserRequest& request,
                                  std::function<void(int, std::string)> done) = 0;
   /// An answer has come; the region's day goes on with it.
-  virtual void answered(std::size_t node, const Answer& answer) = 0;
+  virtual void answered(std::size_t node, const Response& response) = 0;
 };
 
 class RemoteController : public sim::Controller {
@@ -43,7 +43,7 @@
   [[nodiscard]] std::uint64_t epoch() const override { return 0; }
 
  private:
-  std::function<void(int, std::string)> answer_to(const Origin& origin);
+  std::function<void(int, std::string)> answer_to(const RequestSource& source);
 
   RegionSockets& sockets_;
   const std::size_t node_;
