--- a/sim/troubles.cpp
+++ b/sim/troubles.cpp
@@ -30,9 +30,9 @@
   ++n.incarnation;
   for (std::size_t j = 0; j < nodes_.size(); ++j) {
     if (j == node) continue;
-    const auto& siblings = settings_[j].siblings;
-    for (std::size_t k = 0; k < siblings.size(); ++k)
-      if (siblings[k].name == n.name)
+    const auto& peers = settings_[j].peers;
+    for (std::size_t k = 0; k < peers.size(); ++k)
+      if (peers[k].name == n.name)
         carry(n.name, nodes_[j].name, [this, j, k] { feed(j, PeerDisconnected{k}); });
   }
   at(now_ + for_ms, [this, node] {
--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -14,7 +14,7 @@
   s.zone = zones[node % 2];
   s.listen = "10.0.0.1:8080";
   for (std::size_t i = 0; i < 3; ++i)
-    if (i != node) s.siblings.push_back({node_name(i), zones[i % 2], "10.0.0.9:1"});
+    if (i != node) s.peers.push_back({node_name(i), zones[i % 2], "10.0.0.9:1"});
   s.zones = zones;
   const double large = scale > 1 ? 2 : 1;
   s.teams = {{"red", 0, 0, 16.0 * scale, 30.0 * large * scale},
@@ -321,7 +321,7 @@
 
 // Over the real frames, so that these are in the test too.
 void World::perform(std::size_t i, const SendPeer& peer) {
-  const std::string to = settings_[i].siblings[peer.sibling].name;
+  const std::string to = settings_[i].peers[peer.peer].name;
   const std::size_t j = node_index(to);
   // The link ends with the process: its number stands for both.
   const std::uint64_t link = nodes_[i].incarnation * nodes_.size() + i;
@@ -343,9 +343,9 @@
       feed(to, HeartbeatReceived{source, *heartbeat, request.body});
     return;
   }
-  const auto& siblings = settings_[to].siblings;
-  for (std::size_t k = 0; k < siblings.size(); ++k)
-    if (siblings[k].name == nodes_[from].name) feed(to, PeerMessageReceived{k, message});
+  const auto& peers = settings_[to].peers;
+  for (std::size_t k = 0; k < peers.size(); ++k)
+    if (peers[k].name == nodes_[from].name) feed(to, PeerMessageReceived{k, message});
 }
 
 void World::handle_node_response(std::size_t i, const Response& a) {
@@ -360,9 +360,9 @@
           static_cast<std::uint32_t>(std::max<Time>(0, a.valid_until - steady_clock(i)));
     carry(nodes_[i].name, nodes_[j].name, [this, i, j, incarnation, m] {
       if (nodes_[j].incarnation != incarnation) return;
-      const auto& siblings = settings_[j].siblings;
-      for (std::size_t k = 0; k < siblings.size(); ++k)
-        if (siblings[k].name == nodes_[i].name) feed(j, PeerMessageReceived{k, m});
+      const auto& peers = settings_[j].peers;
+      for (std::size_t k = 0; k < peers.size(); ++k)
+        if (peers[k].name == nodes_[i].name) feed(j, PeerMessageReceived{k, m});
     });
     return;
   }
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -47,11 +47,11 @@
         workers_(loop_, sockets_.worker_calls),
         server_(loop_, settings.listen, sockets_.server, kMaxBody, kIdleMs,
                 [this](ServerRequest r) { serve(std::move(r)); }),
-        peers_(loop_, settings.peer_listen, sockets_.links, link_backlog(settings),
-               batching(settings),
-               {[this](std::uint64_t link, std::string_view b) { return peer_bytes(link, b); },
-                [this](std::uint64_t link) { peer_closed(link); }}),
-        siblings_(settings.siblings.size()),
+        peer_links_(loop_, settings.peer_listen, sockets_.links, link_backlog(settings),
+                    batching(settings),
+                    {[this](std::uint64_t link, std::string_view b) { return peer_bytes(link, b); },
+                     [this](std::uint64_t link) { peer_closed(link); }}),
+        outgoing_links_(settings.peers.size()),
         regions_(region_links(options.federation)),
         tick_(loop_, [this] { feed(Tick{}); }),
         sweep_(loop_, [this] { sweep(); }) {}
@@ -138,8 +138,8 @@
         m.response.valid_ms = static_cast<std::uint32_t>(
             std::clamp<Time>(valid_until - EventLoop::now_ms(), 0, UINT32_MAX - 1));
       // What answers the frames that are being read leaves with their last one.
-      peers_.send(source.link, encode_peer(m),
-                  source.link == reading_link_ ? Urgency::UntilFlush : Urgency::Now);
+      peer_links_.send(source.link, encode_peer(m),
+                       source.link == reading_link_ ? Urgency::UntilFlush : Urgency::Now);
     }
   }
 
@@ -171,7 +171,7 @@
   }
 
   void act(const SendPeer& a) {
-    send(siblings_[a.sibling], settings_.siblings[a.sibling].address, a.message);
+    send(outgoing_links_[a.peer], settings_.peers[a.peer].address, a.message);
   }
 
   // Which of them leads is known there; only that one looks at it.
@@ -186,9 +186,9 @@
     if (to.link == 0) {
       if (EventLoop::now_ms() < to.retry_at) return;
       to.retry_at = EventLoop::now_ms() + kReconnectMs;
-      to.link = peers_.connect(address);
+      to.link = peer_links_.connect(address);
     }
-    peers_.send(to.link, encode_peer(message), urgency_of(message));
+    peer_links_.send(to.link, encode_peer(message), urgency_of(message));
   }
 
   // The next report of a worker, or question of a user, is seconds away, and what it may bring
@@ -254,7 +254,7 @@
       if (!readers_.contains(link)) break;  // closed meanwhile
     }
     reading_link_ = 0;
-    peers_.flush(link);
+    peer_links_.flush(link);
     const auto it = readers_.find(link);
     return it == readers_.end() || !it->second.broken();
   }
@@ -262,8 +262,8 @@
   void peer_message(std::uint64_t link, PeerMessage m) {
     switch (m.kind) {
       case PeerMessage::Kind::Heartbeat:
-        for (std::size_t i = 0; i < settings_.siblings.size(); ++i)
-          if (settings_.siblings[i].name == m.heartbeat.node)
+        for (std::size_t i = 0; i < settings_.peers.size(); ++i)
+          if (settings_.peers[i].name == m.heartbeat.node)
             return feed(PeerMessageReceived{i, std::move(m)});
         return;
       case PeerMessage::Kind::Request: {
@@ -276,8 +276,8 @@
         return feed(HeartbeatReceived{source, std::move(*heartbeat), std::move(m.request.body)});
       }
       case PeerMessage::Kind::Response:
-        for (std::size_t i = 0; i < siblings_.size(); ++i)
-          if (siblings_[i].link == link) return feed(PeerMessageReceived{i, std::move(m)});
+        for (std::size_t i = 0; i < outgoing_links_.size(); ++i)
+          if (outgoing_links_[i].link == link) return feed(PeerMessageReceived{i, std::move(m)});
         return;
       case PeerMessage::Kind::Region:
         if (!m.region.from.empty()) feed(RegionMessageReceived{std::move(m.region)});
@@ -290,9 +290,9 @@
     for (auto& links : regions_)
       for (OutgoingLink& region : links)
         if (region.link == link) region.link = 0;
-    for (std::size_t i = 0; i < siblings_.size(); ++i)
-      if (siblings_[i].link == link) {
-        siblings_[i].link = 0;
+    for (std::size_t i = 0; i < outgoing_links_.size(); ++i)
+      if (outgoing_links_[i].link == link) {
+        outgoing_links_[i].link = 0;
         // Told from the loop's next turn: this may be within a step of the core.
         lost_.push_back(i);
       }
@@ -311,8 +311,8 @@
   const SocketShares sockets_;
   HttpClient client_, workers_;
   HttpServer server_;
-  PeerLinks peers_;
-  std::vector<OutgoingLink> siblings_;
+  PeerLinks peer_links_;
+  std::vector<OutgoingLink> outgoing_links_;
   std::vector<std::vector<OutgoingLink>> regions_;
   std::unordered_map<std::uint64_t, PeerReader> readers_;
   std::uint64_t reading_link_ = 0;  // whose frames are being taken in; 0: none
--- a/src/coordination/actions.hpp
+++ b/src/coordination/actions.hpp
@@ -46,7 +46,7 @@
   std::optional<Heartbeat> heartbeat;
 };
 struct PeerMessageReceived {
-  std::size_t sibling = 0;
+  std::size_t peer = 0;
   PeerMessage
       message;  // a heartbeat or an answer; requests come as UserRequest or HeartbeatReceived
 };
@@ -55,7 +55,7 @@
   RegionMessage message;
 };
 struct PeerDisconnected {
-  std::size_t sibling = 0;
+  std::size_t peer = 0;
 };
 struct Tick {};
 using Input = std::variant<Tick, UserRequest, HeartbeatReceived, KvResponseReceived,
@@ -88,7 +88,7 @@
   Time valid_until = kNever;
 };
 struct SendPeer {
-  std::size_t sibling = 0;
+  std::size_t peer = 0;
   PeerMessage message;
 };
 /// To whoever leads the region; only a leader there looks at it.
--- a/src/coordination/capacity_check.cpp
+++ b/src/coordination/capacity_check.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kServerPart = 2;
 /// One link each way for each sibling, and as many again that a cut has left half open. A few more
 /// than that cost nothing.
-constexpr std::size_t kLinksPerSibling = 8;
+constexpr std::size_t kLinksPerPeer = 8;
 constexpr std::size_t kLeastLinks = 32;
 /// Workers get this share of what users and workers have; users' connections are short.
 constexpr double kWorkersShare = 0.9;
@@ -34,18 +34,17 @@
   SocketShares shares;
   shares.services = sockets / kServicesPart;
   shares.worker_calls = sockets / kWorkerCallsPart;
-  const std::size_t sibling_links =
-      std::max(kLeastLinks, kLinksPerSibling * settings.siblings.size());
-  shares.links = sibling_links + region_links;
+  const std::size_t peer_links = std::max(kLeastLinks, kLinksPerPeer * settings.peers.size());
+  shares.links = peer_links + region_links;
   // The links have half of their sockets from the server's part, the rest from what the others
   // leave; where there are few sockets, the server keeps half of its part.
   const std::size_t part = sockets / kServerPart;
-  shares.server = part - std::min(part / 2, sibling_links / 2);
+  shares.server = part - std::min(part / 2, peer_links / 2);
   return shares;
 }
 
 CapacityLimit tightest_limit(const Settings& settings, const Options& options, double boot_s) {
-  const std::size_t up = std::max<std::size_t>(1, settings.siblings.size());
+  const std::size_t up = std::max<std::size_t>(1, settings.peers.size());
   const double connections = static_cast<double>(up * share_sockets(settings, 0).server);
   const double writes_per_s = settings.store.write_rps * options.write_share;
   const CapacityLimit limits[] = {
--- a/src/coordination/rounds.cpp
+++ b/src/coordination/checkpoint_commits.cpp
@@ -33,33 +33,34 @@
 constexpr double kImageHintReserve = 0.75;
 }  // namespace
 
-bool Core::round_needed() const {
-  return (!features_written_ && siblings_.all_understand_gangs()) || !dirty_jobs_.empty() ||
-         !dirty_machine_shards_.empty() || rentals_dirty_ || !waiting_next_.empty() ||
-         !finished_next_.empty() || limits_.wants_round();
+bool Core::commit_needed() const {
+  return (!features_written_ && peers_.all_understand_gangs()) || !dirty_jobs_.empty() ||
+         !dirty_machine_shards_.empty() || rentals_dirty_ || !pending_responses_.empty() ||
+         !finished_tasks_.empty() || limits_.wants_commit();
 }
 
 // A user, a worker, or another region's work waits for what the next round brings.
-bool Core::someone_waits() const { return !waiting_next_.empty() || limits_.wants_round(); }
+bool Core::someone_waits() const { return !pending_responses_.empty() || limits_.wants_commit(); }
 
-void Core::maybe_commit() {
+void Core::commit_if_due() {
   if (role_ != Role::Leader) return;
-  if (round_open_) {
-    if (clock_.now >= round_retry_) {
-      round_retry_ = kNever;
-      resolve_round();
+  if (commit_in_flight_) {
+    if (clock_.now >= commit_retry_at_) {
+      commit_retry_at_ = kNever;
+      resolve_uncertain_commit();
     }
     return;
   }
-  if (!in_command(clock_.now) || (!round_needed() && !image_hints_due())) return;
+  if (!holds_valid_lease(clock_.now) || (!commit_needed() && !image_hints_due())) return;
   // What nobody waits for is gathered for a moment: each round writes the head anew.
-  if (!someone_waits() && clock_.now < round_ended_ + heartbeat_interval() / kCommitsPerHeartbeat)
+  if (!someone_waits() &&
+      clock_.now < last_commit_at_ + heartbeat_interval() / kCommitsPerHeartbeat)
     return;
   double needed = 1;
   if (!someone_waits()) needed += kLeastOperations + kBackgroundReserve * write_limiter_.burst();
   if (!write_limiter_.allows(needed, clock_.now)) return;
   if (!kv_limiter_.allows(settings_.store.rps / 10, clock_.now)) return;
-  send_round();
+  send_commit();
 }
 
 bool Core::image_hints_due() {
@@ -80,72 +81,73 @@
 
 // The limits of the settings; halved for each round that the state service refused all the same.
 std::size_t Core::value_limit(double fill) const {
-  const double refused = std::exp2(static_cast<double>(refused_rounds_));
+  const double refused = std::exp2(static_cast<double>(rejected_commits_));
   return static_cast<std::size_t>(std::max(kLeastValueKb, settings_.store.value_kb / refused) *
                                   1024 * fill);
 }
 
 std::size_t Core::operations_limit() const {
-  return std::max<std::size_t>(1 + kLeastOperations, settings_.store.txn_ops >> refused_rounds_);
+  return std::max<std::size_t>(1 + kLeastOperations, settings_.store.txn_ops >> rejected_commits_);
 }
 
 // Puts the next round together and sends it.
-void Core::send_round() {
-  round_ = Round{};
-  round_.tail = tail_;
-  if (head_bytes_of(tail_) > value_limit(kValueFill)) return send_spill();
-  round_.seq = head_seq_ + 1;
+void Core::send_commit() {
+  commit_ = CheckpointCommit{};
+  commit_.recent_records = recent_records_;
+  if (manifest_bytes_of(recent_records_) > value_limit(kValueFill)) return send_flush();
+  commit_.seq = manifest_seq_ + 1;
   const std::size_t allowed =
       1 + (!someone_waits() ? std::max(kLeastOperations, operations_allowed(kBackgroundReserve))
                             : operations_allowed(kUrgentReserve));
   const std::size_t most = operations_limit();
   CompareAndSwapBuilder transaction(std::min(most, allowed), kConditionBytes + value_limit(1));
 
-  Head head{round_.seq, epoch_, {}};
-  std::size_t head_bytes = add_rentals(head);
+  Manifest manifest{commit_.seq, epoch_, {}};
+  std::size_t manifest_bytes = add_rentals(manifest);
   add_features(transaction);
   add_shares(transaction);
   // Where a transaction takes few changes, lists of machines leave some to a head that fills up.
-  if (head_bytes_of(round_.tail) > value_limit(kHeadFill))
+  if (manifest_bytes_of(commit_.recent_records) > value_limit(kHeadFill))
     transaction.limit_operations(1 + (std::min(most, allowed) - 1) / 2);
   add_machine_shards(transaction);
   transaction.limit_operations(std::min(most, allowed));
   // Users may wait for what depends on these.
-  if (!waiting_next_.empty()) transaction.limit_operations(most);
+  if (!pending_responses_.empty()) transaction.limit_operations(most);
   std::vector<Job*> postponed;
   std::map<std::string, Job*> changed = add_bitmaps(transaction, postponed);
 
-  for (auto& [id, job] : changed) round_.tail[id] = job->round_text = record_text(*job, round_.seq);
-  for (const auto& [id, text] : round_.tail) head_bytes += text.size() + 1;
+  for (auto& [id, job] : changed)
+    commit_.recent_records[id] = job->in_flight_record = record_text(*job, commit_.seq);
+  for (const auto& [id, text] : commit_.recent_records) manifest_bytes += text.size() + 1;
   // Without all operations, a head that is full would take no more records.
-  const bool full = head_bytes > value_limit(kValueFill);
+  const bool full = manifest_bytes > value_limit(kValueFill);
   transaction.limit_operations(full ? most
                                     : std::min(most, std::max(allowed, transaction.operations())));
-  if (head_bytes > value_limit(kHeadFill))
-    head_bytes -= flush_tail(transaction, head_bytes - value_limit(kHeadLow));
-  if (head_bytes > value_limit(kValueFill)) postpone_excess(changed, postponed, head_bytes);
+  if (manifest_bytes > value_limit(kHeadFill))
+    manifest_bytes -= flush_recent_records(transaction, manifest_bytes - value_limit(kHeadLow));
+  if (manifest_bytes > value_limit(kValueFill)) postpone_excess(changed, postponed, manifest_bytes);
 
   std::vector<std::string> records;
-  for (const auto& [id, text] : round_.tail) records.push_back(text);
-  round_.call = std::move(transaction)
-                    .finish({{kEpochKey, epoch_version_}, {kHeadKey, head_version_}},
-                            {kHeadKey, encode_head(head, records), 0});
+  for (const auto& [id, text] : commit_.recent_records) records.push_back(text);
+  commit_.call = std::move(transaction)
+                     .finish({{kEpochKey, epoch_version_}, {kManifestKey, manifest_version_}},
+                             {kManifestKey, encode_manifest(manifest, records), 0});
   for (auto& [id, job] : changed) {
     job->dirty = false;
-    job->round_phase = job->record.phase;
-    round_.jobs.push_back({id, job->record.phase, job->record.final, job->record.started});
+    job->in_flight_phase = job->record.phase;
+    commit_.jobs.push_back({id, job->record.phase, job->record.final, job->record.started});
   }
   dirty_jobs_ = std::move(postponed);
-  take_waiters();
-  round_open_ = true;
-  log_round();
-  resolve_round();
+  move_pending_responses_to_commit();
+  commit_in_flight_ = true;
+  log_commit();
+  resolve_uncertain_commit();
 }
 
 // What a round writes, by the kind of key.
-void Core::log_round() {
+void Core::log_commit() {
   std::size_t jobs = 0, machines = 0, other = 0;
-  for (const KvRequest::Put& put : round_.call.puts) {
+  for (const KvRequest::Put& put : commit_.call.puts) {
     if (put.key.starts_with(kShardPrefix))
       ++jobs;
     else if (put.key.starts_with(kMachinesPrefix))
@@ -153,16 +155,17 @@
     else
       ++other;
   }
-  log(Log::Level::Debug, "event=round seq=", round_.seq, " job_shards=", jobs,
-      " machine_shards=", machines, " other=", other + round_.call.deletes.size(),
-      " head_bytes=", round_.call.puts.empty() ? 0 : round_.call.puts.front().value.size(),
-      " changes=", round_.jobs.size(), " waiters=", round_.waiters.size());
+  log(Log::Level::Debug, "event=round seq=", commit_.seq, " job_shards=", jobs,
+      " machine_shards=", machines, " other=", other + commit_.call.deletes.size(),
+      " head_bytes=", commit_.call.puts.empty() ? 0 : commit_.call.puts.front().value.size(),
+      " changes=", commit_.jobs.size(), " waiters=", commit_.pending_responses.size());
 }
 
 // What a head with these records, and the open rentals, takes.
-std::size_t Core::head_bytes_of(const std::map<std::string, std::string>& tail) const {
+std::size_t Core::manifest_bytes_of(
+    const std::map<std::string, std::string>& recent_records) const {
   std::size_t bytes = rental_bytes();
-  for (const auto& [id, text] : tail) bytes += text.size() + 1;
+  for (const auto& [id, text] : recent_records) bytes += text.size() + 1;
   return bytes;
 }
 
@@ -180,23 +183,23 @@
 // records are copied to shards, a few in each round, while the head stays as it is. Each shard is
 // written once, and always with the same records: so a copy of such a transaction that is carried
 // out late changes nothing, although no key that it is conditional on has changed meanwhile.
-void Core::send_spill() {
-  round_.spill = true;
-  round_.seq = head_seq_;
+void Core::send_flush() {
+  commit_.flush = true;
+  commit_.seq = manifest_seq_;
   CompareAndSwapBuilder transaction(operations_limit(), kConditionBytes);
-  flush_tail(transaction, SIZE_MAX);
-  round_.call =
-      std::move(transaction).finish({{kEpochKey, epoch_version_}, {kHeadKey, head_version_}});
-  log(Log::Level::Info, "event=head_divided left=", round_.tail.size());
-  round_open_ = true;
-  resolve_round();
+  flush_recent_records(transaction, SIZE_MAX);
+  commit_.call = std::move(transaction)
+                     .finish({{kEpochKey, epoch_version_}, {kManifestKey, manifest_version_}});
+  log(Log::Level::Info, "event=head_divided left=", commit_.recent_records.size());
+  commit_in_flight_ = true;
+  resolve_uncertain_commit();
 }
 
 // The open rentals lie in the head; what they take isn't there for jobs. Returns their size.
-std::size_t Core::add_rentals(Head& head) {
+std::size_t Core::add_rentals(Manifest& manifest) {
   for (const auto& [request, rental] : rentals_) {
-    head.rentals.push_back(rental.request);
-    round_.rentals.push_back(request);
+    manifest.rentals.push_back(rental.request);
+    commit_.rentals.push_back(request);
   }
   rentals_dirty_ = false;
   return rental_bytes();
@@ -205,8 +208,8 @@
 // Once every controller understands gangs, that is written down: a later leader need not hear all
 // of them again.
 void Core::add_features(CompareAndSwapBuilder& transaction) {
-  if (features_written_ || !siblings_.all_understand_gangs()) return;
-  round_.features = transaction.put(kFeaturesKey, encode_features({.gangs = true}));
+  if (features_written_ || !peers_.all_understand_gangs()) return;
+  commit_.features = transaction.put(kFeaturesKey, encode_features({.gangs = true}));
 }
 
 void Core::add_machine_shards(CompareAndSwapBuilder& transaction) {
@@ -239,7 +242,7 @@
   const std::string key = machines_key(shard);
   const bool added = names.empty() ? transaction.erase(key) : transaction.put(key, value);
   if (!added) return false;
-  round_.machines_added.insert(round_.machines_added.end(), names.begin(), names.end());
+  commit_.machines_added.insert(commit_.machines_added.end(), names.begin(), names.end());
   dirty_machine_shards_.erase(shard);
   stale_image_shards_.erase(shard);
   return true;
@@ -263,7 +266,7 @@
 // refused before.
 bool Core::small_pieces() const {
   return value_limit(1) < encode_piece(std::string(kPieceBits / kBitsPerDigit, '0')).size() &&
-         (gangs_enabled_ || refused_rounds_ > 0);
+         (gangs_enabled_ || rejected_commits_ > 0);
 }
 
 bool Core::add_bitmap(CompareAndSwapBuilder& transaction, Job& job) {
@@ -302,9 +305,9 @@
 
 // Moves `wanted` bytes of the head, or as much as the transaction takes, to their shards, together
 // with what lies there already. Returns how many bytes of the head that frees.
-std::size_t Core::flush_tail(CompareAndSwapBuilder& transaction, std::size_t wanted) {
+std::size_t Core::flush_recent_records(CompareAndSwapBuilder& transaction, std::size_t wanted) {
   std::map<std::size_t, std::vector<std::string>> by_shard;
-  for (const auto& [id, text] : round_.tail)
+  for (const auto& [id, text] : commit_.recent_records)
     by_shard[shards_.place(id, reserve_for(id, text))].push_back(id);
   // Those first that free most with one write.
   std::vector<std::pair<std::size_t, std::size_t>> order;  // records of the head, and their shard
@@ -317,8 +320,8 @@
     if (freed >= wanted) break;
     if (!put_shard(transaction, shard)) continue;
     for (const std::string& id : by_shard[shard]) {
-      freed += round_.tail[id].size() + 1;
-      round_.tail.erase(id);
+      freed += commit_.recent_records[id].size() + 1;
+      commit_.recent_records.erase(id);
     }
   }
   return freed;
@@ -351,7 +354,8 @@
 
 // A job's record for its shard; empty if there is none yet.
 std::string Core::text_for_shard(const std::string& id) {
-  if (const auto t = round_.tail.find(id); t != round_.tail.end()) return t->second;
+  if (const auto t = commit_.recent_records.find(id); t != commit_.recent_records.end())
+    return t->second;
   // As the checkpoint has it. Encoded from memory, a change that waits for a later round would be
   // read by others before its own round, and told to users.
   if (const Job* job = tables_.job(id)) return job->stored;
@@ -368,19 +372,20 @@
 
 // A burst larger than one round: the rest of it waits for the next.
 void Core::postpone_excess(std::map<std::string, Job*>& changed, std::vector<Job*>& postponed,
-                           std::size_t head_bytes) {
-  for (auto it = changed.begin(); it != changed.end() && head_bytes > value_limit(kValueFill);) {
-    const auto t = round_.tail.find(it->first);
-    if (t == round_.tail.end()) {
+                           std::size_t manifest_bytes) {
+  for (auto it = changed.begin();
+       it != changed.end() && manifest_bytes > value_limit(kValueFill);) {
+    const auto t = commit_.recent_records.find(it->first);
+    if (t == commit_.recent_records.end()) {
       ++it;
       continue;
     }
-    head_bytes -= t->second.size() + 1;
-    if (const auto before = tail_.find(it->first); before != tail_.end()) {
+    manifest_bytes -= t->second.size() + 1;
+    if (const auto before = recent_records_.find(it->first); before != recent_records_.end()) {
       t->second = before->second;
-      head_bytes += t->second.size() + 1;
+      manifest_bytes += t->second.size() + 1;
     } else {
-      round_.tail.erase(t);
+      commit_.recent_records.erase(t);
     }
     postponed.push_back(it->second);
     it = changed.erase(it);
@@ -388,106 +393,108 @@
 }
 
 // Users and workers who wait for a job of this round are answered with it, the others later.
-void Core::take_waiters() {
+void Core::move_pending_responses_to_commit() {
   std::set<std::string> postponed;
   for (const Job* job : dirty_jobs_) postponed.insert(job->spec().id);
-  std::vector<Waiter> waiters = std::exchange(waiting_next_, {});
-  for (Waiter& waiter : waiters)
-    (postponed.contains(waiter.id) ? waiting_next_ : round_.waiters).push_back(std::move(waiter));
-  std::vector<FinishedTask> finished = std::exchange(finished_next_, {});
+  std::vector<PendingResponse> pending_responses = std::exchange(pending_responses_, {});
+  for (PendingResponse& waiter : pending_responses)
+    (postponed.contains(waiter.id) ? pending_responses_ : commit_.pending_responses)
+        .push_back(std::move(waiter));
+  std::vector<FinishedTask> finished = std::exchange(finished_tasks_, {});
   for (FinishedTask& task : finished)
-    (postponed.contains(task.job) ? finished_next_ : round_.finished_tasks)
+    (postponed.contains(task.job) ? finished_tasks_ : commit_.finished_tasks)
         .push_back(std::move(task));
 }
 
 // Sends the open round's transaction, again if need be. Without an answer it may have been carried
 // out, or may be later; but as it is conditional on the head, it can be so only once, and nothing
 // else is written until its fate is known.
-void Core::resolve_round() {
-  if (!in_command(clock_.now)) {
-    round_retry_ = clock_.now + 50;
+void Core::resolve_uncertain_commit() {
+  if (!holds_valid_lease(clock_.now)) {
+    commit_retry_at_ = clock_.now + 50;
     return;
   }
   const std::uint64_t term = term_;
-  write_limiter_.spend(static_cast<double>(round_.call.puts.size() + round_.call.deletes.size()),
+  write_limiter_.spend(static_cast<double>(commit_.call.puts.size() + commit_.call.deletes.size()),
                        clock_.now);
   call_kv_store(
-      round_.call,
+      commit_.call,
       [this, term](const KvResponse& reply) {
-        if (term == term_ && role_ == Role::Leader) round_done(reply);
+        if (term == term_ && role_ == Role::Leader) handle_commit_response(reply);
       },
       true);
 }
 
 // Too large, although it is within the limits as we know them. Whether an earlier copy of it was
 // carried out isn't known; whoever leads next reads that, and writes smaller rounds.
-void Core::round_refused() {
+void Core::commit_rejected() {
   std::size_t largest = 0;
   std::string key;
-  for (const KvRequest::Put& put : round_.call.puts) {
+  for (const KvRequest::Put& put : commit_.call.puts) {
     if (put.value.size() < largest) continue;
     largest = put.value.size();
     key = put.key;
   }
-  log(Log::Level::Error, "event=round_refused seq=", round_.seq,
-      " operations=", round_.call.puts.size() + round_.call.deletes.size(), " largest_key=", key,
+  log(Log::Level::Error, "event=round_refused seq=", commit_.seq,
+      " operations=", commit_.call.puts.size() + commit_.call.deletes.size(), " largest_key=", key,
       " largest_bytes=", largest);
-  refused_rounds_ = std::min(kMostRefusals, refused_rounds_ + 1);
+  rejected_commits_ = std::min(kMostRefusals, rejected_commits_ + 1);
   revoke(lease_);
-  lease_deadline_ = std::min(lease_deadline_, clock_.now);
+  lease_expiry_ = std::min(lease_expiry_, clock_.now);
   step_down("the state service refuses a round");
 }
 
-void Core::round_done(const KvResponse& reply) {
-  if (reply.status == 200) return round_committed(reply.revision);
-  if (reply.status == 400) return round_refused();
+void Core::handle_commit_response(const KvResponse& reply) {
+  if (reply.status == 200) return commit_succeeded(reply.revision);
+  if (reply.status == 400) return commit_rejected();
   if (reply.status != 409) {
-    round_retry_ = clock_.now + (reply.status == 0 ? 0 : 100);
+    commit_retry_at_ = clock_.now + (reply.status == 0 ? 0 : 100);
     // Whoever waits is told at once to come back; what they asked for goes on to be written, and a
     // repeat finds it.
-    for (auto* waiters : {&round_.waiters, &waiting_next_}) {
-      for (const Waiter& w : *waiters) reject(w.source, "the state service does not answer");
-      waiters->clear();
+    for (auto* pending_responses : {&commit_.pending_responses, &pending_responses_}) {
+      for (const PendingResponse& w : *pending_responses)
+        reject(w.source, "the state service does not answer");
+      pending_responses->clear();
     }
-    if (round_.retries++ == 0)
-      log(Log::Level::Info, "event=round_retry seq=", round_.seq, " status=", reply.status);
+    if (commit_.retries++ == 0)
+      log(Log::Level::Info, "event=round_retry seq=", commit_.seq, " status=", reply.status);
     return;
   }
-  if (round_.spill) return step_down("the checkpoint is another's");
+  if (commit_.flush) return step_down("the checkpoint is another's");
   // Either an earlier copy of it was carried out, or another leads.
   const std::uint64_t term = term_;
   KvRequest get;
   get.kind = KvRequest::Kind::List;
-  get.key = kHeadKey;
+  get.key = kManifestKey;
   get.limit = 1;
   call_kv_store(
       get,
       [this, term](const KvResponse& r) {
         if (term != term_ || role_ != Role::Leader) return;
         if (r.status != 200) {
-          round_retry_ = clock_.now + 100;
+          commit_retry_at_ = clock_.now + 100;
           return;
         }
         Snapshot image;
         for (const KvItem& item : r.items) image.apply(item);
-        if (image.head.seq == round_.seq && image.head.epoch == epoch_)
-          round_committed(image.head_version);
+        if (image.manifest.seq == commit_.seq && image.manifest.epoch == epoch_)
+          commit_succeeded(image.manifest_version);
         else
           step_down("the checkpoint is another's");
       },
       true);
 }
 
-void Core::round_committed(std::uint64_t revision) {
-  Round r = std::move(round_);
-  round_ = Round{};
-  round_open_ = false;
-  round_ended_ = clock_.now;
-  round_retry_ = kNever;
-  tail_ = std::move(r.tail);
-  if (r.spill) return;
-  head_seq_ = r.seq;
-  head_version_ = revision;
+void Core::commit_succeeded(std::uint64_t revision) {
+  CheckpointCommit r = std::move(commit_);
+  commit_ = CheckpointCommit{};
+  commit_in_flight_ = false;
+  last_commit_at_ = clock_.now;
+  commit_retry_at_ = kNever;
+  recent_records_ = std::move(r.recent_records);
+  if (r.flush) return;
+  manifest_seq_ = r.seq;
+  manifest_version_ = revision;
   if (r.features) {
     features_written_ = gangs_enabled_ = true;
     log(Log::Level::Info, "event=gangs_enabled");
@@ -506,20 +513,20 @@
     if (Machine* m = tables_.machine(f.machine))
       for (Placement& p : m->placements)
         if (p.state == PlaceState::Exited && p.key.index == f.index && p.key.job == f.job)
-          p.settled = true;
+          p.exit_committed = true;
   std::vector<Job*> over;
   for (const auto& [id, phase, final, started] : r.jobs) {
     Job* job = tables_.job(id);
     if (job == nullptr) continue;
     if (!job->committed) placement_dirty_ = true;
     job->committed = true;
-    job->round_phase.reset();
-    job->stored = std::move(job->round_text);
+    job->in_flight_phase.reset();
+    job->stored = std::move(job->in_flight_record);
     job->committed_phase = phase;
     job->started = started;
     if (final) over.push_back(job);
   }
-  for (const Waiter& w : r.waiters) {
+  for (const PendingResponse& w : r.pending_responses) {
     if (const Job* job = tables_.job(w.id))
       respond_with_job(w.source, w.status, view(*job));
     else if (const auto f = tables_.finished.find(w.id); f != tables_.finished.end())
@@ -531,23 +538,24 @@
 }
 
 bool Core::too_many_waiting() const {
-  return waiting_next_.size() + round_.waiters.size() > most_open_requests();
+  return pending_responses_.size() + commit_.pending_responses.size() > most_open_requests();
 }
 
 // Each user or worker that waits for an answer has a socket at one of the controllers.
 std::size_t Core::most_open_requests() const {
-  return settings_.limits.sockets * (1 + siblings_.size());
+  return settings_.limits.sockets * (1 + peers_.size());
 }
 
 // To be answered once what is known of the job is in the checkpoint: with the round in flight, if
 // that has it.
 void Core::respond_after_commit(const Job& job, const RequestSource& source, int status) {
-  if (round_.retries > 0) return reject(source, "the state service does not answer");
+  if (commit_.retries > 0) return reject(source, "the state service does not answer");
   if (too_many_waiting()) return reject(source, "too many requests at once");
   // The round in flight may have been sent before the last change: a cancellation was once answered
   // "running" with the round that recorded that it had been asked for.
-  const bool with_this = job.round_phase && !job.dirty;
-  (with_this ? round_.waiters : waiting_next_).push_back({source, status, job.spec().id});
+  const bool with_this = job.in_flight_phase && !job.dirty;
+  (with_this ? commit_.pending_responses : pending_responses_)
+      .push_back({source, status, job.spec().id});
 }
 
 // While a round is in flight, or its answer was lost, another node may have read what it wrote and
@@ -558,9 +566,9 @@
 }
 
 // Marks a job that is over for its last record, once none of its tasks can be on a machine.
-void Core::settle_job(Job& job) {
+void Core::finalize_if_over(Job& job) {
   if (job.active() || job.record.final || job.placed > 0 || job.unknown > 0) return;
-  if (!job.strays.empty()) return;
+  if (!job.orphans.empty()) return;
   job.record.final = true;
   touch(job);
   if (job.record.phase == Phase::Active) cancel_over(job);
@@ -584,7 +592,7 @@
     if (m == nullptr) continue;
     for (Placement& p : m->placements) {
       if (p.job == &job) p.job = nullptr;
-      if (p.stray_of == &job) p.stray_of = nullptr;
+      if (p.orphan_of == &job) p.orphan_of = nullptr;
     }
   }
   gangs_.erase(id);
--- a/src/coordination/core.cpp
+++ b/src/coordination/core.cpp
@@ -30,7 +30,7 @@
       cloud_limiter_(settings_.market.rps * 0.8, settings_.market.rps * 1.2),
       election_history_(worker_lease()),
       incarnation_((std::uint64_t{random_()} << 32) | random_() | 1),
-      siblings_(settings_.siblings.size(), incarnation_, worker_lease(), keep_alive_span()),
+      peers_(settings_.peers.size(), incarnation_, worker_lease(), keep_alive_span()),
       shards_(value_limit(kValueFill)) {
   nonce_ = (std::uint64_t{random_()} << 20) ^ random_();
 }
@@ -57,21 +57,21 @@
           handle_worker_response(in);
         } else if constexpr (std::is_same_v<T, PeerMessageReceived>) {
           if (in.message.kind == PeerMessage::Kind::Heartbeat)
-            peer_heartbeat(in.sibling, in.message.heartbeat);
+            peer_heartbeat(in.peer, in.message.heartbeat);
           else if (in.message.kind == PeerMessage::Kind::Response)
-            handle_peer_response(in.sibling, in.message.response);
+            handle_peer_response(in.peer, in.message.response);
         } else if constexpr (std::is_same_v<T, RegionMessageReceived>) {
           region_input(in);
         } else if constexpr (std::is_same_v<T, PeerDisconnected>) {
-          siblings_.lost(in.sibling);
+          peers_.lost(in.peer);
           for (auto& [call, f] : forwarded_)
-            if (f.sibling == in.sibling) f.until = clock_.now;
+            if (f.peer == in.peer) f.until = clock_.now;
           intake_tick();
         }
       },
       input);
-  if (in_command(clock_.now)) stop_tick();
-  if (role_ == Role::Leader) maybe_commit();
+  if (holds_valid_lease(clock_.now)) stop_tick();
+  if (role_ == Role::Leader) commit_if_due();
   return std::move(out_);
 }
 
@@ -80,10 +80,10 @@
   election_tick();
   intake_tick();
   if (role_ == Role::Leader) {
-    rebuild_tick();
+    reconcile();
     machine_tick();
     inquire_tick();
-    if (in_command(clock_.now)) {
+    if (holds_valid_lease(clock_.now)) {
       share_tick();
       review_gangs();
       if (placement_dirty_ && clock_.now >= next_placement_) place_all();
@@ -111,9 +111,9 @@
   // Where the others are no better off, as in an outage of the state service, being taken off the
   // list only delays what comes after: users found no node for seconds after it was over.
   bool heard = false;
-  for (std::size_t i = 0; i < siblings_.size(); ++i) {
-    if (siblings_.reaches_leader(i, clock_.now)) return false;
-    heard = heard || siblings_.in_contact(i, clock_.now);
+  for (std::size_t i = 0; i < peers_.size(); ++i) {
+    if (peers_.reaches_leader(i, clock_.now)) return false;
+    heard = heard || peers_.in_contact(i, clock_.now);
   }
   return heard;
 }
--- a/src/coordination/core.hpp
+++ b/src/coordination/core.hpp
@@ -20,8 +20,8 @@
 #include "coordination/event_loop_lag.hpp"
 #include "coordination/gang.hpp"
 #include "coordination/machine_ranking.hpp"
+#include "coordination/peer_table.hpp"
 #include "coordination/rate_limiter.hpp"
-#include "coordination/siblings.hpp"
 #include "coordination/team_limits.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/peer_frames.hpp"
@@ -44,12 +44,12 @@
   [[nodiscard]] bool healthy(Time now) const;
   [[nodiscard]] bool leading() const { return role_ == Role::Leader; }
   [[nodiscard]] std::uint64_t epoch() const { return epoch_; }
-  [[nodiscard]] bool in_command(Time now) const {
-    return role_ == Role::Leader && now < lease_deadline_;
+  [[nodiscard]] bool holds_valid_lease(Time now) const {
+    return role_ == Role::Leader && now < lease_expiry_;
   }
   [[nodiscard]] const Tables& tables() const { return tables_; }
   [[nodiscard]] const TeamLimits& limits() const { return limits_; }
-  [[nodiscard]] bool rebuilding() const { return rebuilding_; }
+  [[nodiscard]] bool reconciling() const { return reconciling_; }
   /// How many jobs and machines were looked at, apart from the regular looks at the whole fleet (a
   /// fixed number for each report's interval). A measure of work that, unlike time, is the same on
   /// every run.
@@ -73,7 +73,7 @@
   using WorkerContinuation = std::function<void(int, const std::optional<Heartbeat>&)>;
   void call_worker(const std::string& address, std::string body, WorkerContinuation then);
   [[nodiscard]] bool calls_full() const;
-  [[nodiscard]] Time command_until() const { return lease_deadline_; }
+  [[nodiscard]] Time command_until() const { return lease_expiry_; }
   [[nodiscard]] Time heartbeat_interval() const {
     return ms(settings_.workers.heartbeat_interval_s);
   }
@@ -92,8 +92,8 @@
   void renew();
   void step_down(const char* why);
   void revoke(std::uint64_t lease);
-  void abdicate(const char* why);
-  void peer_heartbeat(std::size_t sibling, const ControllerHeartbeat& heartbeat);
+  void resign(const char* why);
+  void peer_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat);
   void send_heartbeats();
 
   // intake.cpp
@@ -105,10 +105,10 @@
   [[nodiscard]] Time cancel_wait() const;
   [[nodiscard]] bool stops_at_once(const Job& job) const;
   void reject_cancel_waits(const std::string& id);
-  std::optional<std::size_t> relaying_sibling();
+  std::optional<std::size_t> relaying_peer();
   void forward(const RequestSource& source, UserOp op, const std::string& id, std::string body,
-               std::size_t sibling, std::uint64_t fencing_token = 0);
-  void handle_peer_response(std::size_t sibling, const PeerResponse& response);
+               std::size_t peer, std::uint64_t fencing_token = 0);
+  void handle_peer_response(std::size_t peer, const PeerResponse& response);
   void intake_tick();
   void look_up(const RequestSource& source, const std::string& id);
   void refresh();
@@ -119,7 +119,7 @@
   void respond_with_job(const RequestSource& source, int status, const JobView& view);
 
   // rounds.cpp
-  struct Waiter {
+  struct PendingResponse {
     RequestSource source;
     int status = 200;
     std::string id;
@@ -129,26 +129,27 @@
   [[nodiscard]] std::size_t most_open_requests() const;
   void respond_after_commit(const Job& job, const RequestSource& source, int status);
   void respond_committed(const RequestSource& source, int status, const Job& job);
-  void maybe_commit();
-  void send_round();
-  void round_done(const KvResponse& reply);
-  void round_committed(std::uint64_t revision);
-  void resolve_round();
-  [[nodiscard]] bool round_needed() const;
+  void commit_if_due();
+  void send_commit();
+  void handle_commit_response(const KvResponse& reply);
+  void commit_succeeded(std::uint64_t revision);
+  void resolve_uncertain_commit();
+  [[nodiscard]] bool commit_needed() const;
   [[nodiscard]] bool someone_waits() const;
   [[nodiscard]] bool image_hints_due();
   [[nodiscard]] std::size_t operations_allowed(double reserve_share);
   std::string record_text(Job& job, std::uint64_t seq);
   [[nodiscard]] std::size_t value_limit(double fill) const;
-  void send_spill();
-  void log_round();
-  void round_refused();
+  void send_flush();
+  void log_commit();
+  void commit_rejected();
   [[nodiscard]] std::size_t operations_limit() const;
-  [[nodiscard]] std::size_t head_bytes_of(const std::map<std::string, std::string>& tail) const;
+  [[nodiscard]] std::size_t manifest_bytes_of(
+      const std::map<std::string, std::string>& recent_records) const;
   [[nodiscard]] std::size_t rental_bytes() const;
   [[nodiscard]] static std::size_t rental_size(const RentalRequest& rental);
   void add_features(CompareAndSwapBuilder& transaction);
-  std::size_t add_rentals(Head& head);
+  std::size_t add_rentals(Manifest& manifest);
   void add_machine_shards(CompareAndSwapBuilder& transaction);
   bool add_machine_shard(CompareAndSwapBuilder& transaction, std::size_t shard);
   std::map<std::string, Job*> add_bitmaps(CompareAndSwapBuilder& transaction,
@@ -156,14 +157,14 @@
   [[nodiscard]] bool small_pieces() const;
   bool add_bitmap(CompareAndSwapBuilder& transaction, Job& job);
   static bool erase_bitmap(CompareAndSwapBuilder& transaction, Job& job);
-  std::size_t flush_tail(CompareAndSwapBuilder& transaction, std::size_t wanted);
+  std::size_t flush_recent_records(CompareAndSwapBuilder& transaction, std::size_t wanted);
   bool put_shard(CompareAndSwapBuilder& transaction, std::size_t shard);
   std::size_t reserve_for(const std::string& id, const std::string& text);
   std::string text_for_shard(const std::string& id);
   void postpone_excess(std::map<std::string, Job*>& changed, std::vector<Job*>& postponed,
-                       std::size_t head_bytes);
-  void take_waiters();
-  void settle_job(Job& job);
+                       std::size_t manifest_bytes);
+  void move_pending_responses_to_commit();
+  void finalize_if_over(Job& job);
   void touch(Job& job);
   void finish_job(Job& job);
 
@@ -175,17 +176,17 @@
   void stop_beyond_cap(const std::string& name, Priority below);
 
   // rebuild.cpp
-  void begin_rebuild();
+  void begin_reconciliation();
   void note_unreadable(const Snapshot& image);
   void load_shards(const Snapshot& image);
   void load_rentals(const Snapshot& image);
   void load_jobs(Snapshot& image);
   void load_job(JobRecord record);
   void load_machines(const Snapshot& image);
-  void rebuild_tick();
+  void reconcile();
   void inquire(Machine& m);
   void inquire_if_due(Machine& m);
-  [[nodiscard]] bool missing_in_rebuild(const Machine& m) const;
+  [[nodiscard]] bool awaits_reconciliation(const Machine& m) const;
   void inquire_tick();
 
   // heartbeat_handler.cpp
@@ -219,7 +220,7 @@
   void incarnation_lost(Machine& m, const char* why);
   void take_task(Machine& m, const TaskStatus& t, std::vector<bool>& seen);
   Placement& adopt_attempt(Machine& m, const TaskStatus& t);
-  Placement& add_stray(Machine& m, const TaskStatus& t, Job* job);
+  Placement& add_orphan(Machine& m, const TaskStatus& t, Job* job);
   void task_state(Machine& m, Placement& p, PlaceState state);
   void task_exited(Machine& m, Placement& p);
   void task_failed(Job& job, Machine& m);
@@ -256,10 +257,9 @@
   [[nodiscard]] Time expiry(const Machine& m) const;
   void forward_heartbeat(const HeartbeatReceived& in);
   bool redirect_to_own_zone(const HeartbeatReceived& in);
-  [[nodiscard]] std::optional<std::size_t> sibling_for_zone(const std::string& zone);
+  [[nodiscard]] std::optional<std::size_t> peer_in_zone(const std::string& zone);
   [[nodiscard]] bool was_redirected(const std::string& machine, Time within) const;
-  void redirect_worker(const RequestSource& source, const std::string& machine,
-                       std::size_t sibling);
+  void redirect_worker(const RequestSource& source, const std::string& machine, std::size_t peer);
   void keep_alive(const RequestSource& source, const std::string& machine,
                   std::uint64_t fencing_token, bool may_redirect);
   [[nodiscard]] std::size_t node_before() const;
@@ -507,16 +507,16 @@
   std::uint64_t lease_ = 0;
   Time lease_length_ = 0;  // of the lease that we have, or ask for
   ElectionHistory election_history_;
-  Time lease_deadline_ = 0, led_since_ = 0;
+  Time lease_expiry_ = 0, elected_at_ = 0;
   Time next_renew_ = 0;
   bool watching_ = false;
   Time watch_retry_ = 0, campaign_at_ = kNever;
-  Time stand_back_until_ = 0;  // after an abdication
+  Time election_backoff_until_ = 0;  // after an abdication
   std::string leader_name_;
   Time next_heartbeat_ = 0;
   Time last_path_ = 0;
   const std::uint64_t incarnation_;  // of this process
-  SiblingTable siblings_;
+  PeerTable peers_;
 
   // keeping workers' tasks alive by ourselves: under which token, until when, and when we last did
   KeepAlivePermit keep_alive_permit_;
@@ -534,7 +534,7 @@
     RequestSource source;
     UserOp op = UserOp::Query;
     std::string id;  // of the job, or of the machine that reports
-    std::size_t sibling = 0;
+    std::size_t peer = 0;
     Time sent = 0, until = 0;
     std::uint64_t fencing_token = 0;  // that a report showed
   };
@@ -562,8 +562,8 @@
   Time next_refresh_ = 0;
 
   // rounds
-  std::uint64_t head_seq_ = 0, head_version_ = 0;
-  std::map<std::string, std::string> tail_;  // records in the head
+  std::uint64_t manifest_seq_ = 0, manifest_version_ = 0;
+  std::map<std::string, std::string> recent_records_;  // records in the head
   std::vector<Job*> dirty_jobs_;
   /// Shards whose list of machines differs from the checkpoint's.
   std::set<std::size_t> dirty_machine_shards_;
@@ -577,10 +577,10 @@
     std::uint32_t index = 0;
     std::string machine;  // that reported it
   };
-  struct Round {
+  struct CheckpointCommit {
     KvRequest call;
     std::uint64_t seq = 0, retries = 0;
-    std::map<std::string, std::string> tail;
+    std::map<std::string, std::string> recent_records;
     struct Change {
       std::string id;
       Phase phase = Phase::Active;
@@ -588,23 +588,23 @@
       std::uint32_t started = 0;
     };
     std::vector<Change> jobs;
-    std::vector<Waiter> waiters;
+    std::vector<PendingResponse> pending_responses;
     std::vector<std::string> machines_added, rentals;
     std::vector<FinishedTask> finished_tasks;
-    bool spill = false;     // copies records of the head to shards, and nothing else
+    bool flush = false;     // copies records of the head to shards, and nothing else
     bool shares = false;    // has writes of the shares
     bool features = false;  // writes down that all controllers understand gangs
   };
-  Round round_;
-  bool round_open_ = false;
-  Time round_retry_ = kNever, round_ended_ = 0;
+  CheckpointCommit commit_;
+  bool commit_in_flight_ = false;
+  Time commit_retry_at_ = kNever, last_commit_at_ = 0;
   /// Rounds that the state service found too large.
-  unsigned refused_rounds_ = 0;
-  std::vector<Waiter> waiting_next_;
-  std::vector<FinishedTask> finished_next_;
+  unsigned rejected_commits_ = 0;
+  std::vector<PendingResponse> pending_responses_;
+  std::vector<FinishedTask> finished_tasks_;
 
   // rebuild
-  bool rebuilding_ = false;
+  bool reconciling_ = false;
   Time fence_at_ = 0;  // by then whatever a former leader kept alive has ended
   std::uint64_t next_attempt_ = 1;
   /// Values of the checkpoint could not be read: jobs or machines that are not in the tables may
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -16,13 +16,13 @@
   const Time now = clock_.now;
   if (now >= next_heartbeat_) send_heartbeats();
   if (role_ == Role::Leader || role_ == Role::Loading) {
-    if (in_command(now)) last_path_ = now;
+    if (holds_valid_lease(now)) last_path_ = now;
     if (role_ == Role::Leader && next_attempt_ > options_.attempts_per_epoch)
-      return abdicate("attempt numbers are used up");
+      return resign("attempt numbers are used up");
     if (now >= next_renew_) renew();
     return;
   }
-  if (siblings_.leader(now)) last_path_ = now;
+  if (peers_.leader(now)) last_path_ = now;
   if (role_ == Role::Follower && now >= campaign_at_) {
     campaign();
     return;
@@ -76,10 +76,10 @@
     if (campaign_at_ == kNever) {
       // Standbys try one after the other: by the order of their names, and a little chance.
       Time rank = 0;
-      for (const Sibling& s : settings_.siblings)
+      for (const PeerSettings& s : settings_.peers)
         if (s.name < settings_.name) ++rank;
-      campaign_at_ =
-          std::max(clock_.now + rank * 40 + static_cast<Time>(random_(30)), stand_back_until_);
+      campaign_at_ = std::max(clock_.now + rank * 40 + static_cast<Time>(random_(30)),
+                              election_backoff_until_);
     }
     return;
   }
@@ -157,12 +157,12 @@
         epoch_ = epoch;
         epoch_version_ = r.revision;
         // The others' claims fail, but count against the limit all the same.
-        write_limiter_.spend(kClaimWrites * static_cast<double>(siblings_.size()), clock_.now);
+        write_limiter_.spend(kClaimWrites * static_cast<double>(peers_.size()), clock_.now);
         lease_ = lease;
-        lease_deadline_ = granted + lease_length_ - lease_length_ / 500 - 20;
+        lease_expiry_ = granted + lease_length_ - lease_length_ / 500 - 20;
         next_renew_ = granted + lease_length_ / kRenewalsPerLease;
         role_ = Role::Loading;
-        led_since_ = clock_.now;
+        elected_at_ = clock_.now;
         leader_name_ = settings_.name;
         log(Log::Level::Info, "event=elected lease_ms=", lease_length_);
         snapshot_ = Snapshot{};
@@ -185,12 +185,12 @@
       [this, term, from, revision](const KvResponse& r) {
         if (term != term_) return;
         if (r.status != 200) {
-          if (clock_.now >= lease_deadline_) return step_down("checkpoint not readable in time");
+          if (clock_.now >= lease_expiry_) return step_down("checkpoint not readable in time");
           return load(from, revision);
         }
         for (const KvItem& item : r.items) loading_.apply(item);
         if (r.more && !r.items.empty()) return load(r.items.back().key, r.revision);
-        begin_rebuild();
+        begin_reconciliation();
       },
       true);
 }
@@ -215,9 +215,9 @@
           return;
         }
         // Reckoned from before the request left: that is when the service can have begun to count.
-        const bool lapsed = clock_.now >= lease_deadline_;
-        lease_deadline_ = std::max(lease_deadline_, sent + ttl - ttl / 500 - 20);
-        if (lapsed && in_command(clock_.now)) {
+        const bool lapsed = clock_.now >= lease_expiry_;
+        lease_expiry_ = std::max(lease_expiry_, sent + ttl - ttl / 500 - 20);
+        if (lapsed && holds_valid_lease(clock_.now)) {
           // Renewed after all: the service hadn't ended it, so nobody else can have had it.
           log(Log::Level::Info, "event=lease_regained");
           placement_dirty_ = true;
@@ -242,18 +242,18 @@
   lookups_served_.clear();
   if (!led) return;
   // Workers that know of no other leader are kept alive for as long as if we still led.
-  keep_alive_permit_.allow(epoch_, lease_deadline_ + keep_alive_span());
-  for (const Waiter& w : round_.waiters) reject(w.source, "leadership lost");
-  for (const Waiter& w : waiting_next_) reject(w.source, "leadership lost");
+  keep_alive_permit_.allow(epoch_, lease_expiry_ + keep_alive_span());
+  for (const PendingResponse& w : commit_.pending_responses) reject(w.source, "leadership lost");
+  for (const PendingResponse& w : pending_responses_) reject(w.source, "leadership lost");
   for (const auto& [id, waits] : cancel_waits_)
     for (const CancelWait& w : waits) reject(w.source, "leadership lost");
   cancel_waits_.clear();
-  waiting_next_.clear();
-  round_ = Round{};
-  round_open_ = false;
-  round_retry_ = kNever;
-  finished_next_.clear();
-  tail_.clear();
+  pending_responses_.clear();
+  commit_ = CheckpointCommit{};
+  commit_in_flight_ = false;
+  commit_retry_at_ = kNever;
+  finished_tasks_.clear();
+  recent_records_.clear();
   dirty_jobs_.clear();
   dirty_machine_shards_.clear();
   stale_image_shards_.clear();
@@ -275,7 +275,7 @@
   cloud_calls_.clear();
   releasing_ = listing_ = false;
   listed_up_to_.clear();
-  rebuilding_ = false;
+  reconciling_ = false;
   limits_.stop();
   tables_.clear();
   send_heartbeats();
@@ -291,16 +291,16 @@
 
 // Gives the lease back, so that another can take it at once, and leaves it to the others for a
 // while.
-void Core::abdicate(const char* why) {
+void Core::resign(const char* why) {
   revoke(lease_);
-  stand_back_until_ = clock_.now + worker_lease();
+  election_backoff_until_ = clock_.now + worker_lease();
   // Another may lead from now on, and reckons from then with whom we keep alive.
-  lease_deadline_ = std::min(lease_deadline_, clock_.now);
+  lease_expiry_ = std::min(lease_expiry_, clock_.now);
   step_down(why);
 }
 
-void Core::peer_heartbeat(std::size_t sibling, const ControllerHeartbeat& heartbeat) {
-  if (!siblings_.take(sibling, heartbeat, clock_.now)) return;
+void Core::peer_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat) {
+  if (!peers_.take(peer, heartbeat, clock_.now)) return;
   if (heartbeat.leading && heartbeat.acknowledged_incarnation == incarnation_)
     keep_alive_permit_.allow(heartbeat.epoch,
                              heartbeat.acknowledged_clock + Time{heartbeat.keep_ms});
@@ -319,9 +319,9 @@
   ControllerHeartbeat& b = m.heartbeat;
   b.node = settings_.name;
   b.epoch = epoch_;
-  b.leading = in_command(now);
-  b.hears_leader = siblings_.leader(now).has_value();
-  b.holding = role_ == Role::Leader && now < lease_deadline_ + keep_alive_span();
+  b.leading = holds_valid_lease(now);
+  b.hears_leader = peers_.leader(now).has_value();
+  b.holding = role_ == Role::Leader && now < lease_expiry_ + keep_alive_span();
   b.hears_workers = now - last_worker_heartbeat_ < silent_after();
   b.understands_gangs = true;
   b.shares_limits = limits_.shared();
@@ -329,8 +329,8 @@
   b.clock = now;
   if (kept_alive_at_ >= 0)
     b.kept_alive_ms = static_cast<std::uint32_t>(std::min<Time>(now - kept_alive_at_, UINT32_MAX));
-  for (std::size_t i = 0; i < settings_.siblings.size(); ++i) {
-    const SiblingView& v = siblings_[i];
+  for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
+    const PeerView& v = peers_[i];
     b.acknowledged_incarnation = v.incarnation;
     b.acknowledged_clock = v.clock;
     b.keep_ms = b.leading && v.incarnation != 0 ? static_cast<std::uint32_t>(keep_alive_span()) : 0;
--- a/src/coordination/failure_detection.cpp
+++ b/src/coordination/failure_detection.cpp
@@ -16,12 +16,12 @@
 
 void Core::machine_tick() {
   const FleetContact contact = fleet_contact();
-  if (workers_lost(contact)) return abdicate("no worker is heard");
+  if (workers_lost(contact)) return resign("no worker is heard");
   const bool few = few_silent(contact.silent, contact.up);
   for (auto& [name, m] : tables_.machines) watch_machine(*m, few);
   // Before the silent ones are asked, as it asks one of each zone that does answer: with few
   // sockets, those that don't left none for it.
-  if (in_command(clock_.now) && contact.silent > 0) detect_dead_machines();
+  if (holds_valid_lease(clock_.now) && contact.silent > 0) detect_dead_machines();
 }
 
 // A worker that wasn't heard for so long would have to be heard soon for its lease to last.
@@ -44,10 +44,10 @@
 // Where no sibling hears us either, a few workers that still come through change nothing of that.
 bool Core::workers_lost(const FleetContact& contact) const {
   const Time now = clock_.now;
-  if (!in_command(now) || settings_.siblings.empty() || contact.up <= 1 ||
-      now - led_since_ <= unheard_after())
+  if (!holds_valid_lease(now) || settings_.peers.empty() || contact.up <= 1 ||
+      now - elected_at_ <= unheard_after())
     return false;
-  const bool alone = std::none_of(siblings_.begin(), siblings_.end(), [&](const SiblingView& v) {
+  const bool alone = std::none_of(peers_.begin(), peers_.end(), [&](const PeerView& v) {
     return v.hears_leader && now - v.last_heartbeat <= unheard_after();
   });
   return contact.heard == 0 || (alone && contact.heard * 4 <= contact.up);
@@ -83,7 +83,7 @@
 // zones were apart, a rule by the share of silent machines alone returned healthy ones.
 void Core::detect_dead_machines() {
   // What was up when the former leader ended, and hasn't been heard for as long, is silent too.
-  const bool awaited = rebuilding_ && clock_.now - led_since_ > silent_after();
+  const bool awaited = reconciling_ && clock_.now - elected_at_ > silent_after();
   const auto silent = [&](const Machine& m) {
     return m.heard_in_epoch ? m.silent : awaited && m.recorded && !m.lease_passed;
   };
@@ -117,7 +117,7 @@
     if (zone.witness == nullptr) {
       // All of a zone at once is rather the zone; the only one of its zone is judged by the rest.
       if (few && zone.up == 1) release(*m, why);
-    } else if (reached > (m->heard_in_epoch ? m->silent_since : led_since_)) {
+    } else if (reached > (m->heard_in_epoch ? m->silent_since : elected_at_)) {
       // An inquiry that left before the zone was reached says nothing: it may have met the end of a
       // cut that others were out of a moment sooner.
       const bool few_of_zone = zone.silent == 1 || zone.silent * kDeadShare <= zone.up;
--- a/src/coordination/fleet_sizing.cpp
+++ b/src/coordination/fleet_sizing.cpp
@@ -451,7 +451,7 @@
     const MachineType* t = tables_.type(m.type);
     if (t == nullptr) continue;
     if (!m.heard_in_epoch) {
-      if (!m.recorded || !rebuilding_)
+      if (!m.recorded || !reconciling_)
         if (now - m.rented > ms(t->boot_s * kDeadBoot) && now >= expiry(m))
           release(m, "never came up");
       continue;
@@ -461,7 +461,7 @@
       release(m, m.retiring ? "retired" : m.drain_cause.c_str());
       continue;
     }
-    if (rebuilding_ || m.idle_since == 0 ||
+    if (reconciling_ || m.idle_since == 0 ||
         now - m.idle_since < ms(t->boot_s * options_.idle_ratio))
       continue;
     if (!m.spot) {
@@ -505,7 +505,7 @@
     // Emptied while such work waits for it, a machine was rented again each time.
     for (auto& [name, m] : tables_.machines) m->retiring = m->retiring && !usable(*m);
   }
-  if (rebuilding_ || clock_.now < retire_not_before_) return;
+  if (reconciling_ || clock_.now < retire_not_before_) return;
   std::size_t up = 0, retiring = 0;
   for (const auto& [name, m] : tables_.machines) {
     if (m->spot || !usable(*m)) continue;
--- a/src/coordination/gang_scheduling.cpp
+++ b/src/coordination/gang_scheduling.cpp
@@ -113,7 +113,7 @@
   const bool later = std::any_of(job.tasks.begin(), job.tasks.end(), [this](const Task& task) {
     return task.state == TaskState::Queued && task.not_before > clock_.now;
   });
-  const bool due = !later && job.strays.empty();
+  const bool due = !later && job.orphans.empty();
   placement_dirty_ = placement_dirty_ || !due;
   return due;
 }
--- a/src/coordination/heartbeat_handler.cpp
+++ b/src/coordination/heartbeat_handler.cpp
@@ -15,7 +15,7 @@
     step_down("a worker has seen a higher token");
     return respond(in.source, 421, encode_redirect({}));
   }
-  if (!in_command(now)) return handle_heartbeat_without_lease(in);
+  if (!holds_valid_lease(now)) return handle_heartbeat_without_lease(in);
   if (redirect_to_own_zone(in)) return;
   if (released_.contains(r.machine))
     return respond(in.source, 503, encode_error("machine was returned"));
@@ -37,7 +37,7 @@
 
 // The worker's tasks live on for a bounded time while we can't tell whether we still lead.
 void Core::handle_heartbeat_without_lease(const HeartbeatReceived& in) {
-  const Time now = clock_.now, until = lease_deadline_ + keep_alive_span();
+  const Time now = clock_.now, until = lease_expiry_ + keep_alive_span();
   if (now >= until) return respond(in.source, 503, encode_error("lease lapsed"));
   if (Machine* m = tables_.machine(in.heartbeat.machine)) {
     if (!m->incarnation_fence.admits(in.heartbeat.incarnation)) return reject_heartbeat(in, *m);
@@ -81,7 +81,7 @@
       " session=", r.incarnation, " seq=", r.seq, " tasks=", r.tasks.size(),
       " over_ms=", clock_.now - m.incarnation_fence.closed_at());
   respond(in.source, 503, encode_error("session is over"));
-  if (!in_command(clock_.now)) return;
+  if (!holds_valid_lease(clock_.now)) return;
   if (m.address.empty()) m.address = r.address;
   m.probe_incarnation = std::max(m.probe_incarnation, r.incarnation);
   inquire_if_due(m);
@@ -90,7 +90,7 @@
 // No start leaves for a machine that isn't recorded, and what is recorded is known: once a rebuild
 // is over, a machine that isn't known has no tasks. One that reports some was returned long ago.
 bool Core::unknown_with_tasks(const Heartbeat& r) {
-  return !rebuilding_ && !r.tasks.empty() && tables_.machine(r.machine) == nullptr;
+  return !reconciling_ && !r.tasks.empty() && tables_.machine(r.machine) == nullptr;
 }
 
 bool Core::is_late(const Machine& m, const Heartbeat& r) {
--- a/src/coordination/intake.cpp
+++ b/src/coordination/intake.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 void Core::user_request(const UserRequest& r) {
-  if (in_command(clock_.now)) {
+  if (holds_valid_lease(clock_.now)) {
     if (r.op == UserOp::Submit) return lead_submit(r);
     if (r.op == UserOp::Query) return lead_query(r);
     if (r.op == UserOp::Cancel) return lead_cancel(r);
@@ -25,16 +25,15 @@
   // two nodes that take each other for the leader must not play ball with it.
   const bool may_forward = (r.source.kind == RequestSource::Kind::Local || r.relay) &&
                            forwarded_.size() < most_open_requests();
-  if (const auto leader = siblings_.leader(clock_.now); leader && may_forward) {
+  if (const auto leader = peers_.leader(clock_.now); leader && may_forward) {
     // An older version would place a gang in its own way.
-    if (r.op == UserOp::Submit && !siblings_[*leader].understands_gangs &&
-        is_gang_submission(r.body))
+    if (r.op == UserOp::Submit && !peers_[*leader].understands_gangs && is_gang_submission(r.body))
       return reject(r.source, "gangs wait until all controllers are of this version");
     return forward(r.source, r.op, r.id, r.body, *leader);
   }
   if (r.source.kind != RequestSource::Kind::Local) return reject(r.source, "no leader");
   if (r.op == UserOp::Query) return look_up(r.source, r.id);
-  const std::optional<std::size_t> relay = relaying_sibling();
+  const std::optional<std::size_t> relay = relaying_peer();
   if (!relay || !may_forward) return reject(r.source, "no leader");
   forward(r.source, r.op, r.id, r.body, *relay);
   std::get<SendPeer>(out_.back()).message.request.relay = true;
@@ -42,8 +41,8 @@
 
 // A sibling that can be reached, and hears the leader. When two zones were apart, users at nodes of
 // one were turned away although a third zone's nodes reached both.
-std::optional<std::size_t> Core::relaying_sibling() {
-  const std::vector<std::size_t> candidates = siblings_.relays(clock_.now);
+std::optional<std::size_t> Core::relaying_peer() {
+  const std::vector<std::size_t> candidates = peers_.relays(clock_.now);
   if (candidates.empty()) return {};
   return candidates[random_(static_cast<std::uint32_t>(candidates.size()))];
 }
@@ -81,7 +80,7 @@
   if (never_fits(*spec, error)) return respond(r.source, 422, encode_error(error));
   if (spec->kind == JobKind::Gang && !gangs_enabled_)
     return reject(r.source, "gangs wait until all controllers are of this version");
-  if (round_.retries > 0) return reject(r.source, "the state service does not answer");
+  if (commit_.retries > 0) return reject(r.source, "the state service does not answer");
   if (too_many_waiting()) return reject(r.source, "too many submissions at once");
   JobRecord record;
   record.spec = std::move(*spec);
@@ -129,7 +128,7 @@
     placement_dirty_ = true;
   }
   cancel_waits_[r.id].push_back({r.source, clock_.now + cancel_wait()});
-  settle_job(*job);
+  finalize_if_over(*job);
   if (job->record.final) return;
   // Where its end can't come at once, its user is told so at once.
   if (!stops_at_once(*job)) reject_cancel_waits(r.id);
@@ -139,7 +138,7 @@
 Time Core::cancel_wait() const { return std::clamp<Time>(worker_lease() / 50, 100, 500); }
 
 bool Core::stops_at_once(const Job& job) const {
-  if (job.unknown > 0 || round_.retries > 0) return false;
+  if (job.unknown > 0 || commit_.retries > 0) return false;
   return std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& t) {
     return t.machine == nullptr || (t.machine->heard_in_epoch && !t.machine->silent);
   });
@@ -162,16 +161,16 @@
 }
 
 void Core::forward(const RequestSource& source, UserOp op, const std::string& id, std::string body,
-                   std::size_t sibling, std::uint64_t fencing_token) {
+                   std::size_t peer, std::uint64_t fencing_token) {
   const std::uint64_t call = next_forward_++;
   const bool commits = op == UserOp::Submit || op == UserOp::Cancel;
   const Time now = clock_.now;
   forwarded_[call] = {
-      source, op, id, sibling, now, now + (commits ? kForwardCommitMs : kForwardMs), fencing_token};
+      source, op, id, peer, now, now + (commits ? kForwardCommitMs : kForwardMs), fencing_token};
   PeerMessage m;
   m.kind = PeerMessage::Kind::Request;
   m.request = {call, op, op == UserOp::Heartbeat ? std::string() : id, std::move(body), false};
-  out_.push_back(SendPeer{sibling, std::move(m)});
+  out_.push_back(SendPeer{peer, std::move(m)});
 }
 
 void Core::handle_peer_response(std::size_t, const PeerResponse& a) {
@@ -228,7 +227,7 @@
 void Core::refresh() {
   if (role_ == Role::Leader || role_ == Role::Loading) {
     // Asked while lapsed or loading: the answer comes from our own tables once we command.
-    if (!in_command(clock_.now)) return;
+    if (!holds_valid_lease(clock_.now)) return;
     auto asked = std::move(lookups_);
     lookups_.clear();
     for (const Lookup& l : asked) lead_query({l.source, UserOp::Query, l.id, {}});
--- a/src/coordination/keepalive.cpp
+++ b/src/coordination/keepalive.cpp
@@ -18,8 +18,8 @@
 // The moment by which the tasks on a machine have surely ended, unless it is answered again. What
 // siblings say holds as of the contact span ago: a lease has to have run out by then.
 Time Core::expiry(const Machine& m) const {
-  const Time last = std::max(m.answered, siblings_.latest_answer(clock_.now));
-  const Time ours = last + with_drift(worker_lease()) + siblings_.contact_span();
+  const Time last = std::max(m.answered, peers_.latest_answer(clock_.now));
+  const Time ours = last + with_drift(worker_lease()) + peers_.contact_span();
   // Until the worker has seen our token, a former leader's answers may still renew its lease, and
   // so may those of the nodes that heard that leader.
   return m.heard_in_epoch ? ours : std::max(ours, fence_at_);
@@ -30,13 +30,12 @@
 void Core::forward_heartbeat(const HeartbeatReceived& in) {
   if (in.source.kind == RequestSource::Kind::Peer)
     return respond(in.source, 503, encode_error("no leader"));
-  std::optional<std::size_t> sibling = siblings_.leader(clock_.now);
+  std::optional<std::size_t> peer = peers_.leader(clock_.now);
   // A leader whose lease may have lapsed still keeps tasks alive.
-  if (!sibling) sibling = siblings_.holding(clock_.now);
-  if (!sibling)
-    return keep_alive(in.source, in.heartbeat.machine, in.heartbeat.fencing_token, true);
+  if (!peer) peer = peers_.holding(clock_.now);
+  if (!peer) return keep_alive(in.source, in.heartbeat.machine, in.heartbeat.fencing_token, true);
   if (!redirect_to_own_zone(in))
-    forward(in.source, UserOp::Heartbeat, in.heartbeat.machine, in.raw, *sibling,
+    forward(in.source, UserOp::Heartbeat, in.heartbeat.machine, in.raw, *peer,
             in.heartbeat.fencing_token);
 }
 
@@ -46,7 +45,7 @@
   const std::string& zone = in.heartbeat.zone;
   if (in.source.kind != RequestSource::Kind::Local || zone == settings_.zone) return false;
   if (was_redirected(in.heartbeat.machine, kRedirectLeases * worker_lease())) return false;
-  const std::optional<std::size_t> near = sibling_for_zone(zone);
+  const std::optional<std::size_t> near = peer_in_zone(zone);
   if (near) redirect_worker(in.source, in.heartbeat.machine, *near);
   return near.has_value();
 }
@@ -55,19 +54,19 @@
 // in a while: it may be cut off from them, or none may report to it yet. One machine tells which,
 // and the others follow. Without that, a node to which no worker reported by chance never got one,
 // and a cut of its zone ended all tasks there.
-std::optional<std::size_t> Core::sibling_for_zone(const std::string& zone) {
+std::optional<std::size_t> Core::peer_in_zone(const std::string& zone) {
   std::vector<std::size_t> hearing;
   std::optional<std::size_t> untried;
-  for (std::size_t i = 0; i < siblings_.size(); ++i) {
-    const SiblingView& v = siblings_[i];
-    if (settings_.siblings[i].zone != zone || !siblings_.reaches_leader(i, clock_.now)) continue;
+  for (std::size_t i = 0; i < peers_.size(); ++i) {
+    const PeerView& v = peers_[i];
+    if (settings_.peers[i].zone != zone || !peers_.reaches_leader(i, clock_.now)) continue;
     if (v.hears_workers)
       hearing.push_back(i);
     else if (clock_.now - v.tried_at >= kRedirectLeases * worker_lease())
       untried = i;
   }
   if (!hearing.empty()) return hearing[random_(static_cast<std::uint32_t>(hearing.size()))];
-  if (untried) siblings_.tried(*untried, clock_.now);
+  if (untried) peers_.tried(*untried, clock_.now);
   return untried;
 }
 
@@ -77,7 +76,7 @@
 }
 
 void Core::redirect_worker(const RequestSource& source, const std::string& machine,
-                           std::size_t sibling) {
+                           std::size_t peer) {
   const Time span = kRedirectLeases * worker_lease();
   // Once a span, so that each worker costs two looks at most, however many there are.
   if (clock_.now >= next_redirect_tidy_) {
@@ -85,7 +84,7 @@
     std::erase_if(redirected_at_, [&](const auto& s) { return clock_.now - s.second >= span; });
   }
   redirected_at_[machine] = clock_.now;
-  respond(source, 421, encode_redirect(settings_.siblings[sibling].name));
+  respond(source, 421, encode_redirect(settings_.peers[peer].name));
 }
 
 // No leader can be reached. If that is so for the whole zone, its workers' tasks live on only if we
@@ -96,9 +95,9 @@
   if (!keep_alive_permit_.valid(fencing_token, clock_.now))
     return respond(source, 503, encode_error("no leader"));
   if (may_redirect && !was_redirected(machine, worker_lease())) {
-    for (std::size_t i = 0; i < siblings_.size(); ++i)
-      if (siblings_.reaches_leader(i, clock_.now)) return redirect_worker(source, machine, i);
-    if (!settings_.siblings.empty()) return redirect_worker(source, machine, node_before());
+    for (std::size_t i = 0; i < peers_.size(); ++i)
+      if (peers_.reaches_leader(i, clock_.now)) return redirect_worker(source, machine, i);
+    if (!settings_.peers.empty()) return redirect_worker(source, machine, node_before());
   }
   if (clock_.now - kept_alive_at_ > worker_lease())
     log(Log::Level::Info, "event=keep_alive for_ms=", keep_alive_permit_.until() - clock_.now);
@@ -115,10 +114,10 @@
   };
   std::optional<std::size_t> before;
   std::size_t last = 0;
-  for (std::size_t i = 0; i < settings_.siblings.size(); ++i) {
-    const std::string& name = settings_.siblings[i].name;
-    if (less(settings_.siblings[last].name, name)) last = i;
-    if (less(name, settings_.name) && (!before || less(settings_.siblings[*before].name, name)))
+  for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
+    const std::string& name = settings_.peers[i].name;
+    if (less(settings_.peers[last].name, name)) last = i;
+    if (less(name, settings_.name) && (!before || less(settings_.peers[*before].name, name)))
       before = i;
   }
   return before.value_or(last);
--- a/src/coordination/siblings.cpp
+++ b/src/coordination/peer_table.cpp
@@ -1,11 +1,11 @@
-#include "coordination/siblings.hpp"
+#include "coordination/peer_table.hpp"
 
 #include <algorithm>
 
 namespace sailreel {
 
-bool SiblingTable::take(std::size_t sibling, const ControllerHeartbeat& heartbeat, Time now) {
-  SiblingView& v = views_[sibling];
+bool PeerTable::take(std::size_t peer, const ControllerHeartbeat& heartbeat, Time now) {
+  PeerView& v = views_[peer];
   if (heartbeat.incarnation != v.incarnation) {
     // What its former incarnation may have kept alive until it ended isn't in the new one's
     // heartbeats.
@@ -32,16 +32,16 @@
   return true;
 }
 
-bool SiblingTable::in_contact(std::size_t sibling, Time now) const {
-  return now - views_[sibling].last_heartbeat < worker_lease_ / 8;
+bool PeerTable::in_contact(std::size_t peer, Time now) const {
+  return now - views_[peer].last_heartbeat < worker_lease_ / 8;
 }
 
-bool SiblingTable::reaches_leader(std::size_t sibling, Time now) const {
-  const SiblingView& v = views_[sibling];
-  return in_contact(sibling, now) && (v.leading || v.hears_leader);
+bool PeerTable::reaches_leader(std::size_t peer, Time now) const {
+  const PeerView& v = views_[peer];
+  return in_contact(peer, now) && (v.leading || v.hears_leader);
 }
 
-std::optional<std::size_t> SiblingTable::leader(Time now) const {
+std::optional<std::size_t> PeerTable::leader(Time now) const {
   std::optional<std::size_t> best;
   for (std::size_t i = 0; i < views_.size(); ++i)
     if (views_[i].leading && in_contact(i, now) && (!best || views_[i].epoch > views_[*best].epoch))
@@ -49,13 +49,13 @@
   return best;
 }
 
-std::optional<std::size_t> SiblingTable::holding(Time now) const {
+std::optional<std::size_t> PeerTable::holding(Time now) const {
   for (std::size_t i = 0; i < views_.size(); ++i)
     if (views_[i].holding && in_contact(i, now)) return i;
   return {};
 }
 
-std::vector<std::size_t> SiblingTable::relays(Time now) const {
+std::vector<std::size_t> PeerTable::relays(Time now) const {
   std::vector<std::size_t> out;
   for (std::size_t i = 0; i < views_.size(); ++i)
     if (in_contact(i, now) && views_[i].hears_leader && views_[i].understands_gangs)
@@ -63,21 +63,21 @@
   return out;
 }
 
-bool SiblingTable::all_share_limits() const {
+bool PeerTable::all_share_limits() const {
   return std::all_of(views_.begin(), views_.end(),
-                     [](const SiblingView& v) { return v.shares_limits; });
+                     [](const PeerView& v) { return v.shares_limits; });
 }
 
-bool SiblingTable::all_understand_gangs() const {
+bool PeerTable::all_understand_gangs() const {
   return std::all_of(views_.begin(), views_.end(),
-                     [](const SiblingView& v) { return v.understands_gangs; });
+                     [](const PeerView& v) { return v.understands_gangs; });
 }
 
 // As far as it matters: one that had our heartbeat within the contact span said when it last did;
 // one that we have lost may go on for as long as our last answer to its heartbeats allowed.
-Time SiblingTable::latest_answer(Time now) const {
+Time PeerTable::latest_answer(Time now) const {
   Time latest = -kNever;
-  for (const SiblingView& v : views_) {
+  for (const PeerView& v : views_) {
     if (v.incarnation == 0) continue;
     latest = std::max(latest, v.kept_alive_at);
     if (now - v.echo_at > contact_span())
--- a/src/coordination/siblings.hpp
+++ b/src/coordination/peer_table.hpp
@@ -15,7 +15,7 @@
 constexpr Time with_drift(Time span) { return span + span / 500 + 50; }
 
 /// One of the other controllers, as of its latest heartbeat.
-struct SiblingView {
+struct PeerView {
   Time last_heartbeat = -kNever;
   bool leading = false, hears_leader = false, holding = false, hears_workers = false;
   bool understands_gangs = false, shares_limits = false;
@@ -28,34 +28,34 @@
 };
 
 /// All other controllers, in the order of the settings.
-class SiblingTable {
+class PeerTable {
  public:
   /// `keep_alive_span`: how long a controller that has lost the leader keeps tasks alive by itself.
-  SiblingTable(std::size_t count, std::uint64_t own_incarnation, Time worker_lease,
-               Time keep_alive_span)
+  PeerTable(std::size_t count, std::uint64_t own_incarnation, Time worker_lease,
+            Time keep_alive_span)
       : views_(count),
         own_incarnation_(own_incarnation),
         worker_lease_(worker_lease),
         keep_alive_span_(keep_alive_span) {}
 
   /// Takes a heartbeat in; false if it is older than one that came before.
-  bool take(std::size_t sibling, const ControllerHeartbeat& heartbeat, Time now);
+  bool take(std::size_t peer, const ControllerHeartbeat& heartbeat, Time now);
   /// The link to it has broken: it doesn't lead as far as we know.
-  void lost(std::size_t sibling) { views_[sibling].leading = false; }
+  void lost(std::size_t peer) { views_[peer].leading = false; }
   /// A worker was sent to it although it hears none yet.
-  void tried(std::size_t sibling, Time now) { views_[sibling].tried_at = now; }
+  void tried(std::size_t peer, Time now) { views_[peer].tried_at = now; }
 
   [[nodiscard]] std::size_t size() const { return views_.size(); }
-  [[nodiscard]] const SiblingView& operator[](std::size_t sibling) const { return views_[sibling]; }
+  [[nodiscard]] const PeerView& operator[](std::size_t peer) const { return views_[peer]; }
   [[nodiscard]] auto begin() const { return views_.begin(); }
   [[nodiscard]] auto end() const { return views_.end(); }
 
   /// Heartbeats come a thirtieth of a lease apart; a sibling whose echo of ours is older than this
   /// may have lost us.
   [[nodiscard]] Time contact_span() const { return worker_lease_ / 10; }
-  [[nodiscard]] bool in_contact(std::size_t sibling, Time now) const;
+  [[nodiscard]] bool in_contact(std::size_t peer, Time now) const;
   /// It leads or hears the leader, and we hear it.
-  [[nodiscard]] bool reaches_leader(std::size_t sibling, Time now) const;
+  [[nodiscard]] bool reaches_leader(std::size_t peer, Time now) const;
   /// The one that leads under the highest epoch; empty: unknown, or ourselves.
   [[nodiscard]] std::optional<std::size_t> leader(Time now) const;
   /// A leader whose lease may have lapsed, and that still answers reports.
@@ -70,7 +70,7 @@
   [[nodiscard]] Time latest_answer(Time now) const;
 
  private:
-  std::vector<SiblingView> views_;
+  std::vector<PeerView> views_;
   std::uint64_t own_incarnation_;
   Time worker_lease_, keep_alive_span_;
 };
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -232,7 +232,7 @@
     return false;
   }
   // What is not due yet is looked at again by a later pass. So is what may still run elsewhere.
-  const bool due = task.not_before <= clock_.now && !job.has_stray(index);
+  const bool due = task.not_before <= clock_.now && !job.has_orphan(index);
   if (!due) placement_dirty_ = true;
   return due;
 }
--- a/src/coordination/rebuild.cpp
+++ b/src/coordination/reconciliation.cpp
@@ -15,23 +15,23 @@
 }
 }  // namespace
 
-void Core::begin_rebuild() {
+void Core::begin_reconciliation() {
   role_ = Role::Leader;
   const Time now = clock_.now;
-  fence_at_ = led_since_ + with_drift(keep_alive_span() + worker_lease());
-  rebuilding_ = true;
+  fence_at_ = elected_at_ + with_drift(keep_alive_span() + worker_lease());
+  reconciling_ = true;
   next_attempt_ = 1;
   next_rental_ = 1;
   Snapshot image = std::exchange(loading_, Snapshot{});
   note_unreadable(image);
-  if (image.unreadable.contains(kHeadKey) || image.unreadable.contains(kEpochKey)) {
+  if (image.unreadable.contains(kManifestKey) || image.unreadable.contains(kEpochKey)) {
     revoke(lease_);
-    stand_back_until_ = now + worker_lease();
+    election_backoff_until_ = now + worker_lease();
     return step_down("the checkpoint's head can't be read");
   }
   tables_.clear();
-  head_seq_ = image.head.seq;
-  head_version_ = image.head_version;
+  manifest_seq_ = image.manifest.seq;
+  manifest_version_ = image.manifest_version;
   load_shards(image);
   load_jobs(image);
   load_rentals(image);
@@ -46,9 +46,9 @@
   rentals_dirty_ = true;
   log(Log::Level::Info, "event=leading jobs=", tables_.jobs.size(),
       " finished=", tables_.finished.size(), " machines=", tables_.machines.size(),
-      " seq=", head_seq_, " after_ms=", now - led_since_, " fence_ms=", fence_at_ - now);
+      " seq=", manifest_seq_, " after_ms=", now - elected_at_, " fence_ms=", fence_at_ - now);
   send_heartbeats();
-  rebuild_tick();
+  reconcile();
   inquire_tick();
 }
 
@@ -76,14 +76,15 @@
     const JobRecord& record = image.jobs.at(id);
     shards_.add(id, shard, record_reserve(record.final, encode_record(record).size()));
   }
-  tail_.clear();
-  for (const std::string& id : image.in_head) tail_[id] = encode_record(image.jobs.at(id));
+  recent_records_.clear();
+  for (const std::string& id : image.in_manifest)
+    recent_records_[id] = encode_record(image.jobs.at(id));
 }
 
 // Rentals beyond what the head may hold, as after a time with higher limits, are left out: machines
 // of theirs are found in the cloud's list and by their reports.
 void Core::load_rentals(const Snapshot& image) {
-  for (const RentalRequest& rental : image.head.rentals)
+  for (const RentalRequest& rental : image.manifest.rentals)
     if (rental_bytes() + rental_size(rental) <= value_limit(kRentalFill))
       rentals_[rental.request] = {rental, true, false, clock_.now, clock_.now};
 }
@@ -145,27 +146,27 @@
 // The rebuild is over once every machine that may hold tasks has been heard under our token, or
 // can't hold any more. Asking them takes milliseconds; the design's wait of one round stays as the
 // bound for those that don't answer.
-void Core::rebuild_tick() {
-  if (!rebuilding_ || !in_command(clock_.now)) return;
+void Core::reconcile() {
+  if (!reconciling_ || !holds_valid_lease(clock_.now)) return;
   const Time now = clock_.now;
   std::vector<Machine*> missing;
   std::size_t recorded = 0;
   for (auto& [name, m] : tables_.machines) {
     recorded += m->recorded ? 1 : 0;
-    if (missing_in_rebuild(*m)) missing.push_back(m.get());
+    if (awaits_reconciliation(*m)) missing.push_back(m.get());
   }
   // One that died with the former leader would hold up everything for its lease and more (recorded
   // incident: 22 s). Returning it proves it gone.
   if (!missing.empty()) detect_dead_machines();
   // So would one that the former leader had returned without having written so; the cloud doesn't
   // list that, and so nothing tells its zone.
-  if (now - led_since_ > silent_after() && few_silent(missing.size(), recorded))
+  if (now - elected_at_ > silent_after() && few_silent(missing.size(), recorded))
     for (Machine* m : missing)
       if (m->zone.empty() && m->probe_failures >= 2) release(*m, "silent since take-over");
   if (!missing.empty()) return;
   // Machines that an unreadable value named can't be asked; but their leases run out.
   if (unknown_machines_ && now < fence_at_) return;
-  rebuilding_ = false;
+  reconciling_ = false;
   // Those that weren't heard held what is placed anew from now on: their leases are over.
   std::size_t unheard = 0;
   for (auto& [name, m] : tables_.machines) {
@@ -176,14 +177,14 @@
   for (auto& [id, job] : tables_.jobs) {
     tables_.unknown_to_queued(*job);
     review_gang(*job);
-    settle_job(*job);
+    finalize_if_over(*job);
   }
   placement_dirty_ = true;
-  log(Log::Level::Info, "event=rebuilt after_ms=", now - led_since_, " unheard=", unheard);
+  log(Log::Level::Info, "event=rebuilt after_ms=", now - elected_at_, " unheard=", unheard);
 }
 
 // It may hold tasks, and hasn't been heard under our token.
-bool Core::missing_in_rebuild(const Machine& m) const {
+bool Core::awaits_reconciliation(const Machine& m) const {
   return m.recorded && !m.heard_in_epoch && !m.lease_passed && clock_.now < expiry(m);
 }
 
@@ -191,10 +192,10 @@
 // there may be fewer sockets than machines that don't answer, and in the order of their names, or
 // with a rebuild's before the others, the last were never asked at all.
 void Core::inquire_tick() {
-  if (!in_command(clock_.now)) return;
+  if (!holds_valid_lease(clock_.now)) return;
   std::vector<Machine*> unheard;
   for (auto& [name, m] : tables_.machines) {
-    const bool awaited = rebuilding_ && missing_in_rebuild(*m);
+    const bool awaited = reconciling_ && awaits_reconciliation(*m);
     const bool silent = m->heard_in_epoch && m->silent && !m->releasing && clock_.now < expiry(*m);
     if (awaited || silent) unheard.push_back(m.get());
   }
--- a/src/coordination/share_moves.cpp
+++ b/src/coordination/share_moves.cpp
@@ -13,12 +13,12 @@
   if (!limits_.shared() || clock_.now < next_share_look_) return;
   next_share_look_ = clock_.now + heartbeat_interval() / kLooksPerHeartbeat;
   // While anything may run that isn't known, nothing can be given: it may count against the share.
-  const bool complete = !rebuilding_ && !unknown_jobs_ && !unknown_machines_;
-  perform_share_actions(limits_.observe(clock_.now, complete, siblings_.all_share_limits()));
+  const bool complete = !reconciling_ && !unknown_jobs_ && !unknown_machines_;
+  perform_share_actions(limits_.observe(clock_.now, complete, peers_.all_share_limits()));
 }
 
 void Core::region_input(const RegionMessageReceived& input) {
-  if (!in_command(clock_.now)) return;
+  if (!holds_valid_lease(clock_.now)) return;
   perform_share_actions(limits_.take(clock_.now, input.message));
   if (input.message.kind != RegionMessage::Kind::Demand) return;
   next_share_look_ = clock_.now;
@@ -39,10 +39,10 @@
 
 // Adds what is to be written of the shares; all of it, or none.
 void Core::add_shares(CompareAndSwapBuilder& transaction) {
-  if (!limits_.wants_round()) return;
+  if (!limits_.wants_commit()) return;
   const std::size_t room = operations_limit() - transaction.operations();
   for (auto& write : limits_.writes(std::min(room, kMostShareWrites))) {
-    round_.shares = true;
+    commit_.shares = true;
     transaction.put(write.key, std::move(write.value));
   }
 }
--- a/src/coordination/task_status_handler.cpp
+++ b/src/coordination/task_status_handler.cpp
@@ -36,11 +36,11 @@
 // Forgets what was placed there; the job may be over with that.
 void Core::drop(Machine& m, std::size_t index) {
   const Placement& p = m.placements[index];
-  Job* job = p.job != nullptr ? p.job : p.stray_of;
+  Job* job = p.job != nullptr ? p.job : p.orphan_of;
   tables_.erase(m, index);
   if (job == nullptr) return;
   review_gang(*job);
-  settle_job(*job);
+  finalize_if_over(*job);
 }
 
 // What hasn't been sent there yet can go elsewhere at once.
@@ -100,7 +100,7 @@
   const bool missing = known == TaskState::Unknown || known == TaskState::Queued;
   Placement& p = job != nullptr && on_machine && missing
                      ? tables_.place(*job, t.key.index, m, t.attempt, clock_.now)
-                     : add_stray(m, t, job);
+                     : add_orphan(m, t, job);
   // It was there before we knew of it: that its start was carried out needs no proof.
   p.state = PlaceState::Sent;
   if (job != nullptr && on_machine && !job->active()) stop_task(p, 0);
@@ -113,23 +113,23 @@
 
 // An attempt that is not the task's present place: it counts against team and machine, and is
 // stopped.
-Placement& Core::add_stray(Machine& m, const TaskStatus& t, Job* job) {
-  Placement stray;
-  stray.key = t.key;
-  stray.attempt = t.attempt;
-  stray.since = clock_.now;
+Placement& Core::add_orphan(Machine& m, const TaskStatus& t, Job* job) {
+  Placement orphan;
+  orphan.key = t.key;
+  orphan.attempt = t.attempt;
+  orphan.since = clock_.now;
   const bool on_machine = t.state != RunState::Exited;
   if (on_machine) {
-    stray.held = true;
-    if (job != nullptr) Tables::hold_stray(*job, m, stray);
+    orphan.held = true;
+    if (job != nullptr) Tables::hold_orphan(*job, m, orphan);
     log(Log::Level::Info, "event=stray_task machine=", m.name, " task=", t.key.job, "/",
         t.key.index, " attempt=", t.attempt);
   } else {
-    stray.job = job;
+    orphan.job = job;
     if (job != nullptr) job->machines_used.insert(m.name);
   }
-  stray.stop = on_machine;
-  m.placements.push_back(std::move(stray));
+  orphan.stop = on_machine;
+  m.placements.push_back(std::move(orphan));
   return m.placements.back();
 }
 
@@ -158,13 +158,13 @@
   for (std::uint32_t i = 0; is_gang(job) && i < job.spec().tasks; ++i) tables_.mark_done(job, i);
   if (job.active() && job.record.done.count() == job.spec().tasks) job.record.phase = Phase::Done;
   touch(job);
-  finished_next_.push_back({job.spec().id, index, m.name});
+  finished_tasks_.push_back({job.spec().id, index, m.name});
 }
 
 void Core::task_exited(Machine& m, Placement& p) {
   const Time now = clock_.now;
   Job* job = p.job;
-  Job* stray_of = p.stray_of;
+  Job* orphan_of = p.orphan_of;
   const bool was_held = p.held;
   const auto finish_hold = [&] {
     if (was_held) tables_.unhold(m, p);
@@ -176,10 +176,10 @@
   placement_dirty_ = true;
   if (job == nullptr) {
     finish_hold();
-    p.settled = true;
-    if (stray_of == nullptr) return;
-    review_gang(*stray_of);
-    return settle_job(*stray_of);
+    p.exit_committed = true;
+    if (orphan_of == nullptr) return;
+    review_gang(*orphan_of);
+    return finalize_if_over(*orphan_of);
   }
   review_gang(*job);
   Task& task = job->tasks[p.key.index];
@@ -190,8 +190,8 @@
     job->proven = true;
     if (task.state == TaskState::Done && (!was_held || gang_done)) {
       // Known already: either committed, or in a round to come that settles it.
-      p.settled = job->record.done.test(p.key.index) && !job->dirty && !job->round_phase;
-      if (!p.settled) finished_next_.push_back({job->spec().id, p.key.index, m.name});
+      p.exit_committed = job->record.done.test(p.key.index) && !job->dirty && !job->in_flight_phase;
+      if (!p.exit_committed) finished_tasks_.push_back({job->spec().id, p.key.index, m.name});
     } else {
       note_finished(*job, p.key.index, m);
       if (task.machine != nullptr && task.machine != &m)
@@ -199,10 +199,10 @@
           if (other.job == job && other.key.index == p.key.index && other.held) stop_task(other, 0);
     }
     finish_hold();
-    settle_job(*job);
+    finalize_if_over(*job);
     return;
   }
-  p.settled = true;
+  p.exit_committed = true;
   switch (p.cause) {
     case ExitCause::Error:
       task_failed(*job, m);
@@ -221,7 +221,7 @@
       break;
   }
   finish_hold();
-  settle_job(*job);
+  finalize_if_over(*job);
 }
 
 // A job submitted with a mistake fails everywhere; a faulty machine fails several jobs that run
@@ -272,7 +272,7 @@
     Placement& p = m.placements[i];
     if (out.size() >= kMaxCommands) return out;
     if (p.state == PlaceState::Exited) {
-      if (p.settled) out.push_back({Command::Op::Forget, p.key, p.attempt, 0});
+      if (p.exit_committed) out.push_back({Command::Op::Forget, p.key, p.attempt, 0});
     } else if (p.stop) {
       if (p.state == PlaceState::Reserved) {
         drop(m, i);
--- a/src/coordination/team_limits.cpp
+++ b/src/coordination/team_limits.cpp
@@ -57,7 +57,7 @@
 
 std::vector<federation::ShareAction> TeamLimits::committed(Time now) {
   if (!shares_) return {};
-  auto actions = shares_->step(now, federation::RoundCommitted{});
+  auto actions = shares_->step(now, federation::CheckpointCommitted{});
   apply_caps();
   return actions;
 }
--- a/src/coordination/team_limits.hpp
+++ b/src/coordination/team_limits.hpp
@@ -34,7 +34,7 @@
   /// The round that the last writes went into is committed.
   std::vector<federation::ShareAction> committed(Time now);
 
-  [[nodiscard]] bool wants_round() const { return shares_ && shares_->wants_round(); }
+  [[nodiscard]] bool wants_commit() const { return shares_ && shares_->wants_commit(); }
   std::vector<federation::ShareWrite> writes(std::size_t most) { return shares_->writes(most); }
 
   /// Whether a cap was raised since this was last asked.
--- a/src/federation/share_manager.cpp
+++ b/src/federation/share_manager.cpp
@@ -503,7 +503,7 @@
 
 // ---- rounds ----
 
-bool ShareManager::wants_round() const {
+bool ShareManager::wants_commit() const {
   return leading_ && active_ && !unreadable_ && in_flight_.empty() && !waiting_.empty();
 }
 
@@ -539,7 +539,7 @@
 
 // Changes go in their order, and each as a whole: a transfer's number and its amounts are one.
 std::vector<ShareWrite> ShareManager::writes(std::size_t most) {
-  if (!wants_round()) return {};
+  if (!wants_commit()) return {};
   staged_ = committed_;
   std::set<std::string> keys;
   std::size_t taken = 0;
--- a/src/federation/share_manager.hpp
+++ b/src/federation/share_manager.hpp
@@ -40,8 +40,8 @@
   RegionMessage message;
 };
 /// The round that carried the last `writes` is in the checkpoint.
-struct RoundCommitted {};
-using ShareInput = std::variant<LoadObserved, MessageArrived, RoundCommitted>;
+struct CheckpointCommitted {};
+using ShareInput = std::variant<LoadObserved, MessageArrived, CheckpointCommitted>;
 
 // ---- actions ----
 
@@ -78,7 +78,7 @@
   std::vector<ShareAction> step(Time now, ShareInput input);
 
   /// Whether there is something to be written; nothing is while a round is in flight.
-  [[nodiscard]] bool wants_round() const;
+  [[nodiscard]] bool wants_commit() const;
   /// Moves may begin: every controller of the region knows of shares. Written down with the first
   /// round, and true for ever from then on.
   void activate();
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -114,11 +114,11 @@
   if (const json::Value* l = list(doc, "siblings", "siblings"))
     for (rapidjson::SizeType i = 0; i < l->Size(); ++i) {
       const auto& v = (*l)[i];
-      Sibling p{text(v, "label", at("siblings", i, "label")),
-                text(v, "area", at("siblings", i, "area")),
-                endpoint(v, "endpoint", at("siblings", i, "endpoint"))};
+      PeerSettings p{text(v, "label", at("siblings", i, "label")),
+                     text(v, "area", at("siblings", i, "area")),
+                     endpoint(v, "endpoint", at("siblings", i, "endpoint"))};
       if (!names.insert(p.name).second) fail(at("siblings", i, "label"), "used twice");
-      s.siblings.push_back(std::move(p));
+      s.peers.push_back(std::move(p));
     }
   const auto& external = object(doc, "external", "external");
   s.cloud = endpoint(external, "cloud", "external.cloud");
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -12,7 +12,7 @@
 
 namespace sailreel {
 
-struct Sibling {
+struct PeerSettings {
   std::string name, zone, address;
 };
 
@@ -29,7 +29,7 @@
 
 struct Settings {
   std::string name, zone, listen, peer_listen;
-  std::vector<Sibling> siblings;
+  std::vector<PeerSettings> peers;
   std::string cloud, state;
   std::vector<std::string> zones;
   std::vector<Team> teams;
--- a/src/storage/checkpoint.cpp
+++ b/src/storage/checkpoint.cpp
@@ -231,11 +231,11 @@
   return value;
 }
 
-std::string encode_head(const Head& head, const std::vector<std::string>& records) {
+std::string encode_manifest(const Manifest& manifest, const std::vector<std::string>& records) {
   rapidjson::StringBuffer b;
   json::Writer w(b);
   w.StartArray();
-  for (const auto& r : head.rentals) {
+  for (const auto& r : manifest.rentals) {
     w.StartArray();
     json::put(w, r.request);
     json::put(w, r.type);
@@ -245,7 +245,7 @@
     w.EndArray();
   }
   w.EndArray();
-  return "{\"q\":" + std::to_string(head.seq) + ",\"e\":" + std::to_string(head.epoch) +
+  return "{\"q\":" + std::to_string(manifest.seq) + ",\"e\":" + std::to_string(manifest.epoch) +
          ",\"r\":" + json::text(b) + "," + list_of("t", records) + "}";
 }
 
@@ -282,8 +282,8 @@
       unreadable.insert(key);
   } else if (const auto shard = number_after(key, kMachinesPrefix)) {
     apply_machines(doc, key, *shard);
-  } else if (key == kHeadKey) {
-    apply_head(doc, item.version);
+  } else if (key == kManifestKey) {
+    apply_manifest(doc, item.version);
   } else if (key == kFeaturesKey) {
     apply_features(doc);
   } else if (const auto job_shard = shard_number(key)) {
@@ -338,18 +338,18 @@
   }
 }
 
-void Snapshot::apply_head(const json::Document& doc, std::uint64_t version) {
-  if (!json::get(doc, "q", head.seq) || !json::get(doc, "e", head.epoch))
-    unreadable.insert(kHeadKey);
-  head_version = version;
-  head.rentals.clear();
-  in_head.clear();
+void Snapshot::apply_manifest(const json::Document& doc, std::uint64_t version) {
+  if (!json::get(doc, "q", manifest.seq) || !json::get(doc, "e", manifest.epoch))
+    unreadable.insert(kManifestKey);
+  manifest_version = version;
+  manifest.rentals.clear();
+  in_manifest.clear();
   if (const json::Value* rentals = json::member(doc, "r"); rentals != nullptr && rentals->IsArray())
     for (const auto& v : rentals->GetArray())
       if (v.IsArray() && v.Size() == 5 && v[3].IsBool() && v[4].IsUint())
-        head.rentals.push_back(
+        manifest.rentals.push_back(
             {as_text(v[0]), as_text(v[1]), as_text(v[2]), v[3].GetBool(), v[4].GetUint()});
-  apply_jobs(doc, kHeadKey);
+  apply_jobs(doc, kManifestKey);
 }
 
 // The jobs that lie in the head or in a shard.
@@ -372,7 +372,7 @@
       const auto [location, fresh] = shard_of.try_emplace(id, *shard);
       if (!fresh) location->second = std::max(location->second, *shard);
     } else {
-      in_head.push_back(id);
+      in_manifest.push_back(id);
     }
     // A job can be in its shard and, changed since, in the head: the later change counts.
     const auto it = jobs.find(id);
--- a/src/storage/checkpoint.hpp
+++ b/src/storage/checkpoint.hpp
@@ -28,7 +28,7 @@
 inline constexpr const char* kPrefix = "sr/";
 inline constexpr const char* kLeaderKey = "sr/lead";
 inline constexpr const char* kEpochKey = "sr/epoch";
-inline constexpr const char* kHeadKey = "sr/head";
+inline constexpr const char* kManifestKey = "sr/head";
 
 inline constexpr const char* kShardPrefix = "sr/s/";
 inline constexpr const char* kMachinesPrefix = "sr/m/";
@@ -143,11 +143,11 @@
 /// longest ago are left out where they don't fit.
 std::string encode_machines_within(std::vector<MachineRecord> machines, std::size_t limit);
 
-struct Head {
+struct Manifest {
   std::uint64_t seq = 0, epoch = 0;
   std::vector<RentalRequest> rentals;
 };
-std::string encode_head(const Head& head, const std::vector<std::string>& records);
+std::string encode_manifest(const Manifest& manifest, const std::vector<std::string>& records);
 std::string encode_shard(const std::vector<std::string>& records);
 
 /// A node's picture of the checkpoint, kept by reading keys or their changes.
@@ -157,15 +157,15 @@
 
   std::optional<LeaderRecord> leader;
   std::uint64_t epoch = 0, epoch_version = 0;
-  Head head;
-  std::uint64_t head_version = 0;
+  Manifest manifest;
+  std::uint64_t manifest_version = 0;
   std::unordered_map<std::string, JobRecord> jobs;
   /// Which shard a job lies in; jobs that are in the head alone are missing.
   std::unordered_map<std::string, std::size_t> shard_of;
   /// How long the shards' values are.
   std::map<std::size_t, std::size_t> shard_bytes;
   std::map<std::size_t, std::vector<MachineRecord>> machines;
-  std::vector<std::string> in_head;
+  std::vector<std::string> in_manifest;
   Features features;
   /// Values about shares of teams' limits, by their keys; see share_records.hpp.
   std::map<std::string, std::string> share_values;
@@ -180,7 +180,7 @@
   void apply_piece(const KvItem& item, std::string_view prefix, Pieces& target);
   void apply_features(const json::Document& doc);
   void apply_machines(const json::Document& doc, const std::string& key, std::size_t shard);
-  void apply_head(const json::Document& doc, std::uint64_t version);
+  void apply_manifest(const json::Document& doc, std::uint64_t version);
   void apply_jobs(const json::Document& doc, const std::string& key);
 };
 
--- a/src/storage/compare_and_swap_builder.hpp
+++ b/src/storage/compare_and_swap_builder.hpp
@@ -36,8 +36,8 @@
   }
 
   /// The transaction, with the head as its first write.
-  KvRequest finish(std::vector<KvRequest::Condition> conditions, KvRequest::Put head) && {
-    puts_.insert(puts_.begin(), std::move(head));
+  KvRequest finish(std::vector<KvRequest::Condition> conditions, KvRequest::Put manifest) && {
+    puts_.insert(puts_.begin(), std::move(manifest));
     return std::move(*this).finish(std::move(conditions));
   }
 
--- a/src/storage/tables.cpp
+++ b/src/storage/tables.cpp
@@ -58,21 +58,22 @@
 bool Job::only_in(const std::string& zone) const {
   return std::all_of(per_zone.begin(), per_zone.end(),
                      [&](const auto& tasks) { return tasks.first == zone; }) &&
-         std::all_of(strays.begin(), strays.end(),
-                     [&](const StrayTask& stray) { return stray.zone == zone; });
+         std::all_of(orphans.begin(), orphans.end(),
+                     [&](const OrphanedAttempt& orphan) { return orphan.zone == zone; });
 }
 
 std::uint32_t Job::tasks_in(const std::string& zone) const {
   const auto placed_there = per_zone.find(zone);
-  const auto strays_there = std::count_if(
-      strays.begin(), strays.end(), [&](const StrayTask& stray) { return stray.zone == zone; });
+  const auto orphans_there =
+      std::count_if(orphans.begin(), orphans.end(),
+                    [&](const OrphanedAttempt& orphan) { return orphan.zone == zone; });
   return (placed_there == per_zone.end() ? 0 : placed_there->second) +
-         static_cast<std::uint32_t>(strays_there);
+         static_cast<std::uint32_t>(orphans_there);
 }
 
-bool Job::has_stray(std::uint32_t index) const {
-  return std::any_of(strays.begin(), strays.end(),
-                     [&](const StrayTask& stray) { return stray.index == index; });
+bool Job::has_orphan(std::uint32_t index) const {
+  return std::any_of(orphans.begin(), orphans.end(),
+                     [&](const OrphanedAttempt& orphan) { return orphan.index == index; });
 }
 
 namespace {
@@ -244,15 +245,15 @@
   return m.placements.back();
 }
 
-void Tables::hold_stray(Job& job, Machine& m, Placement& stray) {
-  stray.held = true;
-  stray.stray_of = &job;
-  stray.need = job.spec().need;
-  stray.team = job.team;
+void Tables::hold_orphan(Job& job, Machine& m, Placement& orphan) {
+  orphan.held = true;
+  orphan.orphan_of = &job;
+  orphan.need = job.spec().need;
+  orphan.team = job.team;
   // A team that the settings no longer name has no limit to count against.
-  if (stray.team != nullptr) stray.team->used += stray.need;
-  m.used += stray.need;
-  job.strays.push_back({stray.key.index, m.zone});
+  if (orphan.team != nullptr) orphan.team->used += orphan.need;
+  m.used += orphan.need;
+  job.orphans.push_back({orphan.key.index, m.zone});
   job.machines_used.insert(m.name);
 }
 
@@ -261,11 +262,11 @@
   p.held = false;
   m.used -= p.need;
   if (p.team != nullptr) p.team->used -= p.need;
-  if (Job* job = std::exchange(p.stray_of, nullptr); job != nullptr) {
-    const auto it = std::find_if(job->strays.begin(), job->strays.end(), [&](const StrayTask& s) {
-      return s.index == p.key.index && s.zone == m.zone;
-    });
-    if (it != job->strays.end()) job->strays.erase(it);
+  if (Job* job = std::exchange(p.orphan_of, nullptr); job != nullptr) {
+    const auto it = std::find_if(
+        job->orphans.begin(), job->orphans.end(),
+        [&](const OrphanedAttempt& s) { return s.index == p.key.index && s.zone == m.zone; });
+    if (it != job->orphans.end()) job->orphans.erase(it);
   }
   if (p.job == nullptr) return;
   Job& job = *p.job;
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -36,7 +36,7 @@
 };
 
 /// An attempt that is on a machine although its task has another place, or none.
-struct StrayTask {
+struct OrphanedAttempt {
   std::uint32_t index = 0;
   std::string zone;
 };
@@ -48,8 +48,9 @@
   std::uint32_t started = 0;              // as the checkpoint has it: tasks below may have started
   bool dirty = false;  // differs from the checkpoint, and the next round looks at it
   /// Its record as the checkpoint has it, and as the round in flight would leave it.
-  std::string stored, round_text;
-  std::optional<Phase> round_phase;  // as the round in flight has it, if that has a change of it
+  std::string stored, in_flight_record;
+  std::optional<Phase>
+      in_flight_phase;  // as the round in flight has it, if that has a change of it
   /// Small pieces of its bitmap that differ from the checkpoint's.
   std::set<std::size_t> dirty_pieces;
   /// Which pieces may lie in the checkpoint: they are deleted once the job is over.
@@ -62,7 +63,7 @@
   std::uint32_t queued = 0, unknown = 0, placed = 0, running = 0;
   std::uint32_t next_queued = 0;                  // no task below is queued
   std::map<std::string, std::uint32_t> per_zone;  // placed tasks
-  std::vector<StrayTask> strays;
+  std::vector<OrphanedAttempt> orphans;
   /// Machines that have, or had, a placement that names the job.
   std::set<std::string> machines_used;
   std::set<std::string> error_machines;
@@ -72,7 +73,9 @@
 
   [[nodiscard]] const JobSpec& spec() const { return record.spec; }
   /// Whether the round in flight may have changed what users may be told.
-  [[nodiscard]] bool in_doubt() const { return round_phase && *round_phase != committed_phase; }
+  [[nodiscard]] bool in_doubt() const {
+    return in_flight_phase && *in_flight_phase != committed_phase;
+  }
   /// To be served on.
   [[nodiscard]] bool active() const {
     return record.phase == Phase::Active && !record.cancel_asked;
@@ -85,7 +88,7 @@
   /// How many tasks of it are known in the zone.
   [[nodiscard]] std::uint32_t tasks_in(const std::string& zone) const;
   /// The task may still be on a machine that is not its place.
-  [[nodiscard]] bool has_stray(std::uint32_t index) const;
+  [[nodiscard]] bool has_orphan(std::uint32_t index) const;
   /// How many tasks may be in one zone.
   [[nodiscard]] std::uint32_t zone_cap() const {
     return spec().spread ? (spec().tasks + 1) / 2 : spec().tasks;
@@ -104,8 +107,8 @@
 
 /// One attempt of a task on a machine.
 struct Placement {
-  Job* job = nullptr;       // null: not a task's present place
-  Job* stray_of = nullptr;  // the job of such an attempt, while it is held
+  Job* job = nullptr;        // null: not a task's present place
+  Job* orphan_of = nullptr;  // the job of such an attempt, while it is held
   TeamBook* team = nullptr;
   TaskKey key;
   Resources need;
@@ -119,8 +122,8 @@
   bool moving = false;  // is to be stopped when the machine that awaits it is about to report
   bool stop = false;    // is to be stopped
   double grace_s = 0;
-  bool held = false;     // counts as the task's place, against machine and team
-  bool settled = false;  // exited, and what that means is in the checkpoint
+  bool held = false;            // counts as the task's place, against machine and team
+  bool exit_committed = false;  // exited, and what that means is in the checkpoint
 };
 
 /// An image that a machine is fetching, as far as we know.
@@ -226,7 +229,7 @@
   Placement& place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt, Time now);
   /// Counts an attempt that is on the machine, but not its task's place, against the machine, the
   /// team and the zone.
-  static void hold_stray(Job& job, Machine& m, Placement& stray);
+  static void hold_orphan(Job& job, Machine& m, Placement& orphan);
   /// Frees what a placement holds; the task is queued again unless it is done.
   void unhold(Machine& m, Placement& p);
   /// Removes the placement from the machine's list.
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -209,7 +209,7 @@
 
 // Two zones are apart: a node that can't reach the leader hands submissions and cancellations to
 // one that can, and users get their answers as ever.
-TEST(Answers, ANodeWithoutAWayToTheLeaderUsesASibling) {
+TEST(Answers, ANodeWithoutAPathToTheLeaderUsesAPeer) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     World world(quiet(seed));
     world.run_until(20'000);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -26,11 +26,11 @@
 
 // Two machines report the same task after a take-over, and the settings no longer name its team:
 // the second is told to stop it. Counting it against its team once ended the process.
-TEST(Core, AStrayTaskOfATeamThatIsNoLongerNamedIsStopped) {
-  CoreDriver driver(settings_without_siblings());
+TEST(Core, AnOrphanedAttemptOfATeamThatIsNoLongerNamedIsStopped) {
+  CoreDriver driver(settings_without_peers());
   JobRecord record = started_job("job-1", 2);
   record.spec.team = "gone";
-  driver.write(kHeadKey, encode_head({1, 0, {}}, {encode_record(record)}));
+  driver.write(kManifestKey, encode_manifest({1, 0, {}}, {encode_record(record)}));
   driver.write(machines_key(0),
                encode_machines({{"m-1", "10.1.0.1:9000", {}}, {"m-2", "10.1.0.2:9000", {}}}));
   driver.run_for(2'000);
@@ -54,7 +54,7 @@
   constexpr std::uint32_t kLarge = 100'000;
   constexpr std::uint32_t kPieces = (kLarge + kPieceBits - 1) / kPieceBits;
   constexpr std::size_t kOthers = 80;
-  CoreDriver driver(settings_without_siblings());
+  CoreDriver driver(settings_without_peers());
   // All tasks of the large job are done but one in each piece of its bitmap.
   JobRecord large = started_job("job-1", kLarge);
   std::vector<TaskStatus> at_first, at_last;
@@ -79,7 +79,7 @@
     at_last.push_back(completed(id, 0));
   }
   for (const auto& [shard, records] : shards) driver.write(shard_key(shard), encode_shard(records));
-  driver.write(kHeadKey, encode_head({1, 0, {}}, {}));
+  driver.write(kManifestKey, encode_manifest({1, 0, {}}, {}));
   driver.write(machines_key(0), encode_machines({{"m-1", "10.1.0.1:9000", {}}}));
   driver.run_for(2'000);
   ASSERT_TRUE(driver.core().leading());
--- a/tests/takeover_test.cpp
+++ b/tests/failover_test.cpp
@@ -12,9 +12,9 @@
 constexpr Time kBegin = 55'000;
 constexpr std::size_t kJobs = 16;
 
-class Takeover : public ::testing::TestWithParam<Scenario> {};
+class Failover : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(Takeover, KeepsTheRules) {
+TEST_P(Failover, KeepsTheRules) {
   const Scenario& scene = GetParam();
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     DayPlan plan = quiet(seed * 13);
@@ -156,7 +156,7 @@
      }},
 };
 
-INSTANTIATE_TEST_SUITE_P(Scenarios, Takeover, ::testing::ValuesIn(kScenarios), scenario_name);
+INSTANTIATE_TEST_SUITE_P(Scenarios, Failover, ::testing::ValuesIn(kScenarios), scenario_name);
 
 }  // namespace
 }  // namespace sailreel::sim
--- a/tests/fixed_limits_test.cpp
+++ b/tests/fixed_limits_test.cpp
@@ -75,7 +75,7 @@
 
 // As many users wait for a round as have sockets at the controllers, not a fixed number.
 TEST(FixedLimits, AsManySubmissionsWaitAsThereAreSockets) {
-  Settings settings = settings_without_siblings();
+  Settings settings = settings_without_peers();
   settings.limits.sockets = 3'000;
   CoreDriver driver(settings);
   driver.set_types({sample_type()});
@@ -108,15 +108,15 @@
 }
 
 TEST(FixedLimits, SocketsAreSharedOutWithinTheLimit) {
-  for (const std::size_t siblings : {0U, 2U, 4U, 20U})
+  for (const std::size_t peers : {0U, 2U, 4U, 20U})
     for (const std::uint64_t sockets : {8U, 30U, 100U, 500U, 700U, 20'000U}) {
       Settings settings = sample_settings(0);
       settings.limits.sockets = sockets;
-      settings.siblings.assign(siblings, Sibling{});
+      settings.peers.assign(peers, PeerSettings{});
       const SocketShares shares = share_sockets(settings, 0);
       EXPECT_GE(shares.server, sockets / 4) << sockets;
       EXPECT_LE(shares.server + shares.services + shares.worker_calls, sockets);
-      EXPECT_GE(shares.links, 2 * siblings) << "one each way for each sibling";
+      EXPECT_GE(shares.links, 2 * peers) << "one each way for each sibling";
     }
 }
 
@@ -152,7 +152,7 @@
 
 // A deployment that its limits can't carry starts all the same, and says so once for each leader.
 TEST(FixedLimits, TooLowALimitIsOneWarningLine) {
-  Settings settings = settings_without_siblings();
+  Settings settings = settings_without_peers();
   settings.teams = {{"red", 0, 0, 32'000, 40'000}};
   CoreDriver driver(settings);
   driver.set_types({sample_type()});
@@ -164,7 +164,7 @@
       << driver.warnings().front();
   EXPECT_NE(driver.warnings().front().find("described=4000"), std::string::npos);
 
-  CoreDriver carried(settings_without_siblings());
+  CoreDriver carried(settings_without_peers());
   carried.set_types({sample_type()});
   carried.run_for(120'000);
   EXPECT_TRUE(carried.warnings().empty());
--- a/tests/fixtures_test.cpp
+++ b/tests/fixtures_test.cpp
@@ -61,12 +61,12 @@
   Snapshot image;
   const std::string head = fixture("head.json"), shard = fixture("shard.json"),
                     machines = fixture("machines.json");
-  image.apply({kHeadKey, head, 5, false});
+  image.apply({kManifestKey, head, 5, false});
   image.apply({shard_key(3), shard, 5, false});
   image.apply({machines_key(28), machines, 5, false});
   image.apply({bitmap_key("job-000413", 0), fixture("piece.json"), 5, false});
   EXPECT_TRUE(image.unreadable.empty());
-  EXPECT_EQ(encode_head(image.head, {encode_record(image.jobs.at("job-000412"))}), head);
+  EXPECT_EQ(encode_manifest(image.manifest, {encode_record(image.jobs.at("job-000412"))}), head);
   EXPECT_EQ(encode_shard({encode_record(image.jobs.at("job-000413")),
                           encode_record(image.jobs.at("job-000007"))}),
             shard);
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -362,12 +362,12 @@
 
 /// A leader that has just taken over a gang of two, which runs on two machines.
 std::unique_ptr<CoreDriver> with_gang_of_two() {
-  auto driver = std::make_unique<CoreDriver>(settings_without_siblings());
+  auto driver = std::make_unique<CoreDriver>(settings_without_peers());
   JobRecord record;
   record.spec = gang("job-1", 2, 6, 30);
   record.started = 2;
   record.done = Bitmap(2);
-  driver->write(kHeadKey, encode_head({1, 0, {}}, {encode_record(record)}));
+  driver->write(kManifestKey, encode_manifest({1, 0, {}}, {encode_record(record)}));
   driver->write(machines_key(0), encode_machines({{"m-1", "10.1.0.1:9000", {}},
                                                   {"m-2", "10.1.0.2:9000", {}},
                                                   {"m-3", "10.1.0.3:9000", {}}}));
@@ -381,7 +381,7 @@
 }
 
 // A machine still reports how an older attempt ended: that says nothing of the present one.
-TEST(GangTakeover, AnExitOfAnOlderAttemptDoesNotEndThePresentOne) {
+TEST(GangFailover, AnExitOfAnOlderAttemptDoesNotEndThePresentOne) {
   const auto driver = with_gang_of_two();
   const auto running = [&driver](const char* machine, std::uint64_t seq, std::uint32_t index) {
     return driver->heartbeat(heartbeat_of(machine, seq, {member(index, 2, RunState::Running)}));
@@ -395,7 +395,7 @@
 }
 
 // One task is done, and the other's machine says that its mate is gone: both are done.
-TEST(GangTakeover, OneTaskThatIsDoneSaysItOfAll) {
+TEST(GangFailover, OneTaskThatIsDoneSaysItOfAll) {
   const auto driver = with_gang_of_two();
   driver->heartbeat(heartbeat_of("m-1", 1, {member(0, 2, RunState::Running)}));
   driver->heartbeat(heartbeat_of("m-2", 1, {member(1, 2, RunState::Running)}));
--- a/tests/incarnation_fence_test.cpp
+++ b/tests/incarnation_fence_test.cpp
@@ -61,9 +61,7 @@
 /// returned: only m-4 goes on to report, and answers no inquiry.
 class IncarnationsExpired : public ::testing::Test {
  protected:
-  IncarnationsExpired() : driver_(settings_without_siblings()) {
-    driver_.set_types({sample_type()});
-  }
+  IncarnationsExpired() : driver_(settings_without_peers()) { driver_.set_types({sample_type()}); }
 
   void add_job(const std::string& id, std::uint32_t tasks,
                const std::function<void(JobSpec&)>& set) {
@@ -74,8 +72,8 @@
     record.done = Bitmap(tasks);
     records_.push_back(encode_record(record));
   }
-  void take_over() {
-    driver_.write(kHeadKey, encode_head({1, 0, {}}, records_));
+  void failover() {
+    driver_.write(kManifestKey, encode_manifest({1, 0, {}}, records_));
     std::map<std::size_t, std::vector<MachineRecord>> shards;
     for (const char* name : {"m-1", "m-2", "m-3", "m-4"})
       shards[machine_shard(name)].push_back({name, std::string("10.1.0.1:") + (name + 2), {}});
@@ -113,7 +111,7 @@
     add_job("job-1", 1, {});
     add_job("job-2", 1, [](JobSpec& s) { s.need = {14, 7, 100}; });
     add_job("job-3", 1, [](JobSpec& s) { s.need = {10, 5, 60}; });
-    take_over();
+    failover();
     driver_.heartbeat(incarnation_heartbeat("m-1", 1, 1, of_before()));
     for (const char* name : {"m-2", "m-3"})
       driver_.heartbeat(incarnation_heartbeat(name, 1, 1, {}));
@@ -163,7 +161,7 @@
   EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 1, 9, of_before())).status, 503);
   EXPECT_FALSE(machine("m-1").silent);
   EXPECT_EQ(job("job-2").tasks[0].machine, &machine("m-1"));
-  EXPECT_EQ(job("job-1").strays.size(), 1U);
+  EXPECT_EQ(job("job-1").orphans.size(), 1U);
   const Response& response = driver_.answer_to(incarnation_heartbeat("m-1", 1, 11, of_before()));
   EXPECT_EQ(response.status, 200);
   EXPECT_NE(response.body.find("kill"), std::string::npos);
@@ -174,25 +172,25 @@
 // A machine that was never heard by this leader: nobody knows which of its sessions was over.
 TEST_F(IncarnationsExpired, AlsoOfAMachineThatTheLeaderNeverHeard) {
   add_job("job-1", 1, {});
-  take_over();
+  failover();
   run_with_heartbeats_of_the_last(33'000);
-  ASSERT_FALSE(driver_.core().rebuilding());
+  ASSERT_FALSE(driver_.core().reconciling());
   ASSERT_FALSE(machine("m-1").heard_in_epoch);
   EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 5, 9, {running("job-1", 0)})).status,
             503);
   EXPECT_TRUE(machine("m-1").empty());
-  EXPECT_EQ(job("job-1").strays.size(), 0U);
+  EXPECT_EQ(job("job-1").orphans.size(), 0U);
   EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 6, 10, {})).status, 200);
 }
 
 // Returned machines are remembered for a while, and forgotten in the end.
 TEST_F(IncarnationsExpired, TasksOfAMachineThatNobodyKnowsAreNotTaken) {
   add_job("job-1", 2, {});
-  take_over();
+  failover();
   for (const char* name : {"m-1", "m-2", "m-3"})
     driver_.heartbeat(incarnation_heartbeat(name, 1, 1, {}));
   run_with_heartbeats_of_the_last(2'000);
-  ASSERT_FALSE(driver_.core().rebuilding());
+  ASSERT_FALSE(driver_.core().reconciling());
   EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-9", 1, 9, {running("job-1", 0)})).status,
             503);
   EXPECT_FALSE(driver_.core().tables().machines.contains("m-9"));
@@ -203,7 +201,7 @@
 // place until one is left, and what was placed there before doesn't start.
 TEST_F(IncarnationsExpired, AJobKnownInTwoZonesGetsNoPlaceUntilOneIsLeft) {
   add_job("job-1", 3, [](JobSpec& s) { s.one_zone = true; });
-  take_over();
+  failover();
   const auto in_zb = [](std::uint64_t seq, std::vector<TaskStatus> tasks) {
     Heartbeat heartbeat = incarnation_heartbeat("m-2", 1, seq, std::move(tasks));
     heartbeat.zone = "zb";
@@ -236,9 +234,9 @@
 // started again before.
 TEST_F(IncarnationsExpired, ATaskIsNotStartedWhileAnotherAttemptOfItMayRun) {
   add_job("job-1", 1, {});
-  take_over();
+  failover();
   driver_.heartbeat(incarnation_heartbeat("m-1", 1, 1, {running("job-1", 0, 5)}));
-  const auto stray = [this](std::uint64_t seq, RunState state) {
+  const auto orphan = [this](std::uint64_t seq, RunState state) {
     return driver_.heartbeat(
         incarnation_heartbeat("m-2", 1, seq,
                               {{{"job-1", 0},
@@ -247,23 +245,23 @@
                                 state == RunState::Exited ? ExitCause::Stopped : ExitCause::None,
                                 false}}));
   };
-  std::string commands = stray(1, RunState::Running);
+  std::string commands = orphan(1, RunState::Running);
   EXPECT_NE(commands.find("kill"), std::string::npos);
   driver_.heartbeat(incarnation_heartbeat("m-3", 1, 1, {}));
   run_with_heartbeats_of_the_last(1'000);
-  ASSERT_FALSE(driver_.core().rebuilding());
-  EXPECT_EQ(job("job-1").strays.size(), 1U);
+  ASSERT_FALSE(driver_.core().reconciling());
+  EXPECT_EQ(job("job-1").orphans.size(), 1U);
   driver_.heartbeat(incarnation_heartbeat("m-1", 2, 2, {}));  // and loses its own place
   EXPECT_EQ(job("job-1").tasks[0].state, TaskState::Queued);
   for (std::uint64_t seq = 2; seq < 5; ++seq) {
-    stray(seq, RunState::Running);
+    orphan(seq, RunState::Running);
     driver_.heartbeat(incarnation_heartbeat("m-1", 2, seq + 1, {}));
     run_with_heartbeats_of_the_last(1'000);
   }
   EXPECT_EQ(last_commands_.find("start"), std::string::npos);
   EXPECT_EQ(job("job-1").tasks[0].state, TaskState::Queued);
-  stray(5, RunState::Exited);
-  EXPECT_TRUE(job("job-1").strays.empty());
+  orphan(5, RunState::Exited);
+  EXPECT_TRUE(job("job-1").orphans.empty());
   driver_.run_for(500);
   EXPECT_EQ(job("job-1").tasks[0].state, TaskState::Placed);
 }
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -89,11 +89,12 @@
 const Core* settled_leader(const World& world) {
   if (world.leader() < 0) return nullptr;
   const Core* core = world.core(leader_of(world));
-  return core != nullptr && core->in_command(world.now()) && !core->rebuilding() ? core : nullptr;
+  return core != nullptr && core->holds_valid_lease(world.now()) && !core->reconciling() ? core
+                                                                                         : nullptr;
 }
 
 /// The simulated time until a leader is done with its rebuild.
-Time time_to_rebuild(World& world, Time most) {
+Time time_to_reconcile(World& world, Time most) {
   constexpr Time kStep = 50;
   const Time began = world.now();
   while (settled_leader(world) == nullptr && world.now() - began < most)
@@ -103,7 +104,7 @@
 
 // Combination: 4,000 machines and more start cold; then the leader ends, and a zone with half of
 // the machines. What may run, runs again once what was rented instead is up.
-TEST(LargeFleet, AColdStartATakeoverAndALostZone) {
+TEST(LargeFleet, AColdStartAFailoverAndALostZone) {
   constexpr std::uint32_t kMachines = 6'000;
   DayPlan plan = large_day(kMachines, 8);
   plan.length = 150'000;
@@ -114,11 +115,11 @@
   ASSERT_GE(world.machines_up().size(), 4'000U);
   world.kill(leader_of(world), 6'000);
   world.run_until(world.now() + 100);
-  const Time rebuilt = time_to_rebuild(world, 20'000);
+  const Time reconciled = time_to_reconcile(world, 20'000);
   std::printf("machines %zu, rebuilt after %lld ms\n", world.machines_up().size(),
-              static_cast<long long>(rebuilt));
+              static_cast<long long>(reconciled));
   // A lease of a tenth of the workers', the checkpoint, and one look at each machine.
-  EXPECT_LT(rebuilt, 5'000);
+  EXPECT_LT(reconciled, 5'000);
   for (const std::string& name : world.machines_up())
     if (const auto it = world.cloud().machines.find(name);
         it != world.cloud().machines.end() && it->second.zone == "zb")
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint64_t kLowOperations = 5;
 
 Settings low_limits() {
-  Settings settings = settings_without_siblings();
+  Settings settings = settings_without_peers();
   settings.store.value_kb = kLowKb;
   settings.store.txn_ops = kLowOperations;
   return settings;
@@ -40,15 +40,15 @@
   CoreDriver driver(settings);
   std::vector<std::string> records;
   for (std::size_t n = 0; n < 60; ++n) records.push_back(encode_record(record_of(n, 8)));
-  const std::string head = encode_head({1, 0, {}}, records);
-  ASSERT_GT(head.size(), std::size_t{5} * 1024);
-  driver.write(kHeadKey, head);
+  const std::string manifest = encode_manifest({1, 0, {}}, records);
+  ASSERT_GT(manifest.size(), std::size_t{5} * 1024);
+  driver.write(kManifestKey, manifest);
   lower_limits(driver);
   driver.state().ops_limit = kLeastOperations;
   driver.run_for(4'000);
   EXPECT_TRUE(driver.core().leading());
   EXPECT_EQ(driver.state().malformed, 0U);
-  EXPECT_LT(driver.state().value_of(kHeadKey).size(), std::size_t{2} * 1024);
+  EXPECT_LT(driver.state().value_of(kManifestKey).size(), std::size_t{2} * 1024);
   const Snapshot checkpoint = driver.checkpoint();
   EXPECT_EQ(checkpoint.jobs.size(), records.size());
   EXPECT_TRUE(checkpoint.unreadable.empty());
@@ -69,7 +69,7 @@
   driver.write(shard_key(2), shard);
   driver.write(machines_key(0), encode_machines({{"m-1", "10.1.0.1:9000", {}}}));
   driver.write(shard_key(1), encode_shard({encode_record(record_of(90, 1))}));
-  driver.write(kHeadKey, encode_head({1, 0, {}}, {}));
+  driver.write(kManifestKey, encode_manifest({1, 0, {}}, {}));
   lower_limits(driver);
   driver.run_for(2'000);
   for (std::size_t n = 0; n < 30; ++n) driver.cancel(job_id(n));
@@ -94,7 +94,7 @@
   JobRecord record = record_of(1, kTasks);
   record.started = kTasks;
   record.done.set(7);
-  driver.write(kHeadKey, encode_head({1, 0, {}}, {encode_record(record)}));
+  driver.write(kManifestKey, encode_manifest({1, 0, {}}, {encode_record(record)}));
   driver.write(bitmap_key("job-1", 0), encode_piece(record.done.hex(0, kPieceBits)));
   driver.write(machines_key(0), encode_machines({{"m-1", "10.1.0.1:9000", {}}}));
   lower_limits(driver);
@@ -117,8 +117,8 @@
 }
 
 // The settings don't say how low the limits are: a refused round is followed by smaller ones.
-TEST(LowerLimits, ARefusedRoundIsFollowedBySmallerOnes) {
-  CoreDriver driver(settings_without_siblings());
+TEST(LowerLimits, ARejectedCommitIsFollowedBySmallerOnes) {
+  CoreDriver driver(settings_without_peers());
   lower_limits(driver);
   driver.run_for(500);
   driver.set_types({sample_type()});
--- a/tests/production/production_controller.cpp
+++ b/tests/production/production_controller.cpp
@@ -20,8 +20,8 @@
   out.zone = s.zone;
   out.listen = s.listen;
   out.peer_listen = s.peer_listen;
-  for (const Sibling& sibling : s.siblings)
-    out.siblings.push_back({sibling.name, sibling.zone, sibling.address});
+  for (const PeerSettings& peer : s.peers)
+    out.siblings.push_back({peer.name, peer.zone, peer.address});
   out.cloud = s.cloud;
   out.state = s.state;
   out.zones = s.zones;
@@ -135,9 +135,9 @@
           if (in.heartbeat) out.report = translate(*in.heartbeat);
           return out;
         } else if constexpr (std::is_same_v<T, PeerMessageReceived>) {
-          return old::PeerInput{in.sibling, translate(in.message)};
+          return old::PeerInput{in.peer, translate(in.message)};
         } else if constexpr (std::is_same_v<T, PeerDisconnected>) {
-          return old::PeerLost{in.sibling};
+          return old::PeerLost{in.peer};
         } else {
           throw std::logic_error("the version in production knows no such input");
         }
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -46,7 +46,7 @@
 
 // Hunted on simulated machines: finished jobs were rewritten in the long form with their shard, and
 // counted as unfinished after a take-over.
-TEST(Incident, FinishedJobsStayFinishedAcrossTakeOvers) {
+TEST(Incident, FinishedJobsStayFinishedAcrossFailovers) {
   DayPlan plan = quiet(7);
   plan.jobs = 60;
   plan.length = 400'000;
@@ -388,7 +388,7 @@
 
 // Recorded incident: a machine that the former leader had returned, or that died with it, held up
 // the rebuild for its lease and the former leader's grace, 22 s.
-TEST(Incident, AMachineThatDiedWithTheLeaderDoesNotHoldUpTheRebuild) {
+TEST(Incident, AMachineThatDiedWithTheLeaderDoesNotHoldUpReconciliation) {
   World world(quiet(12));
   world.run_until(1'000);
   for (int n = 0; n < 20; ++n) world.submit(service("job-" + std::to_string(n), 1));
@@ -401,7 +401,7 @@
   world.run_until(48'000);
   const int next = world.leader();
   ASSERT_GE(next, 0);
-  EXPECT_FALSE(world.core(static_cast<std::size_t>(next))->rebuilding());
+  EXPECT_FALSE(world.core(static_cast<std::size_t>(next))->reconciling());
   world.run();
   EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
 }
@@ -472,7 +472,7 @@
 
 // With more machines than sockets for inquiries, those that found none counted as failed: a
 // take-over took a second longer, and machines came a step nearer to being taken for dead.
-TEST(Size, ATakeOverOfManyMachinesIsOverAtOnce) {
+TEST(Size, AFailoverWithManyMachinesIsReconciledAtOnce) {
   DayPlan plan = quiet(17);
   plan.scale = 17;
   plan.loss = 0;
@@ -492,7 +492,7 @@
   while (world.leader() < 0 && world.now() < 60'000) world.run_until(world.now() + 5);
   ASSERT_GE(world.leader(), 0);
   world.run_until(world.now() + 700);
-  EXPECT_FALSE(world.core(static_cast<std::size_t>(world.leader()))->rebuilding());
+  EXPECT_FALSE(world.core(static_cast<std::size_t>(world.leader()))->reconciling());
   EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
 }
 
--- a/tests/share_manager_test.cpp
+++ b/tests/share_manager_test.cpp
@@ -43,7 +43,7 @@
   }
   std::vector<ShareAction> commit() {
     for (const ShareWrite& write : manager_.writes(4)) stored_[write.key] = write.value;
-    return manager_.step(now_, RoundCommitted{});
+    return manager_.step(now_, CheckpointCommitted{});
   }
   /// Another leader of the region, with what was written.
   void next_leader() { manager_.load(stored_, ++epoch_, now_); }
@@ -101,11 +101,11 @@
   Region north("north");
   north.observe(0);
   north.arrive(demand(4, 0, 0, 1));
-  EXPECT_FALSE(north.manager().wants_round());
+  EXPECT_FALSE(north.manager().wants_commit());
   north.observe(6);
-  EXPECT_FALSE(north.manager().wants_round());
+  EXPECT_FALSE(north.manager().wants_commit());
   north.observe(3);
-  EXPECT_TRUE(north.manager().wants_round());
+  EXPECT_TRUE(north.manager().wants_commit());
   EXPECT_EQ(north.cap(), 3);
 }
 
@@ -150,7 +150,7 @@
   EXPECT_EQ(sent(south.commit(), RegionMessage::Kind::Acknowledgement).size(), 1U);
   EXPECT_EQ(south.cap(), 7);
   EXPECT_EQ(sent(south.arrive(transfer(1, 3)), RegionMessage::Kind::Acknowledgement).size(), 1U);
-  EXPECT_FALSE(south.manager().wants_round());
+  EXPECT_FALSE(south.manager().wants_commit());
   south.next_leader();
   EXPECT_EQ(sent(south.arrive(transfer(1, 3)), RegionMessage::Kind::Acknowledgement).size(), 1U);
   EXPECT_EQ(south.cap(), 7);
@@ -161,7 +161,7 @@
   const auto actions = south.arrive(transfer(2, 3));
   ASSERT_EQ(actions.size(), 1U);
   EXPECT_TRUE(std::get<ShareEvent>(actions[0]).is_error);
-  EXPECT_FALSE(south.manager().wants_round());
+  EXPECT_FALSE(south.manager().wants_commit());
 }
 
 TEST(ShareManager, ADemandThatCrossedATransferOrIsOldIsNotServed) {
@@ -174,13 +174,13 @@
   north.arrive(acknowledgement);
   north.arrive(demand(2, 0, 0, 7));  // sent before the transfer arrived
   north.observe(0);
-  EXPECT_FALSE(north.manager().wants_round());
+  EXPECT_FALSE(north.manager().wants_commit());
   north.arrive(demand(2, 0, 1, 4));  // older than one that was served
   north.observe(0);
-  EXPECT_FALSE(north.manager().wants_round());
+  EXPECT_FALSE(north.manager().wants_commit());
   north.arrive(demand(2, 0, 1, 8));
   north.observe(0);
-  EXPECT_TRUE(north.manager().wants_round());
+  EXPECT_TRUE(north.manager().wants_commit());
 }
 
 TEST(ShareManager, WhatLessImportantTasksUseIsGivenOnceTheyAreGone) {
@@ -193,9 +193,9 @@
   EXPECT_EQ(stops, 1);
   EXPECT_EQ(north.cap(), 4);
   north.observe(5, 0, 5);
-  EXPECT_FALSE(north.manager().wants_round());
+  EXPECT_FALSE(north.manager().wants_commit());
   north.observe(4, 0, 4);
-  EXPECT_TRUE(north.manager().wants_round());
+  EXPECT_TRUE(north.manager().wants_commit());
 }
 
 TEST(ShareManager, ARegionWhoseTasksDoNotLeaveKeepsItsShare) {
@@ -206,7 +206,7 @@
   north.wait(10 * kHeartbeat);
   north.observe(6, 0, 6);
   EXPECT_EQ(north.cap(), 6);
-  EXPECT_FALSE(north.manager().wants_round());
+  EXPECT_FALSE(north.manager().wants_commit());
 }
 
 TEST(ShareManager, MessagesOfRegionsThatAreNotInTheOptionsAreIgnored) {
@@ -214,7 +214,7 @@
   RegionMessage foreign = transfer(1, 3);
   foreign.from = "west";
   EXPECT_TRUE(south.arrive(foreign).empty());
-  EXPECT_FALSE(south.manager().wants_round());
+  EXPECT_FALSE(south.manager().wants_commit());
 }
 
 }  // namespace
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -65,23 +65,23 @@
   after.phase = Phase::Cancelled;
   for (const bool head_first : {true, false}) {
     Snapshot image;
-    const auto head = item(kHeadKey, encode_head({13, 2, {}}, {encode_record(after)}));
+    const auto manifest = item(kManifestKey, encode_manifest({13, 2, {}}, {encode_record(after)}));
     const auto shard = item(shard_key(0), encode_shard({encode_record(before)}));
-    image.apply(head_first ? head : shard);
-    image.apply(head_first ? shard : head);
+    image.apply(head_first ? manifest : shard);
+    image.apply(head_first ? shard : manifest);
     EXPECT_EQ(image.jobs.at(before.spec.id).phase, Phase::Cancelled);
   }
 }
 
 TEST(Checkpoint, HeadCarriesRentalsAndEpoch) {
   Snapshot image;
-  image.apply(item(kHeadKey, encode_head({9, 4, {{"r-4-1", "box", "za", true, 3}}}, {})));
-  EXPECT_EQ(image.head.seq, 9U);
-  EXPECT_EQ(image.head.epoch, 4U);
-  ASSERT_EQ(image.head.rentals.size(), 1U);
-  EXPECT_EQ(image.head.rentals[0].request, "r-4-1");
-  EXPECT_EQ(image.head.rentals[0].count, 3U);
-  image.apply(item(kHeadKey, "[]"));
+  image.apply(item(kManifestKey, encode_manifest({9, 4, {{"r-4-1", "box", "za", true, 3}}}, {})));
+  EXPECT_EQ(image.manifest.seq, 9U);
+  EXPECT_EQ(image.manifest.epoch, 4U);
+  ASSERT_EQ(image.manifest.rentals.size(), 1U);
+  EXPECT_EQ(image.manifest.rentals[0].request, "r-4-1");
+  EXPECT_EQ(image.manifest.rentals[0].count, 3U);
+  image.apply(item(kManifestKey, "[]"));
   EXPECT_EQ(image.unreadable.size(), 1U);
 }
 
--- a/tests/support/behaviour_digest.cpp
+++ b/tests/support/behaviour_digest.cpp
@@ -73,7 +73,7 @@
 }
 
 void BehaviourDigest::add_action(const SendPeer& message) {
-  add_number(static_cast<std::uint64_t>(message.sibling));
+  add_number(static_cast<std::uint64_t>(message.peer));
   add_bytes(encode_peer(message.message));
 }
 
--- a/tests/support/core_driver.hpp
+++ b/tests/support/core_driver.hpp
@@ -16,9 +16,9 @@
 
 namespace sailreel::sim {
 
-inline Settings settings_without_siblings() {
+inline Settings settings_without_peers() {
   Settings settings = sample_settings(0);
-  settings.siblings.clear();
+  settings.peers.clear();
   return settings;
 }
 
--- a/tests/work_cost_test.cpp
+++ b/tests/work_cost_test.cpp
@@ -121,9 +121,9 @@
   MeteredDay quiet_day;
   quiet_day.serve();
   expect_at_most("quiet second", quiet_day.meter().total(), kSeconds, {710, 0.05});  // 568, 0
-  MeteredDay take_over;
-  take_over.play([](World& world) { world.kill(leader_of(world), 2'000); });
-  expect_at_most("second of a take-over", take_over.meter().total(), kSeconds,
+  MeteredDay failover;
+  failover.play([](World& world) { world.kill(leader_of(world), 2'000); });
+  expect_at_most("second of a take-over", failover.meter().total(), kSeconds,
                  {800, 6});  // 640, 4.0
   MeteredDay outage;
   outage.play([](World& world) {
--- a/tools/scale/deployment.cpp
+++ b/tools/scale/deployment.cpp
@@ -61,8 +61,8 @@
   settings.peer_listen = controller_address(index, controller, ":8081");
   for (std::uint32_t other = 0; other < region.controllers(); ++other)
     if (other != controller)
-      settings.siblings.push_back({controller_name(region, other), controller_zone(region, other),
-                                   controller_address(index, other, ":8081")});
+      settings.peers.push_back({controller_name(region, other), controller_zone(region, other),
+                                controller_address(index, other, ":8081")});
   for (const std::string& zone : region.zone()) settings.zones.push_back(zone);
   for (std::uint32_t team = 0; team < plan.fleet().teams(); ++team)
     settings.teams.push_back({team_name(team), 0, 0, 0, limit_in_region(plan)});
@@ -96,11 +96,11 @@
   object.end();
 }
 
-void write_sibling(json::Writer& writer, const Sibling& sibling) {
+void write_peer(json::Writer& writer, const PeerSettings& peer) {
   json::ObjectWriter object(writer);
-  object.text("label", sibling.name);
-  object.text("area", sibling.zone);
-  object.text("endpoint", sibling.address);
+  object.text("label", peer.name);
+  object.text("area", peer.zone);
+  object.text("endpoint", peer.address);
   object.end();
 }
 
@@ -130,7 +130,7 @@
 void write_fleet(json::Writer& writer, const Settings& settings) {
   constexpr double kClockErrorMs = 5;
   json::ObjectWriter fleet(writer, "settings");
-  fleet.whole("initial_size", settings.siblings.size() + 1);
+  fleet.whole("initial_size", settings.peers.size() + 1);
   fleet.list("zones", settings.zones, [&](const std::string& zone) { json::put(writer, zone); });
   fleet.list("teams", settings.teams, [&](const Team& team) { write_team(writer, team); });
   write_services(writer, settings);
@@ -199,8 +199,8 @@
   file.text("area", settings.zone);
   file.text("listen", settings.listen);
   file.text("peer_listen", settings.peer_listen);
-  file.list("siblings", settings.siblings,
-            [&](const Sibling& sibling) { write_sibling(writer, sibling); });
+  file.list("siblings", settings.peers,
+            [&](const PeerSettings& peer) { write_peer(writer, peer); });
   json::ObjectWriter external(writer, "external");
   external.text("cloud", settings.cloud);
   external.text("state", settings.state);
