--- a/sim/federated_day.cpp
+++ b/sim/federated_day.cpp
@@ -178,8 +178,8 @@
 void FederatedDay::plan_troubles() {
   const auto from = static_cast<std::uint32_t>(plan_.length / 6);
   const auto span = static_cast<std::uint32_t>(plan_.length / 2);
-  constexpr int kTroubles = 14;
-  for (int n = 0; n < kTroubles; ++n) troubles_at_.push_back(from + random_(span));
+  constexpr int kFaults = 14;
+  for (int n = 0; n < kFaults; ++n) troubles_at_.push_back(from + random_(span));
   std::sort(troubles_at_.rbegin(), troubles_at_.rend());
 }
 
--- a/src/coordination/checkpoint_commits.cpp
+++ b/src/coordination/checkpoint_commits.cpp
@@ -502,7 +502,7 @@
   if (r.shares) perform_share_actions(limits_.committed(clock_.now));
   for (const std::string& name : r.machines_added)
     if (Machine* m = tables_.machine(name)) {
-      if (!m->recorded) placement_dirty_ = true;
+      if (!m->recorded) scheduling_needed_ = true;
       m->recorded = true;
       m->record_dirty = false;
     }
@@ -511,14 +511,14 @@
   for (const FinishedTask& f : r.finished_tasks)
     // Now that it is written that the task is finished, its worker may forget it.
     if (Machine* m = tables_.machine(f.machine))
-      for (Placement& p : m->placements)
-        if (p.state == PlaceState::Exited && p.key.index == f.index && p.key.job == f.job)
+      for (TaskAttempt& p : m->attempts)
+        if (p.state == AttemptState::Exited && p.key.index == f.index && p.key.job == f.job)
           p.exit_committed = true;
   std::vector<Job*> over;
   for (const auto& [id, phase, final, started] : r.jobs) {
     Job* job = tables_.job(id);
     if (job == nullptr) continue;
-    if (!job->committed) placement_dirty_ = true;
+    if (!job->committed) scheduling_needed_ = true;
     job->committed = true;
     job->in_flight_phase.reset();
     job->stored = std::move(job->in_flight_record);
@@ -590,7 +590,7 @@
     ++examined_;
     Machine* m = tables_.machine(name);
     if (m == nullptr) continue;
-    for (Placement& p : m->placements) {
+    for (TaskAttempt& p : m->attempts) {
       if (p.job == &job) p.job = nullptr;
       if (p.orphan_of == &job) p.orphan_of = nullptr;
     }
@@ -599,7 +599,7 @@
   tables_.finished[id] = {job.record.phase, job.spec().tasks, job.record.seq};
   std::erase(dirty_jobs_, &job);
   tables_.remove_job(id);
-  placement_dirty_ = true;
+  scheduling_needed_ = true;
 }
 
 }  // namespace sailreel
--- a/src/coordination/core.cpp
+++ b/src/coordination/core.cpp
@@ -86,9 +86,9 @@
     if (holds_valid_lease(clock_.now)) {
       share_tick();
       review_gangs();
-      if (placement_dirty_ && clock_.now >= next_placement_) place_all();
+      if (scheduling_needed_ && clock_.now >= next_scheduling_) schedule_all();
       fleet_tick();
-      move_tick();
+      migration_tick();
     }
   }
   const Time next_tick = tick_ms(settings_);
--- a/src/coordination/core.hpp
+++ b/src/coordination/core.hpp
@@ -22,7 +22,7 @@
 #include "coordination/machine_ranking.hpp"
 #include "coordination/peer_table.hpp"
 #include "coordination/rate_limiter.hpp"
-#include "coordination/team_limits.hpp"
+#include "coordination/regional_quotas.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/peer_frames.hpp"
 #include "protocol/settings.hpp"
@@ -48,7 +48,7 @@
     return role_ == Role::Leader && now < lease_expiry_;
   }
   [[nodiscard]] const Tables& tables() const { return tables_; }
-  [[nodiscard]] const TeamLimits& limits() const { return limits_; }
+  [[nodiscard]] const RegionalQuotas& limits() const { return limits_; }
   [[nodiscard]] bool reconciling() const { return reconciling_; }
   /// How many jobs and machines were looked at, apart from the regular looks at the whole fleet (a
   /// fixed number for each report's interval). A measure of work that, unlike time, is the same on
@@ -219,10 +219,10 @@
   void quarantine(Machine& m, const char* why);
   void incarnation_lost(Machine& m, const char* why);
   void take_task(Machine& m, const TaskStatus& t, std::vector<bool>& seen);
-  Placement& adopt_attempt(Machine& m, const TaskStatus& t);
-  Placement& add_orphan(Machine& m, const TaskStatus& t, Job* job);
-  void task_state(Machine& m, Placement& p, PlaceState state);
-  void task_exited(Machine& m, Placement& p);
+  TaskAttempt& adopt_attempt(Machine& m, const TaskStatus& t);
+  TaskAttempt& add_orphan(Machine& m, const TaskStatus& t, Job* job);
+  void task_state(Machine& m, TaskAttempt& p, AttemptState state);
+  void task_exited(Machine& m, TaskAttempt& p);
   void task_failed(Job& job, Machine& m);
   void check_for_fault(Machine& m);
   std::vector<Command> commands_for(Machine& m, std::uint64_t heartbeat_seq);
@@ -266,71 +266,73 @@
 
   // placement.cpp
   /// What a machine must be to take a task, whatever runs elsewhere.
-  struct Requirement {
+  struct ResourceRequest {
     Resources each;
     bool spot = false;
     std::string zone;
     bool any_type = true;
     std::vector<std::string> types;
     /// Where the other finds no room, this finds none either.
-    [[nodiscard]] bool as_much_as(const Requirement& o) const;
-    bool operator==(const Requirement&) const = default;
+    [[nodiscard]] bool as_much_as(const ResourceRequest& o) const;
+    bool operator==(const ResourceRequest&) const = default;
   };
-  static Requirement requirement_of(const JobSpec& s) {
+  static ResourceRequest resource_request_of(const JobSpec& s) {
     return {s.need, s.spot, s.zone, s.any_type, s.types};
   }
-  struct Unmet {
-    Requirement want;
+  struct UnmetDemand {
+    ResourceRequest want;
     Resources total;
     std::uint32_t tasks = 0;
     bool guaranteed = false;
   };
   /// Work that the present pass has found nothing to stop for.
-  struct FailedEviction {
-    Requirement want;
+  struct FailedPreemption {
+    ResourceRequest want;
     Priority priority = Priority::Low;
-    const TeamBook* team = nullptr;
+    const TeamQuota* team = nullptr;
     bool guaranteed = false;
     std::string image;  // that the machine had to hold; empty: any machine
   };
   /// Work for which no replicas can be moved, or replicas that can't.
-  struct FailedMove {
-    Requirement want;
+  struct FailedMigration {
+    ResourceRequest want;
     std::string image;
   };
-  void place_all();
+  void schedule_all();
   bool place_job(Job& job);
   bool due(Job& job, std::uint32_t index);
   std::optional<std::uint32_t> place_tasks(Job& job, bool one_by_one);
   bool warm_room_made(const Job& job, const Machine& m);
   void bind(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt);
   void unplace(Job& job);
-  void note_unmet(const Job& job, const TeamBook& team, std::uint32_t tasks,
-                  const std::string& zone);
+  void record_unmet_demand(const Job& job, const TeamQuota& team, std::uint32_t tasks,
+                           const std::string& zone);
   [[nodiscard]] bool late_if_cold(const Job& job, const Machine& m, const char* aim) const;
   std::uint64_t attempt_number();
   /// How good a choice a machine is, less being better; by importance of what it compares.
-  using Fit = std::array<double, 6>;
-  static constexpr std::size_t kFitFailed = 0, kFitTogether = 4;
-  [[nodiscard]] MachineRating<Fit> fit(const JobSpec& spec, const Machine& m,
-                                       bool may_queue_fetch) const;
-  [[nodiscard]] static Fit own_fit(const Job& job, const Machine& m, Fit of_kind);
+  using BinPackingScore = std::array<double, 6>;
+  static constexpr std::size_t kScoreFailed = 0, kScoreTogether = 4;
+  [[nodiscard]] MachineRating<BinPackingScore> bin_packing_score(const JobSpec& spec,
+                                                                 const Machine& m,
+                                                                 bool may_queue_fetch) const;
+  [[nodiscard]] static BinPackingScore score_for_job(const Job& job, const Machine& m,
+                                                     BinPackingScore of_kind);
   /// Jobs for which the machines of a pass rank alike, as far as the jobs' own tasks have no say.
-  struct PlacementKind {
+  struct RankingKey {
     std::string image;
     Priority priority = Priority::Low;
     bool may_queue_fetch = false;
-    Requirement want;
-    bool operator==(const PlacementKind&) const = default;
+    ResourceRequest want;
+    bool operator==(const RankingKey&) const = default;
   };
-  struct EvictionKind {
+  struct PreemptionKey {
     std::string image;
     Priority priority = Priority::Low;
-    const TeamBook* team = nullptr;
+    const TeamQuota* team = nullptr;
     bool guaranteed = false, warm_only = false;
     std::string zone;
-    Requirement want;
-    bool operator==(const EvictionKind&) const = default;
+    ResourceRequest want;
+    bool operator==(const PreemptionKey&) const = default;
   };
   [[nodiscard]] std::size_t most_rankings() const;
   void begin_rankings(const std::optional<Resources>& least_need);
@@ -341,7 +343,7 @@
   void unreserve(Machine& m, const Resources& room);
   /// The best machine for one more task of the job, as things stand; null if there is none.
   Machine* best_machine(const Job& job, bool may_queue_fetch);
-  Machine* moved_to(const Job& job, std::uint32_t index);
+  Machine* migration_target(const Job& job, std::uint32_t index);
   [[nodiscard]] bool usable(const Machine& m) const;
   /// Usable, and not being emptied.
   [[nodiscard]] bool open(const Machine& m) const { return usable(m) && !m.retiring; }
@@ -374,41 +376,42 @@
   [[nodiscard]] double heartbeat_due_s(const Machine& m) const;
   [[nodiscard]] double fetch_s(const Job& job, const Machine& m) const;
   [[nodiscard]] GangZones gang_zones(const Job& job) const;
-  void make_gang_room(Job& job, const GangPlan& plan, const std::vector<Machine*>& machines);
+  void make_room_for_gang(Job& job, const GangPlan& plan, const std::vector<Machine*>& machines);
   [[nodiscard]] Time starved_after() const;
   bool hold_machines(const Job& job, std::uint32_t missing, const std::string& zone);
   /// A machine that takes this many times its type's boot time isn't waited for any more.
   static constexpr double kLateBoot = 1.3;
   [[nodiscard]] std::string zone_to_rent_in(const Job& job, const std::string& best) const;
   /// Stops a task and, if it is one of a gang, all the others of it.
-  void stop_with_gang(Placement& p, double grace_s);
+  void stop_with_gang(TaskAttempt& p, double grace_s);
   void stop_gang(Job& job, double grace_s);
 
   // preemption.cpp
   /// Only on machines that hold the job's image, or of a zone, if so asked.
-  bool make_room(const Job& job, bool warm_only = false, const std::string& zone = {});
-  bool stop_for(const Job& job, bool warm_only, const std::string& zone);
+  bool preempt_for(const Job& job, bool warm_only = false, const std::string& zone = {});
+  bool preempt_on_best_machine(const Job& job, bool warm_only, const std::string& zone);
   /// The tasks to be stopped on a machine, and what that loses.
-  struct Eviction {
-    std::vector<Placement*> victims;
+  struct PreemptionPlan {
+    std::vector<TaskAttempt*> victims;
     double cost = 0;
   };
-  std::optional<Eviction> eviction_on(Machine& m, const Job& job) const;
-  MachineRanking<double>& eviction_ranking(const Job& job, bool warm_only, const std::string& zone);
-  static bool stopped_before(const Placement* a, const Placement* b);
-  [[nodiscard]] double stop_cost(const Placement& p) const;
-  bool move_for(const Job& job);
-  [[nodiscard]] bool movable(const Placement& p) const;
-  struct PlannedMove {
-    Placement* placement = nullptr;
+  std::optional<PreemptionPlan> preemption_plan_on(Machine& m, const Job& job) const;
+  MachineRanking<double>& preemption_ranking(const Job& job, bool warm_only,
+                                             const std::string& zone);
+  static bool preempted_before(const TaskAttempt* a, const TaskAttempt* b);
+  [[nodiscard]] double preemption_cost(const TaskAttempt& p) const;
+  bool migrate_for(const Job& job);
+  [[nodiscard]] bool migratable(const TaskAttempt& p) const;
+  struct PlannedMigration {
+    TaskAttempt* attempt_record = nullptr;
     Machine* to = nullptr;
   };
-  std::optional<std::vector<PlannedMove>> moves_to_make_room(Machine& m, const Job& job);
-  void move(Placement& p, Machine& from, const Machine& to);
-  void move_tick();
+  std::optional<std::vector<PlannedMigration>> plan_migrations(Machine& m, const Job& job);
+  void migrate_replica(TaskAttempt& p, Machine& from, const Machine& to);
+  void migration_tick();
   void stop_tick();
-  [[nodiscard]] bool may_stop(const Job& job, const Placement& p) const;
-  void stop_task(Placement& p, double grace_s);
+  [[nodiscard]] bool may_preempt(const Job& job, const TaskAttempt& p) const;
+  void stop_task(TaskAttempt& p, double grace_s);
   void stop_job(Job& job);
   [[nodiscard]] double grace_for(const Job& job) const;
 
@@ -450,13 +453,13 @@
   };
   [[nodiscard]] FleetSupply count_supply() const;
   [[nodiscard]] bool may_rent(const MachineKind& kind, const std::string& zone) const;
-  [[nodiscard]] const MachineType* cheapest_type(const Requirement& want, bool spot) const;
+  [[nodiscard]] const MachineType* cheapest_type(const ResourceRequest& want, bool spot) const;
   [[nodiscard]] Resources room_freed_by_arrays() const;
   [[nodiscard]] Resources ordinary_allowance(const OrdinaryRoom& ordinary,
                                              const FleetSupply& supply) const;
   Demand demand_of_waiting(const OrdinaryRoom& ordinary, const FleetSupply& supply);
-  static void serve_from(Resources& freed, Unmet& unmet);
-  void limit_to_allowance(const MachineType& type, Resources& allowance, Unmet& unmet);
+  static void serve_from(Resources& freed, UnmetDemand& unmet);
+  void limit_to_allowance(const MachineType& type, Resources& allowance, UnmetDemand& unmet);
   void add_headroom(const OrdinaryRoom& ordinary, Demand& demand) const;
   void rent_in_zone(const Market& market, const Resources& total, FleetSupply& supply);
   void rent_missing(const MachineKind& kind, const Resources& total, FleetSupply& supply);
@@ -468,14 +471,15 @@
   [[nodiscard]] OrdinaryRoom ordinary_room() const;
   void retire(OrdinaryRoom ordinary);
   [[nodiscard]] std::vector<Machine*> machines_to_retire() const;
-  bool empty_machine(Machine& m, Reservations& under_way, std::vector<FailedMove>& in_vain);
+  bool empty_machine(Machine& m, Reservations& under_way,
+                     std::vector<FailedMigration>& failed_migrations);
   [[nodiscard]] bool spare(const OrdinaryRoom& ordinary, const Machine& m) const;
   /// Machines by an image that they hold, in the order of their names.
   using ImageHolders = std::unordered_map<std::string, std::vector<Machine*>>;
   const ImageHolders& image_holders();
-  [[nodiscard]] Machine* warm_room(const Placement& p, const Machine& from,
+  [[nodiscard]] Machine* warm_room(const TaskAttempt& p, const Machine& from,
                                    const Reservations& promised,
-                                   const std::vector<PlannedMove>& plan);
+                                   const std::vector<PlannedMigration>& plan);
   void send_releases();
   void release(Machine& m, const char* why);
   void drain(Machine& m, const char* why);
@@ -486,7 +490,7 @@
   Clock clock_;
   std::vector<Action> out_;
   Tables tables_;
-  TeamLimits limits_;
+  RegionalQuotas limits_;
   Time next_share_look_ = 0;
   EventLoopLag event_loop_lag_;  // of our ticks
 
@@ -636,16 +640,16 @@
   std::unordered_map<std::string, Gang> gangs_;
   std::set<std::string> gangs_to_review_;
   const Machine* heartbeat_sender_ = nullptr;  // whose report is being answered
-  bool placement_dirty_ = false;
-  Time next_placement_ = 0;
-  std::vector<Unmet> unmet_;  // by kind, in the order of their first jobs
-  std::unordered_map<const TeamBook*, Resources> unmet_of_team_;
+  bool scheduling_needed_ = false;
+  Time next_scheduling_ = 0;
+  std::vector<UnmetDemand> unmet_demand_;  // by kind, in the order of their first jobs
+  std::unordered_map<const TeamQuota*, Resources> unmet_of_team_;
   /// Work beyond any guarantee waits, and may have the ordinary machines that are up.
   bool ordinary_awaited_ = false;
   Time retire_not_before_ = 0;
   int fetch_votes_ = 0;  // above 0: images fetched at the same time share the rate
   /// Replicas on their way to another machine, and the room that is kept for them there.
-  struct Move {
+  struct Migration {
     std::string from, to;
     Resources need;
     Time until = 0;
@@ -653,23 +657,23 @@
     std::uint64_t attempt = 0;
     bool begun = false;  // the replica was told to stop
   };
-  std::unordered_map<std::string, Move> moves_;
+  std::unordered_map<std::string, Migration> migrations_;
   std::set<std::string> stops_due_;  // machines with stops that haven't left yet
   /// Room on machines that the present pass has promised to tasks of higher priority.
   Reservations reservations_;
   /// What the present pass has found no room for, and nothing to stop for. Room only shrinks within
   /// a pass; where it grows, these are forgotten.
-  std::vector<Requirement> no_room_for_;
-  std::vector<FailedMove> no_move_for_;
+  std::vector<ResourceRequest> no_room_for_;
+  std::vector<FailedMigration> no_migration_for_;
   /// Of the machines with room for the least that waits, and of all that take work, when the pass
   /// began.
-  RankingsByKind<PlacementKind, Fit> placement_rankings_{&Machine::room_index};
-  RankingsByKind<EvictionKind, double> eviction_rankings_{&Machine::open_index};
+  RankingsByKind<RankingKey, BinPackingScore> rankings_{&Machine::room_index};
+  RankingsByKind<PreemptionKey, double> preemption_rankings_{&Machine::open_index};
   std::vector<Machine*> machines_changed_;
   /// Empty if it has to be made anew.
   ImageHolders image_holders_;
   mutable std::uint64_t examined_ = 0;
-  std::vector<FailedEviction> no_eviction_for_;
+  std::vector<FailedPreemption> no_preemption_for_;
 };
 
 template <typename... Parts>
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -220,7 +220,7 @@
         if (lapsed && holds_valid_lease(clock_.now)) {
           // Renewed after all: the service hadn't ended it, so nobody else can have had it.
           log(Log::Level::Info, "event=lease_regained");
-          placement_dirty_ = true;
+          scheduling_needed_ = true;
         }
       },
       true);
@@ -262,10 +262,10 @@
   rentals_.clear();
   release_queue_.clear();
   no_capacity_until_.clear();
-  unmet_.clear();
+  unmet_demand_.clear();
   reservations_.clear();
   end_rankings();
-  moves_.clear();
+  migrations_.clear();
   gangs_.clear();
   gangs_to_review_.clear();
   stops_due_.clear();
--- a/src/coordination/fleet_sizing.cpp
+++ b/src/coordination/fleet_sizing.cpp
@@ -90,7 +90,7 @@
 void Core::take_types(const CloudResponse& r) {
   tables_.types = r.types;
   for (auto& [name, m] : tables_.machines) tables_.size_machine(*m);
-  placement_dirty_ = true;
+  scheduling_needed_ = true;
   check_capacity();
 }
 
@@ -187,7 +187,7 @@
 }
 
 // The type that takes such work for the least money, among those that may be rented now.
-const MachineType* Core::cheapest_type(const Requirement& want, bool spot) const {
+const MachineType* Core::cheapest_type(const ResourceRequest& want, bool spot) const {
   const MachineType* best = nullptr;
   double best_price = 0;
   for (const MachineType& type : tables_.types) {
@@ -215,7 +215,7 @@
   for (const auto& [name, m] : tables_.machines) {
     const MachineType* type = tables_.type(m->type);
     if (type == nullptr || !usable(*m)) continue;
-    for (const Placement& p : m->placements) {
+    for (const TaskAttempt& p : m->attempts) {
       if (!p.held || p.job == nullptr || p.job->spec().kind == JobKind::Service) continue;
       const double share = kRelief * type->boot_s / (type->boot_s + p.job->spec().estimate_s);
       freed += scaled(p.need, share);
@@ -243,7 +243,7 @@
 // For each kind of waiting work, room on the cheapest type that takes it.
 Core::Demand Core::demand_of_waiting(const OrdinaryRoom& ordinary, const FleetSupply& supply) {
   Demand demand;
-  const auto add = [&demand](const MachineKind& kind, const Unmet& unmet) {
+  const auto add = [&demand](const MachineKind& kind, const UnmetDemand& unmet) {
     if (unmet.want.zone.empty())
       demand.anywhere[kind] += unmet.total;
     else
@@ -252,7 +252,7 @@
   Resources freed = room_freed_by_arrays();
   Resources allowance = ordinary_allowance(ordinary, supply);
   ordinary_awaited_ = false;
-  for (Unmet unmet : unmet_) {
+  for (UnmetDemand unmet : unmet_demand_) {
     if (unmet.want.spot) serve_from(freed, unmet);
     if (const MachineType* type = unmet.want.spot ? cheapest_type(unmet.want, true) : nullptr) {
       add({type->name, true}, unmet);
@@ -267,7 +267,7 @@
 }
 
 // Takes what the freed room will serve off the work that waits.
-void Core::serve_from(Resources& freed, Unmet& unmet) {
+void Core::serve_from(Resources& freed, UnmetDemand& unmet) {
   if (unmet.tasks == 0) return;
   const Resources& each = unmet.want.each;
   double tasks = unmet.tasks;
@@ -281,7 +281,7 @@
 // Work that nobody was promised, and that may use cheap machines, waits for these. Ordinary ones
 // are rented for it within the allowance, and one beyond, so that it gets on where there are no
 // cheap ones: a guest's array once filled a zone's dear machines.
-void Core::limit_to_allowance(const MachineType& type, Resources& allowance, Unmet& unmet) {
+void Core::limit_to_allowance(const MachineType& type, Resources& allowance, UnmetDemand& unmet) {
   constexpr double kSlack = 1e-6;
   const double cpus = allowance.cpus + type.size.cpus;
   const double gpus = allowance.gpus + type.size.gpus;
@@ -296,10 +296,10 @@
 // Headroom for services to come, as a share of what such work uses or waits for.
 void Core::add_headroom(const OrdinaryRoom& ordinary, Demand& demand) const {
   Resources used = ordinary.used;
-  for (const Unmet& unmet : unmet_)
+  for (const UnmetDemand& unmet : unmet_demand_)
     if (!unmet.want.spot) used += unmet.total;
   if (used.gpus <= 0 && used.cpus <= 0) return;
-  const MachineType* type = cheapest_type(Requirement{}, false);
+  const MachineType* type = cheapest_type(ResourceRequest{}, false);
   if (type == nullptr) return;
   // What waits has no room: beside it, all of the headroom is to be added.
   Resources& wanted = demand.anywhere[{type->name, false}];
@@ -431,7 +431,7 @@
   log(Log::Level::Info, "event=drain machine=", m.name, " cause=\"", why, "\"");
   drop_unsent(m);
   if (m.drain_cause == "faulty")
-    for (Placement& p : m.placements)
+    for (TaskAttempt& p : m.attempts)
       if (p.held && p.job != nullptr) stop_with_gang(p, grace_for(*p.job));
 }
 
@@ -487,7 +487,7 @@
   for (const auto& [name, m] : tables_.machines) {
     if (!usable(*m) || m->spot) continue;
     if (!m->retiring) room.size += m->size;
-    for (const Placement& p : m->placements)
+    for (const TaskAttempt& p : m->attempts)
       if (p.held && (p.job == nullptr || !p.job->spec().spot)) room.used += p.need;
   }
   return room;
@@ -498,7 +498,7 @@
 void Core::retire(OrdinaryRoom ordinary) {
   // Demand that comes and goes within seconds once had one machine marked 17 times in a day, and
   // its replicas moved each time.
-  const bool wanted = ordinary_awaited_ || std::any_of(unmet_.begin(), unmet_.end(),
+  const bool wanted = ordinary_awaited_ || std::any_of(unmet_demand_.begin(), unmet_demand_.end(),
                                                        [](auto& u) { return !u.want.spot; });
   if (wanted) {
     retire_not_before_ = clock_.now + kRetireLeases * worker_lease();
@@ -513,15 +513,15 @@
     retiring += m->retiring ? 1 : 0;
   }
   Reservations under_way;
-  for (const auto& [task, move] : moves_)
+  for (const auto& [task, move] : migrations_)
     if (const Machine* to = tables_.machine(move.to)) under_way[to] += move.need;
-  std::vector<FailedMove> in_vain;
+  std::vector<FailedMigration> failed_migrations;
   image_holders_.clear();
   // As many at a time as the fleet's size allows: one for each look at the fleet was too slow for
   // hundreds, when demand fell.
   for (Machine* m : machines_to_retire()) {
     if (retiring > up / kRetiringShare) break;
-    if (!spare(ordinary, *m) || !empty_machine(*m, under_way, in_vain)) continue;
+    if (!spare(ordinary, *m) || !empty_machine(*m, under_way, failed_migrations)) continue;
     ordinary.size -= m->size;
     ++retiring;
   }
@@ -540,13 +540,13 @@
     Resources moved;
     std::size_t tasks = 0;
     bool possible = true;
-    for (const Placement& p : m->placements) {
+    for (const TaskAttempt& p : m->attempts) {
       if (!p.held) continue;
       ++tasks;
       // A task of an array or a gang is waited for.
       if (p.job != nullptr && p.job->spec().kind != JobKind::Service) continue;
       moved += p.need;
-      possible = possible && movable(p);
+      possible = possible && migratable(p);
     }
     if (possible && moved.gpus <= m->size.gpus / 2 && moved.cpus <= m->size.cpus / 2)
       candidates.push_back({tasks, m.get()});
@@ -560,35 +560,38 @@
 }
 
 // Marks a machine to be emptied if each of its replicas can move to where its image lies. What is
-// promised there meanwhile is added to `under_way`, and what finds no place is noted `in_vain`: a
-// look at all machines for each replica of each machine grew with the square of the fleet.
-bool Core::empty_machine(Machine& m, Reservations& under_way, std::vector<FailedMove>& in_vain) {
+// promised there meanwhile is added to `under_way`, and what finds no place is noted
+// `failed_migrations`: a look at all machines for each replica of each machine grew with the square
+// of the fleet.
+bool Core::empty_machine(Machine& m, Reservations& under_way,
+                         std::vector<FailedMigration>& failed_migrations) {
   // What another machine's emptying has sent here stays.
   if (under_way.contains(&m)) return false;
-  std::vector<PlannedMove> plan;
-  for (Placement& p : m.placements) {
+  std::vector<PlannedMigration> plan;
+  for (TaskAttempt& p : m.attempts) {
     if (!p.held || p.job->spec().kind != JobKind::Service) continue;
     const JobSpec& spec = p.job->spec();
-    const Requirement want = requirement_of(spec);
-    if (std::any_of(in_vain.begin(), in_vain.end(), [&](const FailedMove& failed) {
-          return failed.image == spec.image && want.as_much_as(failed.want);
-        }))
+    const ResourceRequest want = resource_request_of(spec);
+    if (std::any_of(failed_migrations.begin(), failed_migrations.end(),
+                    [&](const FailedMigration& failed) {
+                      return failed.image == spec.image && want.as_much_as(failed.want);
+                    }))
       return false;
     Machine* to = warm_room(p, m, under_way, plan);
     if (to == nullptr) {
       // So it is for its like elsewhere, unless that could come here, or the plan is in its way.
       const bool room_here = spec.need.fits_in(room_beside(under_way, m));
       if (plan.empty() && !room_here && !spec.spread && !spec.one_zone)
-        in_vain.push_back({want, spec.image});
+        failed_migrations.push_back({want, spec.image});
       return false;
     }
     plan.push_back({&p, to});
   }
   m.retiring = true;
   log(Log::Level::Info, "event=retire machine=", m.name, " moves=", plan.size());
-  for (const PlannedMove& step : plan) {
-    under_way[step.to] += step.placement->need;
-    move(*step.placement, m, *step.to);
+  for (const PlannedMigration& step : plan) {
+    under_way[step.to] += step.attempt_record->need;
+    move(*step.attempt_record, m, *step.to);
   }
   return true;
 }
--- a/src/coordination/gang_scheduling.cpp
+++ b/src/coordination/gang_scheduling.cpp
@@ -37,14 +37,14 @@
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i) {
     const Machine* m = job.tasks[i].machine;
     if (m == nullptr) continue;
-    for (const Placement& p : m->placements) {
+    for (const TaskAttempt& p : m->attempts) {
       if (p.job != &job || p.key.index != i || !p.held) continue;
       ++view.placed;
-      view.unsent += p.state == PlaceState::Reserved ? 1 : 0;
-      view.running += p.state == PlaceState::Running || p.state == PlaceState::Saving ? 1 : 0;
+      view.unsent += p.state == AttemptState::Reserved ? 1 : 0;
+      view.running += p.state == AttemptState::Running || p.state == AttemptState::Saving ? 1 : 0;
       view.stopping += p.stop ? 1 : 0;
       view.one_attempt = view.one_attempt && attempt.value_or(p.attempt) == p.attempt;
-      view.overdue = view.overdue || (p.state == PlaceState::Reserved && start_overdue(*m));
+      view.overdue = view.overdue || (p.state == AttemptState::Reserved && start_overdue(*m));
       attempt = p.attempt;
     }
   }
@@ -73,7 +73,7 @@
       case GangDecision::Unplace:
       case GangDecision::PlaceAll:
       case GangDecision::PlaceMissing:
-        placement_dirty_ = true;
+        scheduling_needed_ = true;
         break;
     }
     if (view.unsent > 0) waiting.insert(id);
@@ -98,7 +98,7 @@
       const auto placed = std::find_if(job.tasks.begin(), job.tasks.end(),
                                        [](const Task& t) { return t.machine != nullptr; });
       const auto index = static_cast<std::uint32_t>(placed - job.tasks.begin());
-      for (const Placement& p : placed->machine->placements)
+      for (const TaskAttempt& p : placed->machine->attempts)
         if (p.job == &job && p.key.index == index && p.held)
           return gang_due(job) && place_gang_tasks(job, p.attempt);
       return true;
@@ -114,7 +114,7 @@
     return task.state == TaskState::Queued && task.not_before > clock_.now;
   });
   const bool due = !later && job.orphans.empty();
-  placement_dirty_ = placement_dirty_ || !due;
+  scheduling_needed_ = scheduling_needed_ || !due;
   return due;
 }
 
@@ -128,7 +128,7 @@
   for (const Machine* m : machines) candidates.push_back(gang_candidate(job, *m));
   const GangPlan plan = plan_gang(candidates, wanted, gang_zones(job));
   if (plan.missing > 0) {
-    make_gang_room(job, plan, machines);
+    make_room_for_gang(job, plan, machines);
     return false;
   }
   std::uint32_t index = 0;
@@ -143,7 +143,7 @@
 
 std::vector<Machine*> Core::gang_machines(const Job& job) const {
   std::vector<Machine*> machines;
-  for (Machine* m : placement_rankings_.machines())
+  for (Machine* m : rankings_.machines())
     if (open(*m) && tables_.allowed(job, *m) &&
         job.spec().need.fits_in(room_beside(reservations_, *m)))
       machines.push_back(m);
@@ -203,9 +203,10 @@
 // machines rented for it would be up: then machines are held for the rest too. So it can't starve
 // behind single tasks. As nothing of it holds room from one pass to the next until all of it does,
 // two gangs never wait for each other.
-void Core::make_gang_room(Job& job, const GangPlan& plan, const std::vector<Machine*>& machines) {
+void Core::make_room_for_gang(Job& job, const GangPlan& plan,
+                              const std::vector<Machine*>& machines) {
   const std::string zone = plan.zone.empty() ? job.spec().zone : plan.zone;
-  note_unmet(job, *job.team, plan.missing, zone_to_rent_in(job, zone));
+  record_unmet_demand(job, *job.team, plan.missing, zone_to_rent_in(job, zone));
   std::uint32_t made = 0;
   if (job.placed > 0) return;
   // Reserved first, so that what is stopped is stopped for the rest.
@@ -215,7 +216,7 @@
       kept.emplace_back(machines[i], job.spec().need.times(plan.tasks[i]));
       reserve(*machines[i], kept.back().second);
     }
-  while (made < plan.missing && make_room(job, false, zone)) ++made;
+  while (made < plan.missing && preempt_for(job, false, zone)) ++made;
   const bool starved = clock_.now - job.accepted > starved_after();
   if (made > 0 || (starved && hold_machines(job, plan.missing, zone))) return;
   for (const auto& [m, room] : kept) unreserve(*m, room);
@@ -244,7 +245,7 @@
     if (!open(*m) || !tables_.allowed(job, *m) || (!zone.empty() && m->zone != zone)) continue;
     const Resources room = room_beside(reservations_, *m);
     Resources later = room;
-    for (const Placement& p : m->placements)
+    for (const TaskAttempt& p : m->attempts)
       if (p.held && p.job != nullptr && p.job->spec().kind != JobKind::Service) later += p.need;
     const std::uint32_t slots = slots_in(later, job.spec().need, missing);
     if (slots > 0) candidates.push_back({m.get(), room, slots});
@@ -266,7 +267,7 @@
 // The zone with most room for it, unless none of its machines can be rented there now.
 std::string Core::zone_to_rent_in(const Job& job, const std::string& best) const {
   if (!job.spec().one_zone || !job.spec().zone.empty()) return best;
-  Requirement want = requirement_of(job.spec());
+  ResourceRequest want = resource_request_of(job.spec());
   const auto can_rent = [&](const std::string& zone) {
     want.zone = zone;
     return cheapest_type(want, false) != nullptr ||
@@ -278,7 +279,7 @@
   return best;
 }
 
-void Core::stop_with_gang(Placement& p, double grace_s) {
+void Core::stop_with_gang(TaskAttempt& p, double grace_s) {
   if (p.job != nullptr && is_gang(*p.job))
     stop_gang(*p.job, grace_s);
   else
@@ -290,7 +291,7 @@
 void Core::stop_gang(Job& job, double grace_s) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
-    for (Placement& p : task.machine->placements)
+    for (TaskAttempt& p : task.machine->attempts)
       if (p.job == &job && p.held && !p.stop) stop_task(p, grace_s);
   }
   review_gang(job);
--- a/src/coordination/heartbeat_handler.cpp
+++ b/src/coordination/heartbeat_handler.cpp
@@ -28,7 +28,7 @@
   m->last_own_heartbeat = now;
   heartbeat_sender_ = m;
   review_gangs();
-  if (placement_dirty_ && now >= next_placement_) place_all();
+  if (scheduling_needed_ && now >= next_scheduling_) schedule_all();
   heartbeat_sender_ = nullptr;
   m->answered = now;
   const auto commands = commands_for(*m, r.seq);
@@ -118,7 +118,7 @@
   note_address(m, r.address);
   record_heartbeat(m, r);
 
-  std::vector<bool> seen(m.placements.size(), false);
+  std::vector<bool> seen(m.attempts.size(), false);
   for (const TaskStatus& t : r.tasks) take_task(m, t, seen);
   for (std::size_t i = seen.size(); i-- > 0;)
     if (!seen[i]) handle_missing_task(m, i, r.seq, asked.has_value());
@@ -139,7 +139,7 @@
   log(Log::Level::Info, "event=machine_up machine=", m.name, " zone=", m.zone,
       " spot=", m.spot ? 1 : 0, " session=", r.incarnation, " tasks=", r.tasks.size(),
       " after_ms=", clock_.now - m.rented);
-  placement_dirty_ = true;
+  scheduling_needed_ = true;
 }
 
 // Its lease ran out. If we heard it all the time and answered, it doesn't hear us: until it has
@@ -179,7 +179,7 @@
   m.seq = r.seq;
   m.last_heartbeat = now;
   // It takes work again. Without a pass for it, what waited did so until something else changed.
-  if (m.silent) placement_dirty_ = true;
+  if (m.silent) scheduling_needed_ = true;
   m.silent = false;
   zone_unreachable_at_.erase(m.zone);
   m.probe_failures = 0;
@@ -189,7 +189,7 @@
 void Core::take_notice(Machine& m, double notice_s) {
   m.notice_until = clock_.now + ms(notice_s);
   drain(m, "notice");
-  for (Placement& p : m.placements)
+  for (TaskAttempt& p : m.attempts)
     if (p.held && p.job != nullptr && p.job->spec().checkpoint_s > 0)
       stop_with_gang(p, grace_for(*p.job));
 }
--- a/src/coordination/intake.cpp
+++ b/src/coordination/intake.cpp
@@ -125,7 +125,7 @@
     touch(*job);
     log(Log::Level::Info, "event=cancelled job=", r.id);
     stop_job(*job);
-    placement_dirty_ = true;
+    scheduling_needed_ = true;
   }
   cancel_waits_[r.id].push_back({r.source, clock_.now + cancel_wait()});
   finalize_if_over(*job);
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -30,15 +30,15 @@
 
 Resources Core::room_to_come(const Machine& m) const {
   Resources room = room_beside(reservations_, m);
-  for (const Placement& p : m.placements)
-    if (p.held && (p.stop || p.moving)) room += p.need;
+  for (const TaskAttempt& p : m.attempts)
+    if (p.held && (p.stop || p.migrating)) room += p.need;
   return room;
 }
 
 void Core::forget_failures() {
   no_room_for_.clear();
-  no_eviction_for_.clear();
-  no_move_for_.clear();
+  no_preemption_for_.clear();
+  no_migration_for_.clear();
 }
 
 // Promises room on a machine for the rest of the pass.
@@ -59,8 +59,8 @@
 }
 
 bool Core::never_fits(const JobSpec& s, std::string& why) const {
-  const TeamBook* team = nullptr;
-  for (const TeamBook& t : tables_.teams)
+  const TeamQuota* team = nullptr;
+  for (const TeamQuota& t : tables_.teams)
     if (t.limits.name == s.team) team = &t;
   if (team == nullptr) {
     why = "unknown team";
@@ -87,7 +87,7 @@
   return true;
 }
 
-bool Core::Requirement::as_much_as(const Requirement& o) const {
+bool Core::ResourceRequest::as_much_as(const ResourceRequest& o) const {
   return each.cpus >= o.each.cpus && each.gpus >= o.each.gpus &&
          each.memory_gb >= o.each.memory_gb && spot == o.spot && zone == o.zone &&
          any_type == o.any_type && types == o.types;
@@ -112,7 +112,7 @@
     // A team that the settings no longer name has no queue.
     if (job->team == nullptr || job->queued == 0) continue;
     if (job->not_before > clock_.now)
-      placement_dirty_ = true;  // looked at again by a later pass
+      scheduling_needed_ = true;  // looked at again by a later pass
     else
       waiting[static_cast<std::size_t>(s.priority)].push_back(job);
   }
@@ -131,14 +131,14 @@
   });
 }
 
-void Core::place_all() {
-  placement_dirty_ = false;
+void Core::schedule_all() {
+  scheduling_needed_ = false;
   const Time now = clock_.now;
   const std::uint64_t examined = examined_;
   reservations_.clear();
-  for (const auto& [task, move] : moves_)
+  for (const auto& [task, move] : migrations_)
     if (const Machine* m = tables_.machine(move.to)) reservations_[m] += move.need;
-  unmet_.clear();
+  unmet_demand_.clear();
   unmet_of_team_.clear();
   forget_failures();
   Queues all = note_guarantees();
@@ -155,7 +155,7 @@
   for (std::vector<Job*>& waiting : all) {
     queue_order(waiting);
     // A queue for each team.
-    std::map<TeamBook*, std::vector<Job*>> queues;
+    std::map<TeamQuota*, std::vector<Job*>> queues;
     for (Job* job : waiting) queues[job->team].push_back(job);
     for (auto& [team, queue] : queues) std::reverse(queue.begin(), queue.end());
     // In turn: whose team uses least of its share is served next.
@@ -174,7 +174,7 @@
   const Time heartbeats = std::max<Time>(1, static_cast<Time>(tables_.machines.size()));
   const Time least = std::max<Time>(10, heartbeat_interval() / kPassesPerHeartbeat);
   const Time by_looks = looks * heartbeat_interval() / (kLooksPerHeartbeat * heartbeats);
-  next_placement_ = now + std::max(least, std::min(by_looks, heartbeat_interval()));
+  next_scheduling_ = now + std::max(least, std::min(by_looks, heartbeat_interval()));
 }
 
 // Looks at all machines once: which of them take work, and which have room for the least that
@@ -186,9 +186,9 @@
     ++examined_;
     m->open_index = m->room_index = {};
     if (!open(*m)) continue;
-    eviction_rankings_.add(*m);
+    preemption_rankings_.add(*m);
     if (!least_need->fits_in(room_beside(reservations_, *m))) continue;
-    placement_rankings_.add(*m);
+    rankings_.add(*m);
     m->reserved.fill(0);
     for (const CachedImage& c : m->images)
       if (const auto i = tables_.image_priority.find(c.name); i != tables_.image_priority.end())
@@ -198,8 +198,8 @@
 }
 
 void Core::end_rankings() {
-  placement_rankings_.clear();
-  eviction_rankings_.clear();
+  rankings_.clear();
+  preemption_rankings_.clear();
   machines_changed_.clear();
   image_holders_.clear();
 }
@@ -218,8 +218,8 @@
   const std::optional<std::uint32_t> left = place_tasks(job, one_by_one);
   if (!left) return false;
   if (*left == 0) return true;
-  note_unmet(job, *job.team, *left, job.spec().zone);
-  for (std::uint32_t i = 0; i < *left && make_room(job); ++i) {
+  record_unmet_demand(job, *job.team, *left, job.spec().zone);
+  for (std::uint32_t i = 0; i < *left && preempt_for(job); ++i) {
   }
   return false;
 }
@@ -233,7 +233,7 @@
   }
   // What is not due yet is looked at again by a later pass. So is what may still run elsewhere.
   const bool due = task.not_before <= clock_.now && !job.has_orphan(index);
-  if (!due) placement_dirty_ = true;
+  if (!due) scheduling_needed_ = true;
   return due;
 }
 
@@ -244,7 +244,7 @@
   for (std::uint32_t i = job.next_queued; i < job.tasks.size() && job.queued > 0; ++i) {
     if (!due(job, i)) continue;
     if (job.team == nullptr || !job.team->allows(job.spec().need)) return {};
-    Machine* m = moved_to(job, i);
+    Machine* m = migration_target(job, i);
     if (m == nullptr) m = best_machine(job, false);
     if (m != nullptr && warm_room_made(job, *m)) {
       ++waiting;
@@ -267,9 +267,9 @@
 // Where a fetch would break an aim, room is made on a machine that holds the image, if possible.
 bool Core::warm_room_made(const Job& job, const Machine& m) {
   const bool late = late_if_cold(job, m, "wait");
-  if (late && make_room(job, true)) return true;
+  if (late && preempt_for(job, true)) return true;
   const bool owed = job.guaranteed && late_if_cold(job, m, "guarantee");
-  return (late || owed) && move_for(job);
+  return (late || owed) && migrate_for(job);
 }
 
 void Core::bind(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt) {
@@ -284,8 +284,8 @@
 // Adds to what more machines could serve: what the team's limit allows beyond what it has and what
 // of its is counted already. Jobs of one kind are counted together: a list that was cut off after
 // so many jobs once hid most of a cold start from the sizing of the fleet.
-void Core::note_unmet(const Job& job, const TeamBook& team, std::uint32_t tasks,
-                      const std::string& zone) {
+void Core::record_unmet_demand(const Job& job, const TeamQuota& team, std::uint32_t tasks,
+                               const std::string& zone) {
   const JobSpec& s = job.spec();
   Resources& counted = unmet_of_team_[&team];
   std::uint32_t wanted = tasks;
@@ -296,13 +296,14 @@
   if (wanted == 0) return;
   const Resources total{s.need.cpus * wanted, s.need.gpus * wanted, s.need.memory_gb * wanted};
   counted += total;
-  Requirement want = requirement_of(s);
+  ResourceRequest want = resource_request_of(s);
   want.zone = zone;
-  auto it = std::find_if(unmet_.begin(), unmet_.end(), [&](const Unmet& u) {
+  auto it = std::find_if(unmet_demand_.begin(), unmet_demand_.end(), [&](const UnmetDemand& u) {
     return u.guaranteed == job.guaranteed && u.want == want;
   });
-  if (it == unmet_.end())
-    it = unmet_.insert(unmet_.end(), Unmet{std::move(want), {}, 0, job.guaranteed});
+  if (it == unmet_demand_.end())
+    it = unmet_demand_.insert(unmet_demand_.end(),
+                              UnmetDemand{std::move(want), {}, 0, job.guaranteed});
   it->total += total;
   it->tasks += wanted;
 }
@@ -325,9 +326,9 @@
     if (task.machine == nullptr) continue;
     ++examined_;
     Machine& m = *task.machine;
-    for (std::size_t i = m.placements.size(); i-- > 0;) {
-      const Placement& p = m.placements[i];
-      if (p.job == &job && p.state == PlaceState::Reserved) tables_.erase(m, i);
+    for (std::size_t i = m.attempts.size(); i-- > 0;) {
+      const TaskAttempt& p = m.attempts[i];
+      if (p.job == &job && p.state == AttemptState::Reserved) tables_.erase(m, i);
     }
     machine_changed(m);
   }
@@ -338,9 +339,9 @@
 std::uint64_t Core::attempt_number() { return (epoch_ << kAttemptBits) + next_attempt_++; }
 
 // Where a replica that was stopped to be moved is awaited, if it still can go there.
-Machine* Core::moved_to(const Job& job, std::uint32_t index) {
-  if (moves_.empty()) return nullptr;
-  const auto node = moves_.extract(task_name({job.spec().id, index}));
+Machine* Core::migration_target(const Job& job, std::uint32_t index) {
+  if (migrations_.empty()) return nullptr;
+  const auto node = migrations_.extract(task_name({job.spec().id, index}));
   if (!node) return nullptr;
   Machine* m = tables_.machine(node.mapped().to);
   if (m == nullptr) return nullptr;
@@ -353,7 +354,8 @@
 
 // How good a machine is for one more task of such a job; what the job's own tasks and failures say
 // of it is left out.
-MachineRating<Core::Fit> Core::fit(const JobSpec& s, const Machine& m, bool may_queue_fetch) const {
+MachineRating<Core::BinPackingScore> Core::bin_packing_score(const JobSpec& s, const Machine& m,
+                                                             bool may_queue_fetch) const {
   if (!open(m)) return {};
   const Resources room = room_beside(reservations_, m);
   if (!s.need.fits_in(room) || !tables_.suits(s, m)) return {};
@@ -368,42 +370,43 @@
   // the one that is busy with the fewest fetches, as they share its rate.
   const double fill =
       image < 2 ? room.gpus + room.cpus / 1000 : static_cast<double>(fetches) * 100 - room.gpus;
-  return {Fit{0, dear, image, reserved, 0, fill}, true};
+  return {BinPackingScore{0, dear, image, reserved, 0, fill}, true};
 }
 
 // The same for a certain job.
-Core::Fit Core::own_fit(const Job& job, const Machine& m, Fit of_kind) {
-  if (job.error_machines.contains(m.name)) of_kind[kFitFailed] = 1;
+Core::BinPackingScore Core::score_for_job(const Job& job, const Machine& m,
+                                          BinPackingScore of_kind) {
+  if (job.error_machines.contains(m.name)) of_kind[kScoreFailed] = 1;
   // Replicas of a service keep apart, so that a machine's end takes few of them.
   if (job.spec().kind == JobKind::Service && job.placed > 0)
-    of_kind[kFitTogether] = static_cast<double>(
-        std::count_if(m.placements.begin(), m.placements.end(),
-                      [&](const Placement& p) { return p.job == &job && p.held; }));
+    of_kind[kScoreTogether] = static_cast<double>(
+        std::count_if(m.attempts.begin(), m.attempts.end(),
+                      [&](const TaskAttempt& p) { return p.job == &job && p.held; }));
   return of_kind;
 }
 
 Machine* Core::best_machine(const Job& job, bool may_queue_fetch) {
   const JobSpec& s = job.spec();
-  const Requirement want = requirement_of(s);
-  for (const Requirement& failed : no_room_for_)
+  const ResourceRequest want = resource_request_of(s);
+  for (const ResourceRequest& failed : no_room_for_)
     if (want.as_much_as(failed)) return nullptr;
   const auto rate = [this, s, may_queue_fetch](const Machine& m) {
     ++examined_;
-    return fit(s, m, may_queue_fetch);
+    return bin_packing_score(s, m, may_queue_fetch);
   };
-  MachineRanking<Fit>& ranking = placement_rankings_.get(
+  MachineRanking<BinPackingScore>& ranking = rankings_.get(
       {s.image, s.priority, may_queue_fetch, want}, most_rankings(), machines_changed_, rate);
   if (!ranking.any_room()) {
     no_room_for_.push_back(want);
     return nullptr;
   }
   const auto zone_open = [&](const std::string& zone) { return tables_.zone_open(job, zone); };
-  const auto own = [&](std::size_t index, const Fit& of_kind) {
+  const auto own = [&](std::size_t index, const BinPackingScore& of_kind) {
     ++examined_;
-    return own_fit(job, *placement_rankings_.machines()[index], of_kind);
+    return score_for_job(job, *rankings_.machines()[index], of_kind);
   };
   const std::optional<std::size_t> best = ranking.best(zone_open, own);
-  return best ? placement_rankings_.machines()[*best] : nullptr;
+  return best ? rankings_.machines()[*best] : nullptr;
 }
 
 }  // namespace sailreel
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -17,7 +17,7 @@
   return s.checkpoint_s > 0 ? s.save_s * 1.1 + 0.1 : 0;
 }
 
-void Core::stop_task(Placement& p, double grace_s) {
+void Core::stop_task(TaskAttempt& p, double grace_s) {
   // A second stop may only shorten: that ends a task that is saving.
   p.grace_s = p.stop ? std::min(p.grace_s, grace_s) : grace_s;
   p.stop = true;
@@ -39,8 +39,8 @@
     if (m == nullptr || !m->heard_in_epoch || m->silent || m->releasing || m->address.empty())
       continue;
     std::vector<Command> stops;
-    for (const Placement& p : m->placements)
-      if (p.stop && p.state >= PlaceState::Sent && p.state <= PlaceState::Running)
+    for (const TaskAttempt& p : m->attempts)
+      if (p.stop && p.state >= AttemptState::Sent && p.state <= AttemptState::Running)
         stops.push_back({Command::Op::Stop, p.key, p.attempt, p.grace_s});
     if (stops.empty()) continue;
     call_worker(m->address, encode_direct(epoch_, m->incarnation, stops),
@@ -59,10 +59,10 @@
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
     Machine& m = *task.machine;
-    for (std::size_t i = m.placements.size(); i-- > 0;) {
-      Placement& p = m.placements[i];
+    for (std::size_t i = m.attempts.size(); i-- > 0;) {
+      TaskAttempt& p = m.attempts[i];
       if (p.job != &job || !p.held) continue;
-      if (p.state == PlaceState::Reserved)
+      if (p.state == AttemptState::Reserved)
         tables_.erase(m, i);
       else
         stop_task(p, 0);
@@ -72,8 +72,8 @@
 
 // Lower priority gives way; so does what another team runs beyond its guarantee to a team that is
 // within its own. Work never gives way to work of the same priority otherwise.
-bool Core::may_stop(const Job& job, const Placement& p) const {
-  if (!p.held || p.job == nullptr || p.stop || p.moving || p.job == &job) return false;
+bool Core::may_preempt(const Job& job, const TaskAttempt& p) const {
+  if (!p.held || p.job == nullptr || p.stop || p.migrating || p.job == &job) return false;
   const JobSpec& victim = p.job->spec();
   if (victim.priority > job.spec().priority) return true;
   if (p.job->team == job.team || victim.priority < job.spec().priority) return false;
@@ -83,57 +83,57 @@
 }
 
 // Promises room for one more task of the job on some machine, stopping others there if need be.
-bool Core::make_room(const Job& job, bool warm_only, const std::string& zone) {
+bool Core::preempt_for(const Job& job, bool warm_only, const std::string& zone) {
   const JobSpec& s = job.spec();
-  const Requirement want = requirement_of(s);
+  const ResourceRequest want = resource_request_of(s);
   // What was in vain for work of the same team and priority, which needs no more, is so again.
-  for (const FailedEviction& i : no_eviction_for_)
+  for (const FailedPreemption& i : no_preemption_for_)
     if (i.priority == s.priority && i.team == job.team && i.guaranteed == job.guaranteed &&
         (i.image.empty() || (warm_only && i.image == s.image)) && want.as_much_as(i.want))
       return false;
-  if (stop_for(job, warm_only, zone)) return true;
+  if (preempt_on_best_machine(job, warm_only, zone)) return true;
   // A job that minds the zones of its own tasks says nothing of others.
   if (!s.spread && !s.one_zone)
-    no_eviction_for_.push_back(
+    no_preemption_for_.push_back(
         {want, s.priority, job.team, job.guaranteed, warm_only ? s.image : std::string()});
   return false;
 }
 
-MachineRanking<double>& Core::eviction_ranking(const Job& job, bool warm_only,
-                                               const std::string& zone) {
+MachineRanking<double>& Core::preemption_ranking(const Job& job, bool warm_only,
+                                                 const std::string& zone) {
   const auto rate = [this, &job, warm_only](const Machine& m) -> MachineRating<double> {
     ++examined_;
     if (!open(m) || !tables_.suits(job.spec(), m)) return {};
     if (warm_only && !m.has_image(job.spec().image)) return {};
-    const std::optional<Eviction> eviction =
-        eviction_on(*eviction_rankings_.machines()[*m.open_index], job);
+    const std::optional<PreemptionPlan> eviction =
+        preemption_plan_on(*preemption_rankings_.machines()[*m.open_index], job);
     if (!eviction) return {};
     return {eviction->cost, true};
   };
   const JobSpec& s = job.spec();
-  return eviction_rankings_.get(
-      {s.image, s.priority, job.team, job.guaranteed, warm_only, zone, requirement_of(s)},
+  return preemption_rankings_.get(
+      {s.image, s.priority, job.team, job.guaranteed, warm_only, zone, resource_request_of(s)},
       most_rankings(), machines_changed_, rate);
 }
 
-bool Core::stop_for(const Job& job, bool warm_only, const std::string& zone) {
-  MachineRanking<double>& ranking = eviction_ranking(job, warm_only, zone);
+bool Core::preempt_on_best_machine(const Job& job, bool warm_only, const std::string& zone) {
+  MachineRanking<double>& ranking = preemption_ranking(job, warm_only, zone);
   const auto zone_open = [&](const std::string& other) {
     return (zone.empty() || other == zone) && tables_.zone_open(job, other);
   };
   const auto same = [](std::size_t, double of_kind) { return of_kind; };
   Machine* best = nullptr;
-  std::optional<Eviction> eviction;
+  std::optional<PreemptionPlan> eviction;
   while (!eviction) {
     const std::optional<std::size_t> index = ranking.best(zone_open, same);
     if (!index) return false;
-    best = eviction_rankings_.machines()[*index];
-    eviction = eviction_on(*best, job);
+    best = preemption_rankings_.machines()[*index];
+    eviction = preemption_plan_on(*best, job);
     // What may be stopped depends on what teams use, too.
     if (!eviction) ranking.update(*index);
   }
   reserve(*best, job.spec().need);
-  for (Placement* p : eviction->victims) {
+  for (TaskAttempt* p : eviction->victims) {
     log(Log::Level::Info, "event=preempt machine=", best->name, " task=", p->key.job, "/",
         p->key.index, " for=", job.spec().id);
     stop_with_gang(*p, grace_for(*p->job));
@@ -143,29 +143,29 @@
 
 // What would have to be stopped on a machine to make room for one more task of the job; empty if
 // that can't be done there.
-std::optional<Core::Eviction> Core::eviction_on(Machine& m, const Job& job) const {
+std::optional<Core::PreemptionPlan> Core::preemption_plan_on(Machine& m, const Job& job) const {
   const JobSpec& spec = job.spec();
-  Eviction eviction;
+  PreemptionPlan eviction;
   eviction.cost = m.has_image(spec.image) ? 0 : 1;
   Resources room = room_to_come(m);
   if (spec.need.fits_in(room)) return eviction;
   Resources most = room;
-  std::vector<Placement*> candidates;
-  for (Placement& p : m.placements)
-    if (may_stop(job, p)) {
+  std::vector<TaskAttempt*> candidates;
+  for (TaskAttempt& p : m.attempts)
+    if (may_preempt(job, p)) {
       candidates.push_back(&p);
       most += p.need;
     }
   if (!spec.need.fits_in(most)) return {};
-  std::sort(candidates.begin(), candidates.end(), stopped_before);
+  std::sort(candidates.begin(), candidates.end(), preempted_before);
   std::set<const Job*> gangs;
-  for (Placement* p : candidates) {
+  for (TaskAttempt* p : candidates) {
     const bool stopped_already = gangs.contains(p->job);
     if (spec.need.fits_in(room) && !stopped_already) break;
     room += p->need;
     if (stopped_already) continue;
     eviction.victims.push_back(p);
-    eviction.cost += stop_cost(*p);
+    eviction.cost += preemption_cost(*p);
     if (is_gang(*p->job)) gangs.insert(p->job);
   }
   if (!spec.need.fits_in(room)) return {};
@@ -174,7 +174,7 @@
 
 // The least important first; of arrays what has run shortest, as that work is lost; of replicas
 // what has run longest, as a start that is undone at once was none.
-bool Core::stopped_before(const Placement* a, const Placement* b) {
+bool Core::preempted_before(const TaskAttempt* a, const TaskAttempt* b) {
   const JobSpec& first = a->job->spec();
   const JobSpec& second = b->job->spec();
   if (first.priority != second.priority) return first.priority > second.priority;
@@ -185,47 +185,47 @@
 
 // A replica costs its service a moment; an array's task loses what it hasn't saved. A gang is
 // stopped as a whole.
-double Core::stop_cost(const Placement& p) const {
+double Core::preemption_cost(const TaskAttempt& p) const {
   constexpr double kReplica = 2, kSaved = 2, kUnsaved = 1, kAllWorkLost = 3;
   const JobSpec& spec = p.job->spec();
   const double tasks = is_gang(*p.job) ? static_cast<double>(p.job->placed) : 1;
-  if (spec.kind == JobKind::Service || p.state != PlaceState::Running) return kReplica * tasks;
+  if (spec.kind == JobKind::Service || p.state != AttemptState::Running) return kReplica * tasks;
   if (spec.checkpoint_s > 0) return kSaved * tasks;
   const double ran_s = static_cast<double>(clock_.now - p.running_since) / 1000.0;
   return tasks * (kUnsaved + kAllWorkLost * std::min(1.0, ran_s / std::max(1.0, spec.estimate_s)));
 }
 
 // A replica that can be stopped here to run elsewhere.
-bool Core::movable(const Placement& p) const {
+bool Core::migratable(const TaskAttempt& p) const {
   return p.held && p.job != nullptr && p.job->active() && p.job->spec().kind == JobKind::Service &&
-         p.state == PlaceState::Running && !p.stop && !p.moving &&
+         p.state == AttemptState::Running && !p.stop && !p.migrating &&
          clock_.now - p.running_since > kCountedStart;
 }
 
-void Core::move(Placement& p, Machine& from, const Machine& to) {
-  p.moving = true;
+void Core::migrate_replica(TaskAttempt& p, Machine& from, const Machine& to) {
+  p.migrating = true;
   machine_changed(from);
   // Its room is kept: a replica that lost it to another once fetched its image for half a minute.
-  moves_[task_name(p.key)] = {from.name, to.name,  p.need, clock_.now + worker_lease(),
-                              p.key,     p.attempt};
+  migrations_[task_name(p.key)] = {from.name, to.name,  p.need, clock_.now + worker_lease(),
+                                   p.key,     p.attempt};
 }
 
 // Replicas on the move are stopped just before the machine that awaits them may report, as the
 // start goes out with the answer: they are down for a fraction of a report's interval, not for more
 // than one. Only the stop goes directly; a direct start would have to be waited for, perhaps for
 // minutes.
-void Core::move_tick() {
+void Core::migration_tick() {
   const Time soonest = heartbeat_interval() * 3 / 4;
-  for (auto it = moves_.begin(); it != moves_.end();) {
-    Move& move = it->second;
+  for (auto it = migrations_.begin(); it != migrations_.end();) {
+    Migration& move = it->second;
     Machine* from = tables_.machine(move.from);
     const Machine* to = tables_.machine(move.to);
-    Placement* p = from != nullptr ? from->find(move.key, move.attempt) : nullptr;
+    TaskAttempt* p = from != nullptr ? from->find(move.key, move.attempt) : nullptr;
     const bool overtaken =
         !move.begun && (p == nullptr || p->stop || !p->held || to == nullptr || !usable(*to));
     if (overtaken || clock_.now >= move.until) {
-      if (p != nullptr) p->moving = false;
-      it = moves_.erase(it);
+      if (p != nullptr) p->migrating = false;
+      it = migrations_.erase(it);
       continue;
     }
     ++it;
@@ -238,25 +238,25 @@
 // Lets a task start where its image lies, although that is full of work as important, if some of
 // that can go on at once where its own image lies: a move takes a second or two, a fetch half a
 // minute.
-bool Core::move_for(const Job& job) {
+bool Core::migrate_for(const Job& job) {
   const JobSpec& s = job.spec();
-  const Requirement want = requirement_of(s);
-  for (const FailedMove& failed : no_move_for_)
+  const ResourceRequest want = resource_request_of(s);
+  for (const FailedMigration& failed : no_migration_for_)
     if (failed.image == s.image && want.as_much_as(failed.want)) return false;
   Machine* best = nullptr;
-  std::vector<PlannedMove> best_plan;
+  std::vector<PlannedMigration> best_plan;
   const auto holders = image_holders().find(s.image);
   if (holders == image_holders().end()) return false;
   for (Machine* m : holders->second) {
     ++examined_;
     if (!open(*m) || !tables_.allowed(job, *m)) continue;
-    std::optional<std::vector<PlannedMove>> plan = moves_to_make_room(*m, job);
+    std::optional<std::vector<PlannedMigration>> plan = plan_migrations(*m, job);
     if (!plan || (best != nullptr && plan->size() >= best_plan.size())) continue;
     best = m;
     best_plan = std::move(*plan);
   }
   if (best == nullptr) {
-    if (!s.spread && !s.one_zone) no_move_for_.push_back({want, s.image});
+    if (!s.spread && !s.one_zone) no_migration_for_.push_back({want, s.image});
     return false;
   }
   reserve(*best, s.need);
@@ -264,20 +264,21 @@
     log(Log::Level::Info, "event=move machine=", best->name, " task=", p->key.job, "/",
         p->key.index, " to=", to->name, " for=", s.id);
     reserve(*to, p->need);
-    move(*p, *best, *to);
+    migrate_replica(*p, *best, *to);
   }
   return true;
 }
 
 // The replicas that would have to go elsewhere for one more task of the job to fit on a machine;
 // empty if that can't be done with few.
-std::optional<std::vector<Core::PlannedMove>> Core::moves_to_make_room(Machine& m, const Job& job) {
+std::optional<std::vector<Core::PlannedMigration>> Core::plan_migrations(Machine& m,
+                                                                         const Job& job) {
   const Resources& need = job.spec().need;
   Resources room = room_to_come(m);
-  std::vector<PlannedMove> plan;
-  for (Placement& p : m.placements) {
+  std::vector<PlannedMigration> plan;
+  for (TaskAttempt& p : m.attempts) {
     if (need.fits_in(room) || plan.size() >= kMovesForAStart) break;
-    if (!movable(p) || p.job == &job) continue;
+    if (!migratable(p) || p.job == &job) continue;
     Machine* to = warm_room(p, m, reservations_, plan);
     if (to == nullptr) continue;
     room += p.need;
@@ -299,8 +300,8 @@
 
 // A machine that holds the image of a running replica and has room for it, beside what is promised
 // and what the plan so far sends there.
-Machine* Core::warm_room(const Placement& p, const Machine& from, const Reservations& promised,
-                         const std::vector<PlannedMove>& plan) {
+Machine* Core::warm_room(const TaskAttempt& p, const Machine& from, const Reservations& promised,
+                         const std::vector<PlannedMigration>& plan) {
   const JobSpec& s = p.job->spec();
   const auto holders = image_holders().find(s.image);
   if (holders == image_holders().end()) return nullptr;
@@ -311,8 +312,8 @@
     if (m->zone == from.zone ? !tables_.type_allowed(s, m->type) : !tables_.allowed(*p.job, *m))
       continue;
     Resources room = room_beside(promised, *m);
-    for (const PlannedMove& step : plan)
-      if (step.to == m) room -= step.placement->need;
+    for (const PlannedMigration& step : plan)
+      if (step.to == m) room -= step.attempt_record->need;
     if (s.need.fits_in(room)) return m;
   }
   return nullptr;
--- a/src/coordination/reconciliation.cpp
+++ b/src/coordination/reconciliation.cpp
@@ -179,7 +179,7 @@
     review_gang(*job);
     finalize_if_over(*job);
   }
-  placement_dirty_ = true;
+  scheduling_needed_ = true;
   log(Log::Level::Info, "event=rebuilt after_ms=", now - elected_at_, " unheard=", unheard);
 }
 
--- a/src/coordination/team_limits.cpp
+++ b/src/coordination/regional_quotas.cpp
@@ -1,4 +1,4 @@
-#include "coordination/team_limits.hpp"
+#include "coordination/regional_quotas.hpp"
 
 #include "federation/units.hpp"
 
@@ -12,35 +12,37 @@
 
 }  // namespace
 
-TeamLimits::TeamLimits(const Settings& settings, const FederationOptions& options, Tables& tables)
+RegionalQuotas::RegionalQuotas(const Settings& settings, const FederationOptions& options,
+                               Tables& tables)
     : tables_(tables) {
   if (options.enabled())
     shares_ = std::make_unique<federation::ShareManager>(options, settings.teams,
                                                          ms(settings.workers.heartbeat_interval_s));
 }
 
-bool TeamLimits::load(const Snapshot& checkpoint, std::uint64_t epoch, Time now) {
+bool RegionalQuotas::load(const Snapshot& checkpoint, std::uint64_t epoch, Time now) {
   if (shares_) {
     shares_->load(checkpoint.share_values, epoch, now);
     apply_caps();
     return true;
   }
-  for (TeamBook& team : tables_.teams) set_caps(team, {}, {});
+  for (TeamQuota& team : tables_.teams) set_caps(team, {}, {});
   if (checkpoint.share_values.empty()) return true;
   ShareLedger ledger;
   for (const auto& [key, value] : checkpoint.share_values) decode_share_value(key, value, ledger);
-  for (TeamBook& team : tables_.teams) {
+  for (TeamQuota& team : tables_.teams) {
     const Amounts share = ledger.teams[team.limits.name].share;
     set_caps(team, federation::units(share.cpus), federation::units(share.gpus));
   }
   return false;
 }
 
-void TeamLimits::stop() {
+void RegionalQuotas::stop() {
   if (shares_) shares_->stop();
 }
 
-std::vector<federation::ShareAction> TeamLimits::observe(Time now, bool complete, bool all_share) {
+std::vector<federation::ShareAction> RegionalQuotas::observe(Time now, bool complete,
+                                                             bool all_share) {
   if (!shares_) return {};
   if (all_share) shares_->activate();
   auto actions = shares_->step(now, federation::LoadObserved{loads(), complete});
@@ -48,23 +50,23 @@
   return actions;
 }
 
-std::vector<federation::ShareAction> TeamLimits::take(Time now, const RegionMessage& message) {
+std::vector<federation::ShareAction> RegionalQuotas::take(Time now, const RegionMessage& message) {
   if (!shares_) return {};
   auto actions = shares_->step(now, federation::MessageArrived{message});
   apply_caps();
   return actions;
 }
 
-std::vector<federation::ShareAction> TeamLimits::committed(Time now) {
+std::vector<federation::ShareAction> RegionalQuotas::committed(Time now) {
   if (!shares_) return {};
   auto actions = shares_->step(now, federation::CheckpointCommitted{});
   apply_caps();
   return actions;
 }
 
-std::vector<federation::TeamLoad> TeamLimits::loads() const {
+std::vector<federation::TeamLoad> RegionalQuotas::loads() const {
   std::vector<federation::TeamLoad> out;
-  for (const TeamBook& team : tables_.teams) {
+  for (const TeamQuota& team : tables_.teams) {
     federation::TeamLoad load;
     load.team = team.limits.name;
     load.used = amounts_of(team.used);
@@ -81,14 +83,15 @@
   return out;
 }
 
-void TeamLimits::apply_caps() {
-  for (TeamBook& team : tables_.teams) {
+void RegionalQuotas::apply_caps() {
+  for (TeamQuota& team : tables_.teams) {
     const federation::ShareManager::Cap cap = shares_->cap(team.limits.name);
     set_caps(team, cap.cpus, cap.gpus);
   }
 }
 
-void TeamLimits::set_caps(TeamBook& team, std::optional<double> cpus, std::optional<double> gpus) {
+void RegionalQuotas::set_caps(TeamQuota& team, std::optional<double> cpus,
+                              std::optional<double> gpus) {
   raised_ = raised_ || cpus > team.cpus_cap || gpus > team.gpus_cap;
   team.cpus_cap = cpus;
   team.gpus_cap = gpus;
--- a/src/coordination/team_limits.hpp
+++ b/src/coordination/regional_quotas.hpp
@@ -14,10 +14,10 @@
 
 namespace sailreel {
 
-class TeamLimits {
+class RegionalQuotas {
  public:
   /// Without federation in the options, limits are the settings' and nothing is ever written.
-  TeamLimits(const Settings& settings, const FederationOptions& options, Tables& tables);
+  RegionalQuotas(const Settings& settings, const FederationOptions& options, Tables& tables);
 
   /// Whether limits span regions.
   [[nodiscard]] bool shared() const { return shares_ != nullptr; }
@@ -44,7 +44,7 @@
  private:
   [[nodiscard]] std::vector<federation::TeamLoad> loads() const;
   void apply_caps();
-  void set_caps(TeamBook& team, std::optional<double> cpus, std::optional<double> gpus);
+  void set_caps(TeamQuota& team, std::optional<double> cpus, std::optional<double> gpus);
 
   Tables& tables_;
   std::unique_ptr<federation::ShareManager> shares_;
--- a/src/coordination/share_moves.cpp
+++ b/src/coordination/share_moves.cpp
@@ -34,7 +34,7 @@
     else if (const auto* event = std::get_if<federation::ShareEvent>(&action))
       log(event->is_error ? Log::Level::Error : Log::Level::Info, event->text);
   }
-  if (limits_.take_raised()) placement_dirty_ = true;
+  if (limits_.take_raised()) scheduling_needed_ = true;
 }
 
 // Adds what is to be written of the shares; all of it, or none.
@@ -50,20 +50,20 @@
 // Stops tasks of the team of lower priority than that, the least important first, until what is
 // left is within its cap.
 void Core::stop_beyond_cap(const std::string& name, Priority below) {
-  TeamBook* team = tables_.team(name);
+  TeamQuota* team = tables_.team(name);
   if (team == nullptr) return;
-  std::vector<Placement*> candidates;
+  std::vector<TaskAttempt*> candidates;
   Resources left = team->used;
   for (auto& [machine, m] : tables_.machines)
-    for (Placement& p : m->placements) {
+    for (TaskAttempt& p : m->attempts) {
       if (p.team != team || !p.held || p.job == nullptr) continue;
       if (p.stop)
         left -= p.need;
       else if (p.job->spec().priority > below)
         candidates.push_back(&p);
     }
-  std::sort(candidates.begin(), candidates.end(), stopped_before);
-  for (Placement* p : candidates) {
+  std::sort(candidates.begin(), candidates.end(), preempted_before);
+  for (TaskAttempt* p : candidates) {
     if (team->within_cap(left)) return;
     if (p->stop) continue;  // with its gang
     log(Log::Level::Info, "event=stopped_for_share task=", p->key.job, "/", p->key.index);
--- a/src/coordination/task_status_handler.cpp
+++ b/src/coordination/task_status_handler.cpp
@@ -14,28 +14,28 @@
 // A report doesn't show what was placed there.
 void Core::handle_missing_task(Machine& m, std::size_t index, std::uint64_t heartbeat_seq,
                                bool direct) {
-  Placement& p = m.placements[index];
-  if (p.state == PlaceState::Reserved) return;
-  if (p.state == PlaceState::Sent) {
+  TaskAttempt& p = m.attempts[index];
+  if (p.state == AttemptState::Reserved) return;
+  if (p.state == AttemptState::Sent) {
     // A worker has one report in flight at a time, so its next one shows that the answer to the one
     // before was carried out or dropped. A direct answer shows nothing of the kind.
     if (direct || heartbeat_seq <= p.sent_seq) return;
-    p.state = PlaceState::Reserved;
+    p.state = AttemptState::Reserved;
     if (p.sends < kMaxSends) return;
     log(Log::Level::Info, "event=start_not_taken machine=", m.name, " task=", p.key.job, "/",
         p.key.index);
     quarantine(m, "starts not taken");
-  } else if (p.state != PlaceState::Exited) {
+  } else if (p.state != AttemptState::Exited) {
     log(Log::Level::Info, "event=task_vanished machine=", m.name, " task=", p.key.job, "/",
         p.key.index, " attempt=", p.attempt);
   }
   drop(m, index);
-  placement_dirty_ = true;
+  scheduling_needed_ = true;
 }
 
 // Forgets what was placed there; the job may be over with that.
 void Core::drop(Machine& m, std::size_t index) {
-  const Placement& p = m.placements[index];
+  const TaskAttempt& p = m.attempts[index];
   Job* job = p.job != nullptr ? p.job : p.orphan_of;
   tables_.erase(m, index);
   if (job == nullptr) return;
@@ -45,9 +45,9 @@
 
 // What hasn't been sent there yet can go elsewhere at once.
 void Core::drop_unsent(Machine& m) {
-  for (std::size_t i = m.placements.size(); i-- > 0;)
-    if (m.placements[i].state == PlaceState::Reserved) drop(m, i);
-  placement_dirty_ = true;
+  for (std::size_t i = m.attempts.size(); i-- > 0;)
+    if (m.attempts[i].state == AttemptState::Reserved) drop(m, i);
+  scheduling_needed_ = true;
 }
 
 void Core::quarantine(Machine& m, const char* why) {
@@ -56,34 +56,34 @@
 }
 
 void Core::incarnation_lost(Machine& m, const char* why) {
-  if (m.placements.empty()) return;
-  log(Log::Level::Info, "event=tasks_gone machine=", m.name, " count=", m.placements.size(),
+  if (m.attempts.empty()) return;
+  log(Log::Level::Info, "event=tasks_gone machine=", m.name, " count=", m.attempts.size(),
       " zone=", m.zone, " session=", m.incarnation, " heard_ms=", clock_.now - m.last_heartbeat,
       " answered_ms=", clock_.now - m.answered, " cause=\"", why, "\"");
-  while (!m.placements.empty()) drop(m, m.placements.size() - 1);
+  while (!m.attempts.empty()) drop(m, m.attempts.size() - 1);
   m.idle_since = clock_.now;
   m.fetching_now.clear();
-  placement_dirty_ = true;
+  scheduling_needed_ = true;
 }
 
 void Core::take_task(Machine& m, const TaskStatus& t, std::vector<bool>& seen) {
-  Placement* p = m.find(t.key, t.attempt);
+  TaskAttempt* p = m.find(t.key, t.attempt);
   if (p != nullptr) {
-    const auto i = static_cast<std::size_t>(p - m.placements.data());
+    const auto i = static_cast<std::size_t>(p - m.attempts.data());
     if (i < seen.size()) seen[i] = true;
   } else {
     p = &adopt_attempt(m, t);
   }
-  if (p->state == PlaceState::Exited) return;
+  if (p->state == AttemptState::Exited) return;
   switch (t.state) {
     case RunState::Fetching:
-      return task_state(m, *p, PlaceState::Fetching);
+      return task_state(m, *p, AttemptState::Fetching);
     case RunState::Waiting:
-      return task_state(m, *p, PlaceState::Waiting);
+      return task_state(m, *p, AttemptState::Waiting);
     case RunState::Running:
-      return task_state(m, *p, PlaceState::Running);
+      return task_state(m, *p, AttemptState::Running);
     case RunState::Saving:
-      return task_state(m, *p, PlaceState::Saving);
+      return task_state(m, *p, AttemptState::Saving);
     case RunState::Exited:
       p->cause = t.cause;
       return task_exited(m, *p);
@@ -92,17 +92,17 @@
 
 // An attempt that we don't know: started by a former leader, or come back although we thought it
 // gone.
-Placement& Core::adopt_attempt(Machine& m, const TaskStatus& t) {
+TaskAttempt& Core::adopt_attempt(Machine& m, const TaskStatus& t) {
   Job* job = tables_.job(t.key.job);
   if (job != nullptr && t.key.index >= job->tasks.size()) job = nullptr;
   const bool on_machine = t.state != RunState::Exited;
   const TaskState known = job != nullptr ? job->tasks[t.key.index].state : TaskState::Done;
   const bool missing = known == TaskState::Unknown || known == TaskState::Queued;
-  Placement& p = job != nullptr && on_machine && missing
-                     ? tables_.place(*job, t.key.index, m, t.attempt, clock_.now)
-                     : add_orphan(m, t, job);
+  TaskAttempt& p = job != nullptr && on_machine && missing
+                       ? tables_.place(*job, t.key.index, m, t.attempt, clock_.now)
+                       : add_orphan(m, t, job);
   // It was there before we knew of it: that its start was carried out needs no proof.
-  p.state = PlaceState::Sent;
+  p.state = AttemptState::Sent;
   if (job != nullptr && on_machine && !job->active()) stop_task(p, 0);
   // It would start, with its image, where the job's other tasks forbid it.
   if (job != nullptr && t.state == RunState::Fetching && !Tables::zone_allowed(*job, m.zone))
@@ -113,8 +113,8 @@
 
 // An attempt that is not the task's present place: it counts against team and machine, and is
 // stopped.
-Placement& Core::add_orphan(Machine& m, const TaskStatus& t, Job* job) {
-  Placement orphan;
+TaskAttempt& Core::add_orphan(Machine& m, const TaskStatus& t, Job* job) {
+  TaskAttempt orphan;
   orphan.key = t.key;
   orphan.attempt = t.attempt;
   orphan.since = clock_.now;
@@ -129,19 +129,19 @@
     if (job != nullptr) job->machines_used.insert(m.name);
   }
   orphan.stop = on_machine;
-  m.placements.push_back(std::move(orphan));
-  return m.placements.back();
+  m.attempts.push_back(std::move(orphan));
+  return m.attempts.back();
 }
 
-void Core::task_state(Machine& m, Placement& p, PlaceState state) {
+void Core::task_state(Machine& m, TaskAttempt& p, AttemptState state) {
   if (state == p.state) return;
-  const auto runs = [](PlaceState s) {
-    return s == PlaceState::Running || s == PlaceState::Saving;
+  const auto runs = [](AttemptState s) {
+    return s == AttemptState::Running || s == AttemptState::Saving;
   };
   const bool ran = runs(p.state);
   p.state = state;
   p.since = clock_.now;
-  if (state == PlaceState::Waiting && p.job != nullptr) note_image(m, p.job->spec());
+  if (state == AttemptState::Waiting && p.job != nullptr) note_image(m, p.job->spec());
   if (runs(state) == ran) return;
   if (p.job != nullptr) review_gang(*p.job);
   if (p.job != nullptr && p.held) p.job->running += ran ? -1 : 1;
@@ -161,19 +161,19 @@
   finished_tasks_.push_back({job.spec().id, index, m.name});
 }
 
-void Core::task_exited(Machine& m, Placement& p) {
+void Core::task_exited(Machine& m, TaskAttempt& p) {
   const Time now = clock_.now;
   Job* job = p.job;
   Job* orphan_of = p.orphan_of;
   const bool was_held = p.held;
   const auto finish_hold = [&] {
     if (was_held) tables_.unhold(m, p);
-    p.state = PlaceState::Exited;
+    p.state = AttemptState::Exited;
     p.since = now;
   };
   log(Log::Level::Debug, "event=task_exited machine=", m.name, " task=", p.key.job, "/",
       p.key.index, " attempt=", p.attempt, " cause=", static_cast<int>(p.cause));
-  placement_dirty_ = true;
+  scheduling_needed_ = true;
   if (job == nullptr) {
     finish_hold();
     p.exit_committed = true;
@@ -195,7 +195,7 @@
     } else {
       note_finished(*job, p.key.index, m);
       if (task.machine != nullptr && task.machine != &m)
-        for (Placement& other : task.machine->placements)
+        for (TaskAttempt& other : task.machine->attempts)
           if (other.job == job && other.key.index == p.key.index && other.held) stop_task(other, 0);
     }
     finish_hold();
@@ -252,8 +252,8 @@
     if (job->proven) return true;
     for (const Task& t : job->tasks)
       if (t.machine != nullptr && t.machine != &m)
-        for (const Placement& p : t.machine->placements)
-          job->proven = job->proven || (p.job == job && p.state == PlaceState::Running &&
+        for (const TaskAttempt& p : t.machine->attempts)
+          job->proven = job->proven || (p.job == job && p.state == AttemptState::Running &&
                                         clock_.now - p.running_since > 5 * heartbeat_interval());
     return job->proven;
   };
@@ -268,31 +268,31 @@
 std::vector<Command> Core::commands_for(Machine& m, std::uint64_t heartbeat_seq) {
   std::vector<Command> out;
   // Stops and forgets come before starts: they make the room that the starts were promised.
-  for (std::size_t i = m.placements.size(); i-- > 0;) {
-    Placement& p = m.placements[i];
+  for (std::size_t i = m.attempts.size(); i-- > 0;) {
+    TaskAttempt& p = m.attempts[i];
     if (out.size() >= kMaxCommands) return out;
-    if (p.state == PlaceState::Exited) {
+    if (p.state == AttemptState::Exited) {
       if (p.exit_committed) out.push_back({Command::Op::Forget, p.key, p.attempt, 0});
     } else if (p.stop) {
-      if (p.state == PlaceState::Reserved) {
+      if (p.state == AttemptState::Reserved) {
         drop(m, i);
-      } else if (p.state != PlaceState::Saving || p.grace_s <= 0) {
+      } else if (p.state != AttemptState::Saving || p.grace_s <= 0) {
         out.push_back({Command::Op::Stop, p.key, p.attempt, p.grace_s});
       }
-    } else if (p.state == PlaceState::Reserved && p.job != nullptr &&
+    } else if (p.state == AttemptState::Reserved && p.job != nullptr &&
                !Tables::zone_allowed(*p.job, m.zone)) {
       // Since it was placed, tasks of the job have been found elsewhere.
       drop(m, i);
-      placement_dirty_ = true;
+      scheduling_needed_ = true;
     }
   }
   if (!m.recorded || !usable(m)) return out;
-  for (Placement& p : m.placements) {
+  for (TaskAttempt& p : m.attempts) {
     if (out.size() >= kMaxCommands) break;
-    if (p.state != PlaceState::Reserved || p.job == nullptr || !p.job->active() ||
+    if (p.state != AttemptState::Reserved || p.job == nullptr || !p.job->active() ||
         !p.job->committed || p.key.index >= p.job->started)
       continue;
-    p.state = PlaceState::Sent;
+    p.state = AttemptState::Sent;
     p.sent_seq = heartbeat_seq;
     note_fetch_begun(m, p.job->spec());
     ++p.sends;
@@ -318,7 +318,7 @@
   incarnation_lost(m, why);
   if (m.recorded || m.record_dirty) dirty_machine_shards_.insert(machine_shard(m.name));
   reservations_.erase(&m);
-  placement_dirty_ = true;
+  scheduling_needed_ = true;
   tables_.remove_machine(std::string(m.name));
 }
 
--- a/src/storage/tables.cpp
+++ b/src/storage/tables.cpp
@@ -11,21 +11,21 @@
 }
 
 bool Machine::fetching(const std::string& image) const {
-  return std::any_of(placements.begin(), placements.end(), [&](const Placement& p) {
-    return p.held && p.job != nullptr && p.state <= PlaceState::Fetching &&
+  return std::any_of(attempts.begin(), attempts.end(), [&](const TaskAttempt& p) {
+    return p.held && p.job != nullptr && p.state <= AttemptState::Fetching &&
            p.job->spec().image == image;
   });
 }
 
 std::size_t Machine::fetches() const {
   std::size_t n = 0;
-  for (auto p = placements.begin(); p != placements.end(); ++p) {
-    const auto fetched = [&](const Placement& q) {
-      return q.held && q.job != nullptr && q.state <= PlaceState::Fetching;
+  for (auto p = attempts.begin(); p != attempts.end(); ++p) {
+    const auto fetched = [&](const TaskAttempt& q) {
+      return q.held && q.job != nullptr && q.state <= AttemptState::Fetching;
     };
     if (!fetched(*p) || has_image(p->job->spec().image)) continue;
     // Tasks that need the same image share its fetch.
-    n += std::none_of(placements.begin(), p, [&](const Placement& q) {
+    n += std::none_of(attempts.begin(), p, [&](const TaskAttempt& q) {
       return fetched(q) && q.job->spec().image == p->job->spec().image;
     });
   }
@@ -49,8 +49,8 @@
   }
 }
 
-Placement* Machine::find(const TaskKey& key, std::uint64_t attempt) {
-  for (Placement& p : placements)
+TaskAttempt* Machine::find(const TaskKey& key, std::uint64_t attempt) {
+  for (TaskAttempt& p : attempts)
     if (p.attempt == attempt && p.key.index == key.index && p.key.job == key.job) return &p;
   return nullptr;
 }
@@ -85,30 +85,30 @@
 
 }  // namespace
 
-std::optional<double> TeamBook::cpus_limit() const { return lower_of(limits.cpus_max, cpus_cap); }
+std::optional<double> TeamQuota::cpus_limit() const { return lower_of(limits.cpus_max, cpus_cap); }
 
-std::optional<double> TeamBook::gpus_limit() const { return lower_of(limits.gpus_max, gpus_cap); }
+std::optional<double> TeamQuota::gpus_limit() const { return lower_of(limits.gpus_max, gpus_cap); }
 
-bool TeamBook::within_cap(const Resources& total) const {
+bool TeamQuota::within_cap(const Resources& total) const {
   constexpr double kSlack = 1e-6;
   const auto gpus = gpus_limit(), cpus = cpus_limit();
   return (!gpus || total.gpus <= *gpus + kSlack) && (!cpus || total.cpus <= *cpus + kSlack);
 }
 
-bool TeamBook::allows(const Resources& more) const {
+bool TeamQuota::allows(const Resources& more) const {
   Resources total = used;
   total += more;
   return within_cap(total);
 }
 
-bool TeamBook::within_guarantee(const Resources& total) const {
+bool TeamQuota::within_guarantee(const Resources& total) const {
   constexpr double kSlack = 1e-6;
   if (limits.gpus <= 0 && limits.cpus <= 0) return false;
   return (limits.gpus <= 0 || total.gpus <= limits.gpus + kSlack) &&
          (limits.cpus <= 0 || total.cpus <= limits.cpus + kSlack);
 }
 
-double TeamBook::share() const {
+double TeamQuota::share() const {
   double s = 0;
   if (limits.gpus > 0) s = std::max(s, used.gpus / limits.gpus);
   if (limits.cpus > 0) s = std::max(s, used.cpus / limits.cpus);
@@ -127,7 +127,7 @@
   finished.clear();
   machines.clear();
   machines_by_shard_.clear();
-  for (TeamBook& t : teams) t.used = {};
+  for (TeamQuota& t : teams) t.used = {};
 }
 
 Job* Tables::job(const std::string& id) {
@@ -140,8 +140,8 @@
   return it == machines.end() ? nullptr : it->second.get();
 }
 
-TeamBook* Tables::team(const std::string& name) {
-  for (TeamBook& t : teams)
+TeamQuota* Tables::team(const std::string& name) {
+  for (TeamQuota& t : teams)
     if (t.limits.name == name) return &t;
   return nullptr;
 }
@@ -218,8 +218,8 @@
   }
 }
 
-Placement& Tables::place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt,
-                         Time now) {
+TaskAttempt& Tables::place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt,
+                           Time now) {
   Task& task = job.tasks[index];
   if (task.state == TaskState::Queued) --job.queued;
   if (task.state == TaskState::Unknown) {
@@ -232,7 +232,7 @@
   ++job.per_zone[m.zone];
   job.machines_used.insert(m.name);
   m.used += job.spec().need;
-  Placement p;
+  TaskAttempt p;
   p.job = &job;
   p.team = job.team;
   p.key = {job.spec().id, index};
@@ -241,11 +241,11 @@
   p.since = now;
   p.held = true;
   if (p.team != nullptr) p.team->used += p.need;
-  m.placements.push_back(std::move(p));
-  return m.placements.back();
+  m.attempts.push_back(std::move(p));
+  return m.attempts.back();
 }
 
-void Tables::hold_orphan(Job& job, Machine& m, Placement& orphan) {
+void Tables::hold_orphan(Job& job, Machine& m, TaskAttempt& orphan) {
   orphan.held = true;
   orphan.orphan_of = &job;
   orphan.need = job.spec().need;
@@ -257,7 +257,7 @@
   job.machines_used.insert(m.name);
 }
 
-void Tables::unhold(Machine& m, Placement& p) {
+void Tables::unhold(Machine& m, TaskAttempt& p) {
   if (!p.held) return;
   p.held = false;
   m.used -= p.need;
@@ -270,7 +270,7 @@
   }
   if (p.job == nullptr) return;
   Job& job = *p.job;
-  if (p.state == PlaceState::Running || p.state == PlaceState::Saving) --job.running;
+  if (p.state == AttemptState::Running || p.state == AttemptState::Saving) --job.running;
   --job.placed;
   if (const auto it = job.per_zone.find(m.zone); it != job.per_zone.end() && --it->second == 0)
     job.per_zone.erase(it);
@@ -284,8 +284,8 @@
 }
 
 void Tables::erase(Machine& m, std::size_t index) {
-  unhold(m, m.placements[index]);
-  m.placements.erase(m.placements.begin() + static_cast<std::ptrdiff_t>(index));
+  unhold(m, m.attempts[index]);
+  m.attempts.erase(m.attempts.begin() + static_cast<std::ptrdiff_t>(index));
 }
 
 bool Tables::type_allowed(const JobSpec& s, const std::string& type) const {
@@ -330,7 +330,7 @@
 
 void Tables::unknown_to_queued(Job& job) {
   if (job.unknown == 0) return;
-  TeamBook* t = job.team;
+  TeamQuota* t = job.team;
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
     if (job.tasks[i].state == TaskState::Unknown) {
       job.tasks[i].state = TaskState::Queued;
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -20,7 +20,7 @@
 namespace sailreel {
 
 struct Machine;
-struct TeamBook;
+struct TeamQuota;
 
 enum class TaskState : std::uint8_t {
   Queued,   // surely on no machine
@@ -56,7 +56,7 @@
   /// Which pieces may lie in the checkpoint: they are deleted once the job is over.
   bool has_pieces = false, has_small_pieces = false;
   std::uint64_t order = 0;  // of acceptance
-  TeamBook* team = nullptr;
+  TeamQuota* team = nullptr;
   bool guaranteed = false;  // fits, with its team's earlier jobs, into the guarantee
   Time accepted = 0;
   std::vector<Task> tasks;
@@ -103,24 +103,32 @@
 };
 
 /// In the order of a task's life. Waiting: for the other tasks of its gang.
-enum class PlaceState : std::uint8_t { Reserved, Sent, Fetching, Waiting, Running, Saving, Exited };
+enum class AttemptState : std::uint8_t {
+  Reserved,
+  Sent,
+  Fetching,
+  Waiting,
+  Running,
+  Saving,
+  Exited
+};
 
 /// One attempt of a task on a machine.
-struct Placement {
+struct TaskAttempt {
   Job* job = nullptr;        // null: not a task's present place
   Job* orphan_of = nullptr;  // the job of such an attempt, while it is held
-  TeamBook* team = nullptr;
+  TeamQuota* team = nullptr;
   TaskKey key;
   Resources need;
   std::uint64_t attempt = 0;
-  PlaceState state = PlaceState::Reserved;
+  AttemptState state = AttemptState::Reserved;
   ExitCause cause = ExitCause::None;
   std::uint64_t sent_seq = 0;  // of the report whose answer carried the start
   std::uint32_t sends = 0;
   Time since = 0;  // of the state
   Time running_since = 0;
-  bool moving = false;  // is to be stopped when the machine that awaits it is about to report
-  bool stop = false;    // is to be stopped
+  bool migrating = false;  // is to be stopped when the machine that awaits it is about to report
+  bool stop = false;       // is to be stopped
   double grace_s = 0;
   bool held = false;            // counts as the task's place, against machine and team
   bool exit_committed = false;  // exited, and what that means is in the checkpoint
@@ -168,7 +176,7 @@
   bool lease_passed = false;             // before it ever took our token
   Time quarantined_until = 0;            // gets no work: it doesn't hear us
   std::set<std::string> error_jobs;
-  std::vector<Placement> placements;
+  std::vector<TaskAttempt> attempts;
   std::list<CachedImage> images;  // most recently used first
   std::vector<Fetch> fetching_now;
   /// How many of its images belong to work that is more important, by priority.
@@ -184,12 +192,12 @@
   [[nodiscard]] bool has_image(const std::string& image) const;
   [[nodiscard]] bool fetching(const std::string& image) const;
   [[nodiscard]] std::size_t fetches() const;
-  [[nodiscard]] bool empty() const { return placements.empty(); }
+  [[nodiscard]] bool empty() const { return attempts.empty(); }
   void touch_image(const std::string& image, double gb);
-  Placement* find(const TaskKey& key, std::uint64_t attempt);
+  TaskAttempt* find(const TaskKey& key, std::uint64_t attempt);
 };
 
-struct TeamBook {
+struct TeamQuota {
   Team limits;
   Resources used;  // by all that may be on a machine
   /// Where the limit spans regions: what this one may use of it. Empty: the whole limit.
@@ -213,7 +221,7 @@
 
   Job* job(const std::string& id);
   Machine* machine(const std::string& name);
-  TeamBook* team(const std::string& name);
+  TeamQuota* team(const std::string& name);
   const MachineType* type(const std::string& name) const;
 
   Job& add_job(JobRecord record);
@@ -226,12 +234,12 @@
   void size_machine(Machine& m) const;
 
   /// Binds a task to a machine, against the machine's room, the team and the zone.
-  Placement& place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt, Time now);
+  TaskAttempt& place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt, Time now);
   /// Counts an attempt that is on the machine, but not its task's place, against the machine, the
   /// team and the zone.
-  static void hold_orphan(Job& job, Machine& m, Placement& orphan);
+  static void hold_orphan(Job& job, Machine& m, TaskAttempt& orphan);
   /// Frees what a placement holds; the task is queued again unless it is done.
-  void unhold(Machine& m, Placement& p);
+  void unhold(Machine& m, TaskAttempt& p);
   /// Removes the placement from the machine's list.
   void erase(Machine& m, std::size_t index);
   /// True if the job's tasks may start there: type, zone, kind, and its other tasks' zones.
@@ -252,7 +260,7 @@
   std::unordered_map<std::string, FinishedJob> finished;
   std::map<std::string, std::unique_ptr<Machine>> machines;
   std::vector<MachineType> types;
-  std::vector<TeamBook> teams;
+  std::vector<TeamQuota> teams;
 
  private:
   std::uint64_t next_order_ = 1;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -325,8 +325,8 @@
       if (world.leader() < 0) continue;
       for (const auto& [name, m] : world.core(leader_of(world))->tables().machines)
         if (mute.contains(name))
-          for (const Placement& p : m->placements)
-            kept += p.state == PlaceState::Reserved && p.key.job >= "job-20" &&
+          for (const TaskAttempt& p : m->attempts)
+            kept += p.state == AttemptState::Reserved && p.key.job >= "job-20" &&
                             p.key.job <= "job-27" && p.key.job.size() == 6
                         ? 1
                         : 0;
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -129,7 +129,7 @@
     world.on_ended = [&](const TaskKey&, const std::string&) { ++lost; };
     const Core* core = world.core(static_cast<std::size_t>(world.leader()));
     for (const auto& [name, m] : core->tables().machines)
-      if (m->zone == zone) running += m->placements.size();
+      if (m->zone == zone) running += m->attempts.size();
     ASSERT_GE(running, 6U);
     world.cut_zone(zone, 24'000, hold);
     world.run_until(73'000);
@@ -160,7 +160,7 @@
       sample_settings(static_cast<std::size_t>(world.leader())).zone == "za" ? "zb" : "za";
   std::size_t there = 0;
   for (const auto& [name, m] : core->tables().machines)
-    if (m->zone == away) there += m->placements.size();
+    if (m->zone == away) there += m->attempts.size();
   ASSERT_GE(there, 1U);
   std::size_t started = 0;
   world.on_command = [&](const std::string&, const Command& c) {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -67,60 +67,60 @@
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-const RollTrouble kTroubles[] = {{"Undisturbed", [](World&, int) {}},
-                                 {"TheLeaderEndsAndComesBackAsItWas",
-                                  [](World& w, int) {
-                                    w.kill(leader_of(w), 500);
-                                    w.run_until(w.now() + 4'000);
-                                    w.kill(leader_of(w), 300);
-                                    w.run_until(w.now() + 3'000);
-                                  }},
-                                 {"ALeaderIsFrozen",
-                                  [](World& w, int) {
-                                    w.freeze(leader_of(w), 6'000);
-                                    w.run_until(w.now() + 3'000);
-                                  }},
-                                 {"OneIsRefusedByTheStateService",
-                                  [](World& w, int step) {
-                                    w.reject_kv_requests(static_cast<std::size_t>(step), 14'000);
-                                    w.run_until(w.now() + 1'000);
-                                  }},
-                                 {"TheStateServiceIsDown",
-                                  [](World& w, int) {
-                                    w.kv_store_outage(8'000);
-                                    w.run_until(w.now() + 1'000);
-                                  }},
-                                 {"AZoneIsCutOff",
-                                  [](World& w, int step) {
-                                    w.cut_zone(step % 2 == 0 ? "za" : "zb", 11'000, step == 1);
-                                    w.run_until(w.now() + 2'000);
-                                  }},
-                                 {"ControllersLoseEachOther",
-                                  [](World& w, int step) {
-                                    w.isolate(static_cast<std::size_t>(step), 9'000, step == 0);
-                                    w.run_until(w.now() + 2'000);
-                                  }},
-                                 {"RoundsAreInDoubtAtEachChange",
-                                  [](World& w, int step) {
-                                    w.late_writes(0.5, 6'000, step % 2 == 0);
-                                    w.delay_heartbeats(0.3, 6'000);
-                                    w.cancel_now(3, 0);
-                                    w.run_until(w.now() + 500);
-                                    w.kill(leader_of(w), 2'000);
-                                    w.run_until(w.now() + 500);
-                                  }},
-                                 {"CancelledByOneVersionAndEnforcedByTheOther",
-                                  [](World& w, int step) {
-                                    w.cancel_now(4, step == 1 ? 6'000 : 0);
-                                    w.run_until(w.now() + 60);
-                                  }},
-                                 {"AllEndAtOnce", [](World& w, int) {
-                                    for (std::size_t i = 0; i < 3; ++i)
-                                      w.kill(i, 1'000 + 300 * static_cast<Time>(i));
-                                    w.run_until(w.now() + 2'500);
-                                  }}};
+const RollTrouble kFaults[] = {{"Undisturbed", [](World&, int) {}},
+                               {"TheLeaderEndsAndComesBackAsItWas",
+                                [](World& w, int) {
+                                  w.kill(leader_of(w), 500);
+                                  w.run_until(w.now() + 4'000);
+                                  w.kill(leader_of(w), 300);
+                                  w.run_until(w.now() + 3'000);
+                                }},
+                               {"ALeaderIsFrozen",
+                                [](World& w, int) {
+                                  w.freeze(leader_of(w), 6'000);
+                                  w.run_until(w.now() + 3'000);
+                                }},
+                               {"OneIsRefusedByTheStateService",
+                                [](World& w, int step) {
+                                  w.reject_kv_requests(static_cast<std::size_t>(step), 14'000);
+                                  w.run_until(w.now() + 1'000);
+                                }},
+                               {"TheStateServiceIsDown",
+                                [](World& w, int) {
+                                  w.kv_store_outage(8'000);
+                                  w.run_until(w.now() + 1'000);
+                                }},
+                               {"AZoneIsCutOff",
+                                [](World& w, int step) {
+                                  w.cut_zone(step % 2 == 0 ? "za" : "zb", 11'000, step == 1);
+                                  w.run_until(w.now() + 2'000);
+                                }},
+                               {"ControllersLoseEachOther",
+                                [](World& w, int step) {
+                                  w.isolate(static_cast<std::size_t>(step), 9'000, step == 0);
+                                  w.run_until(w.now() + 2'000);
+                                }},
+                               {"RoundsAreInDoubtAtEachChange",
+                                [](World& w, int step) {
+                                  w.late_writes(0.5, 6'000, step % 2 == 0);
+                                  w.delay_heartbeats(0.3, 6'000);
+                                  w.cancel_now(3, 0);
+                                  w.run_until(w.now() + 500);
+                                  w.kill(leader_of(w), 2'000);
+                                  w.run_until(w.now() + 500);
+                                }},
+                               {"CancelledByOneVersionAndEnforcedByTheOther",
+                                [](World& w, int step) {
+                                  w.cancel_now(4, step == 1 ? 6'000 : 0);
+                                  w.run_until(w.now() + 60);
+                                }},
+                               {"AllEndAtOnce", [](World& w, int) {
+                                  for (std::size_t i = 0; i < 3; ++i)
+                                    w.kill(i, 1'000 + 300 * static_cast<Time>(i));
+                                  w.run_until(w.now() + 2'500);
+                                }}};
 
-INSTANTIATE_TEST_SUITE_P(Troubles, Upgrade, ::testing::ValuesIn(kTroubles),
+INSTANTIATE_TEST_SUITE_P(Troubles, Upgrade, ::testing::ValuesIn(kFaults),
                          [](const auto& info) { return std::string(info.param.name); });
 
 // Limits may fall as soon as all are new, and the version in production has left values that are
