--- a/sim/checker.hpp
+++ b/sim/checker.hpp
@@ -36,7 +36,7 @@
   void told(const std::string& id, const std::string& state, Time now, Time asked) {
     const auto it = jobs_.find(id);
     if (it == jobs_.end() || !it->second.spec) return broken("invented", id);
-    JobBook& j = it->second;
+    JobHistory& j = it->second;
     if (!j.accepted) j.accepted_at = now;
     j.accepted = true;
     j.last_known = last_answer_ = now;
@@ -86,7 +86,7 @@
   /// limit.
   void waiting(const std::string& id, bool possible, Time now) {
     constexpr Time kFor = 90'000;
-    JobBook& j = jobs_[id];
+    JobHistory& j = jobs_[id];
     if (!possible || !is_calm()) {
       j.waiting_since = kNever;
     } else if (j.waiting_since == kNever) {
@@ -101,7 +101,7 @@
   /// is once all troubles are over, however others fare.
   void unanswered(const std::string& id, Time now) {
     constexpr Time kFor = 90'000, kOthersWithin = 10'000, kForInCalm = 75'000;
-    JobBook& j = jobs_[id];
+    JobHistory& j = jobs_[id];
     if (!j.accepted || j.failing) return;
     if (is_calm() && now - std::max(j.last_known, calm_since_) > kForInCalm) {
       j.failing = true;
@@ -115,7 +115,7 @@
 
   /// A task has its image and is on its machine from now on.
   void started(const TaskKey& key, const Place& place, Time now) {
-    JobBook& j = jobs_[key.job];
+    JobHistory& j = jobs_[key.job];
     if (!j.spec) return broken("invented", key.job + " started");
     const std::string task = key.job + "/" + std::to_string(key.index);
     auto& where = on_[task];
@@ -147,7 +147,7 @@
     ++starts_;
   }
   void ended(const TaskKey& key, const std::string& machine, bool completed) {
-    JobBook& j = jobs_[key.job];
+    JobHistory& j = jobs_[key.job];
     const std::string task = key.job + "/" + std::to_string(key.index);
     const auto it = on_.find(task);
     if (it != on_.end() && it->second.erase(machine) > 0) {
@@ -159,7 +159,7 @@
   }
   /// A gang is done: all its tasks are, since they complete together.
   void gang_completed(const std::string& id) {
-    JobBook& j = jobs_[id];
+    JobHistory& j = jobs_[id];
     for (std::uint32_t i = 0; j.spec && i < j.spec->tasks; ++i) j.completed.insert(i);
   }
   /// To be called after each step of the day.
@@ -168,7 +168,7 @@
     next_ = now + 200;
     for (const auto& [task, places] : on_) {
       if (places.empty()) continue;
-      const JobBook& j = jobs_[task.substr(0, task.rfind('/'))];
+      const JobHistory& j = jobs_[task.substr(0, task.rfind('/'))];
       if (j.final_state == "cancelled" && now > j.final_at + cancel_) broken("ran_cancelled", task);
     }
   }
@@ -241,7 +241,7 @@
   }
 
  private:
-  struct JobBook {
+  struct JobHistory {
     std::optional<JobSpec> spec;
     bool asked = false, accepted = false, failing = false;
     std::string final_state;
@@ -256,7 +256,7 @@
 
   std::vector<Team> teams_;
   Time cancel_, next_ = 0, last_answer_ = 0, calm_since_ = kNever;
-  std::map<std::string, JobBook> jobs_;
+  std::map<std::string, JobHistory> jobs_;
   std::map<std::string, std::map<std::string, Place>> on_;
   std::map<std::string, Resources> used_;
   std::map<std::string, std::vector<std::string>> violations_;
--- a/sim/stand_ins.hpp
+++ b/sim/fakes.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/rate_limiter.hpp"
+#include "controller/rate_limiter.hpp"
 #include "protocol/messages.hpp"
 
 namespace sailreel::sim {
@@ -220,7 +220,7 @@
 struct CloudMachine {
   std::string name, address, type, zone;
   bool spot = false, up = false, broken = false;
-  Time rented = 0, boots = 0;
+  Time launched = 0, boots = 0;
 };
 
 /// What the cloud calls the machine that it rents as the `number`th.
@@ -242,7 +242,7 @@
   std::uint32_t one_in_never_up = 25;
   /// Each machine gets an address of its own below this; empty: a made-up one.
   std::string address_prefix;
-  std::function<void(const CloudMachine&)> on_rented;
+  std::function<void(const CloudMachine&)> on_launched;
   std::function<void(const std::string&)> on_released;
 
   CloudResponse handle(const CloudRequest& call, Time now) {
@@ -256,26 +256,26 @@
       case CloudRequest::Kind::Types:
         r.types = types;
         break;
-      case CloudRequest::Kind::Rent: {
-        if (const auto it = requests_.find(call.rental.request); it != requests_.end()) {
+      case CloudRequest::Kind::ScaleOut: {
+        if (const auto it = requests_.find(call.scale_out.request); it != requests_.end()) {
           r.names = it->second;
           break;
         }
         std::uint32_t used = 0;
         for (const auto& [name, m] : machines)
-          used += m.zone == call.rental.zone && m.spot == call.rental.spot ? 1 : 0;
-        const std::uint32_t room = capacity[{call.rental.zone, call.rental.spot}];
+          used += m.zone == call.scale_out.zone && m.spot == call.scale_out.spot ? 1 : 0;
+        const std::uint32_t room = capacity[{call.scale_out.zone, call.scale_out.spot}];
         if (used >= room) {
           r.status = 503;
           r.no_capacity = true;
           break;
         }
-        for (std::uint32_t i = 0; i < std::min(call.rental.count, room - used); ++i)
-          rent(call, now, r);
-        requests_[call.rental.request] = r.names;
+        for (std::uint32_t i = 0; i < std::min(call.scale_out.count, room - used); ++i)
+          launch(call, now, r);
+        requests_[call.scale_out.request] = r.names;
         break;
       }
-      case CloudRequest::Kind::Release:
+      case CloudRequest::Kind::Terminate:
         for (const auto& name : call.names)
           if (machines.erase(name) > 0) on_released(name);
         break;
@@ -297,7 +297,7 @@
       l.zone = m.zone;
       l.spot = m.spot;
       l.state = m.up ? ListedMachine::State::Running : ListedMachine::State::Booting;
-      l.age_s = static_cast<double>(now - m.rented) / 1000.0;
+      l.age_s = static_cast<double>(now - m.launched) / 1000.0;
       list.machines.push_back(std::move(l));
     }
     lists_.emplace_back(now, std::move(list));
@@ -326,20 +326,20 @@
     return address_prefix + std::to_string(number / kHostsPerNet) + "." +
            std::to_string(1 + number % kHostsPerNet) + kWorkerPort;
   }
-  void rent(const CloudRequest& call, Time now, CloudResponse& r) {
+  void launch(const CloudRequest& call, Time now, CloudResponse& r) {
     CloudMachine m;
     m.name = machine_name(next_++);
     m.address = address_of(next_);
-    m.type = call.rental.type;
-    m.zone = call.rental.zone;
-    m.spot = call.rental.spot;
-    m.rented = now;
+    m.type = call.scale_out.type;
+    m.zone = call.scale_out.zone;
+    m.spot = call.scale_out.spot;
+    m.launched = now;
     m.broken = one_in_never_up > 0 && random_(one_in_never_up) == 0;
     const double boot = 1000 * types.front().boot_s * (0.6 + random_(90) / 100.0);
     m.boots = random_(12) == 0 ? now + 1000 : now + static_cast<Time>(boot);
     machines[m.name] = m;
     r.names.emplace_back(m.name);
-    on_rented(m);
+    on_launched(m);
   }
   pcg32 random_;
   std::size_t next_ = 1;
--- a/sim/troubles.cpp
+++ b/sim/fault_injection.cpp
@@ -1,11 +1,11 @@
 // Troubles of the simulated world, and the plans of seeded days.
 #include <cmath>
 
-#include "sim/world.hpp"
+#include "sim/simulated_region.hpp"
 
 namespace sailreel::sim {
 
-int World::leader() const {
+int SimulatedRegion::leader() const {
   int best = -1;
   for (std::size_t i = 0; i < nodes_.size(); ++i)
     if (nodes_[i].controller && nodes_[i].controller->leading() &&
@@ -15,14 +15,14 @@
   return best;
 }
 
-std::vector<std::string> World::machines_up() const {
+std::vector<std::string> SimulatedRegion::machines_up() const {
   std::vector<std::string> out;
   for (const auto& [name, w] : workers_)
     if (w.alive) out.push_back(name);
   return out;
 }
 
-void World::kill(std::size_t node, Time for_ms) {
+void SimulatedRegion::kill(std::size_t node, Time for_ms) {
   Node& n = nodes_[node];
   if (!n.controller) return;
   n.controller.reset();
@@ -40,41 +40,42 @@
   });
 }
 
-void World::upgrade(std::size_t node, Time for_ms) {
+void SimulatedRegion::upgrade(std::size_t node, Time for_ms) {
   nodes_[node].upgraded = true;
   kill(node, for_ms);
 }
 
-void World::lower_limits() {
+void SimulatedRegion::lower_limits() {
   state_.value_limit = static_cast<std::size_t>(plan_.next_value_kb * 1024);
   state_.ops_limit = plan_.next_txn_ops;
   state_.limit_rates(settings_[0].store.rps, plan_.next_write_rps);
 }
 
-void World::cut(const std::string& a, const std::string& b, Time for_ms, bool hold) {
+void SimulatedRegion::cut(const std::string& a, const std::string& b, Time for_ms, bool hold) {
   const auto key = std::minmax(a, b);
   cuts_[{key.first, key.second}] = {now_ + for_ms, hold};
 }
 
-void World::cut_zone(const std::string& zone, Time for_ms, bool hold) {
+void SimulatedRegion::cut_zone(const std::string& zone, Time for_ms, bool hold) {
   zone_cuts_[zone] = {now_ + for_ms, hold};
 }
 
-void World::cut_machines(double share, Time for_ms, bool hold) {
+void SimulatedRegion::cut_machines(double share, Time for_ms, bool hold) {
   for (const std::string& machine : machines_up()) {
     if (random_(1'000) >= share * 1'000) continue;
     for (const Node& node : nodes_) cut(node.name, machine, for_ms, hold);
   }
 }
 
-std::string World::zone_of(const std::string& host) const {
+std::string SimulatedRegion::zone_of(const std::string& host) const {
   for (std::size_t i = 0; i < nodes_.size(); ++i)
     if (nodes_[i].name == host) return settings_[i].zone;
   const auto it = workers_.find(host);
   return it == workers_.end() ? std::string() : it->second.machine.zone;
 }
 
-std::pair<Time, bool> World::cut_between(const std::string& a, const std::string& b) const {
+std::pair<Time, bool> SimulatedRegion::cut_between(const std::string& a,
+                                                   const std::string& b) const {
   std::pair<Time, bool> longest{0, false};
   const auto key = std::minmax(a, b);
   if (const auto it = cuts_.find({key.first, key.second}); it != cuts_.end()) longest = it->second;
@@ -86,18 +87,20 @@
   return longest;
 }
 
-void World::freeze(std::size_t node, Time for_ms) { nodes_[node].frozen_until = now_ + for_ms; }
+void SimulatedRegion::freeze(std::size_t node, Time for_ms) {
+  nodes_[node].frozen_until = now_ + for_ms;
+}
 
-void World::reject_kv_requests(std::size_t node, Time for_ms) {
+void SimulatedRegion::reject_kv_requests(std::size_t node, Time for_ms) {
   nodes_[node].refused_until = now_ + for_ms;
 }
 
-void World::kv_store_outage(Time for_ms) {
+void SimulatedRegion::kv_store_outage(Time for_ms) {
   state_.outage = true;
   at(now_ + for_ms, [this] { state_.outage_over(now_); });
 }
 
-void World::kill_machine(const std::string& name) {
+void SimulatedRegion::kill_machine(const std::string& name) {
   Worker& w = workers_[name];
   if (!w.alive) return;
   w.alive = false;
@@ -106,7 +109,7 @@
       if (t.on) ended(t.heartbeat.key, name, false);
 }
 
-void World::hang_machine(const std::string& name, Time for_ms) {
+void SimulatedRegion::hang_machine(const std::string& name, Time for_ms) {
   Worker& hung = workers_[name];
   hung.hang_until = now_ + for_ms;
   // Beyond its lease, which runs from the last report that was answered, a machine that hangs
@@ -124,45 +127,47 @@
      });
 }
 
-void World::deafen_machine(const std::string& name, Time for_ms) {
+void SimulatedRegion::deafen_machine(const std::string& name, Time for_ms) {
   workers_[name].deaf_until = now_ + for_ms;
 }
 
-void World::mute_machine(const std::string& name, Time for_ms) {
+void SimulatedRegion::mute_machine(const std::string& name, Time for_ms) {
   workers_[name].mute_until = now_ + for_ms;
 }
 
-void World::isolate(std::size_t node, Time for_ms, bool hold) {
+void SimulatedRegion::isolate(std::size_t node, Time for_ms, bool hold) {
   cut(nodes_[node].name, "state", for_ms, hold);
   cut_peers(node, for_ms, hold);
 }
 
-void World::cut_peers(std::size_t node, Time for_ms, bool hold) {
+void SimulatedRegion::cut_peers(std::size_t node, Time for_ms, bool hold) {
   for (std::size_t i = 0; i < nodes_.size(); ++i)
     if (i != node) cut(nodes_[node].name, nodes_[i].name, for_ms, hold);
 }
 
-void World::late_writes(double share, Time for_ms, bool at_once) {
+void SimulatedRegion::late_writes(double share, Time for_ms, bool at_once) {
   (at_once ? lost_answers_ : late_writes_) = {share, now_ + for_ms};
 }
 
-void World::keep_heartbeats_for_next_leader(double share, Time for_ms) {
+void SimulatedRegion::keep_heartbeats_for_next_leader(double share, Time for_ms) {
   for_next_ = {share, now_ + for_ms};
 }
 
-void World::delay_heartbeats(double share, Time for_ms) {
+void SimulatedRegion::delay_heartbeats(double share, Time for_ms) {
   late_heartbeats_ = {share, now_ + for_ms};
 }
 
-void World::slow_commands(Time for_ms) { slow_commands_ = {0.5, now_ + for_ms}; }
+void SimulatedRegion::slow_commands(Time for_ms) { slow_commands_ = {0.5, now_ + for_ms}; }
 
-void World::cancel_at_end(double share, Time for_ms) { cancel_at_end_ = {share, now_ + for_ms}; }
+void SimulatedRegion::cancel_at_end(double share, Time for_ms) {
+  cancel_at_end_ = {share, now_ + for_ms};
+}
 
-void World::poll_closely(Time for_ms) { poll_closely_until_ = now_ + for_ms; }
+void SimulatedRegion::poll_closely(Time for_ms) { poll_closely_until_ = now_ + for_ms; }
 
-void World::odd_requests(Time for_ms) { odd_request(now_ + for_ms); }
+void SimulatedRegion::odd_requests(Time for_ms) { odd_request(now_ + for_ms); }
 
-void World::cancel_now(std::size_t count, Time hang_ms) {
+void SimulatedRegion::cancel_now(std::size_t count, Time hang_ms) {
   std::vector<std::pair<std::size_t, std::string>> running;  // and where
   for (const auto& [name, w] : workers_)
     for (const auto& [key, list] : w.tasks)
@@ -177,7 +182,7 @@
   }
 }
 
-void World::notice_machine(const std::string& name, Time in_ms) {
+void SimulatedRegion::notice_machine(const std::string& name, Time in_ms) {
   workers_[name].notice_at = now_ + in_ms;
   at(now_ + in_ms, [this, name] {
     cloud_.machines.erase(name);
@@ -185,7 +190,7 @@
   });
 }
 
-void World::plan_jobs() {
+void SimulatedRegion::plan_jobs() {
   std::set<std::string> ids;
   for (std::uint32_t n = 0; n < plan_.jobs; ++n) {
     JobSpec s;
@@ -220,7 +225,7 @@
   }
 }
 
-void World::make_gang(JobSpec& s) {
+void SimulatedRegion::make_gang(JobSpec& s) {
   s.kind = JobKind::Gang;
   s.job_class = "gang";
   s.priority = static_cast<Priority>(random_(4));
@@ -238,9 +243,9 @@
 
 // What the operators saw break rules: troubles that meet. Two or three of them begin within
 // seconds, while users look closely and call jobs off; four such combinations a day.
-void World::plan_fault_pairs() {
-  const Time span = plan_.troubles_until - plan_.troubles_from;
-  at(plan_.troubles_from, [this, span] {
+void SimulatedRegion::plan_fault_pairs() {
+  const Time span = plan_.faults_until - plan_.faults_from;
+  at(plan_.faults_from, [this, span] {
     poll_closely(span);
     odd_requests(span);
     cancel_at_end(0.3, span);
@@ -248,17 +253,17 @@
   constexpr int kCombinations = 4;
   constexpr std::uint32_t kFaults = 17;
   for (int n = 0; n < kCombinations; ++n) {
-    const Time when = plan_.troubles_from + n * span / kCombinations + random_(4'000);
-    const std::uint32_t troubles = 2 + random_(2);
-    for (std::uint32_t k = 0; k < troubles; ++k)
+    const Time when = plan_.faults_from + n * span / kCombinations + random_(4'000);
+    const std::uint32_t faults = 2 + random_(2);
+    for (std::uint32_t k = 0; k < faults; ++k)
       at(when + random_(2'500), [this] { inject_fault(random_(kFaults)); });
     at(when + random_(2'500),
        [this] { cancel_now(4, random_(3) == 0 ? 2'000 + random_(12'000) : 0); });
   }
-  at(plan_.troubles_until + ms(2 * plan_.lease_s), [this] { calm(); });
+  at(plan_.faults_until + ms(2 * plan_.lease_s), [this] { calm(); });
 }
 
-void World::inject_fault(std::uint32_t kind) {
+void SimulatedRegion::inject_fault(std::uint32_t kind) {
   const int lead = leader();
   const std::size_t target = lead >= 0 ? static_cast<std::size_t>(lead) : random_(3);
   const auto up = machines_up();
@@ -312,18 +317,18 @@
   }
 }
 
-void World::plan_troubles() {
-  const auto span = static_cast<std::uint32_t>(plan_.troubles_until - plan_.troubles_from);
+void SimulatedRegion::plan_faults() {
+  const auto span = static_cast<std::uint32_t>(plan_.faults_until - plan_.faults_from);
   const std::uint32_t count = 6 + random_(6);
   for (std::uint32_t n = 0; n < count; ++n) {
-    const Time when = plan_.troubles_from + random_(span);
+    const Time when = plan_.faults_from + random_(span);
     const std::uint32_t kind = random_(16);
-    at(when, [this, kind] { trouble(kind); });
+    at(when, [this, kind] { fault(kind); });
   }
 }
 
 // Kinds 0 to 7 and 15 are of controllers and the state service, the others of machines.
-void World::trouble(std::uint32_t kind) {
+void SimulatedRegion::fault(std::uint32_t kind) {
   const auto node = random_(3);
   const int lead = leader();
   const std::size_t target = lead >= 0 && random_(2) == 0 ? static_cast<std::size_t>(lead) : node;
@@ -332,12 +337,13 @@
   const Time span_ms = 2'000 + random_(25'000);
   const bool hold = random_(2) == 0;
   if (kind <= 7 || kind == 15)
-    controller_trouble(kind, target, span_ms, hold);
+    controller_fault(kind, target, span_ms, hold);
   else
-    machine_trouble(kind, machine, span_ms, hold);
+    machine_fault(kind, machine, span_ms, hold);
 }
 
-void World::controller_trouble(std::uint32_t kind, std::size_t target, Time span_ms, bool hold) {
+void SimulatedRegion::controller_fault(std::uint32_t kind, std::size_t target, Time span_ms,
+                                       bool hold) {
   const std::string name = nodes_[target].name;
   const auto cut_from_workers = [&] {
     for (const auto& machine : machines_up()) cut(name, machine, span_ms, hold);
@@ -369,8 +375,8 @@
   }
 }
 
-void World::machine_trouble(std::uint32_t kind, const std::string& machine, Time span_ms,
-                            bool hold) {
+void SimulatedRegion::machine_fault(std::uint32_t kind, const std::string& machine, Time span_ms,
+                                    bool hold) {
   if (kind == 14) return cut_zone(random_(2) == 0 ? "za" : "zb", span_ms, hold);
   if (machine.empty()) return;
   switch (kind) {
@@ -391,7 +397,7 @@
 }
 
 // One machine is taken back; where there are many, a wave of them.
-void World::take_back(const std::string& machine) {
+void SimulatedRegion::take_back(const std::string& machine) {
   const auto up = machines_up();
   for (std::size_t k = 0; k < up.size(); k += std::max<std::size_t>(1, up.size() / plan_.scale))
     notice_machine(k == 0 ? machine : up[k], 5'000);
--- a/sim/federated_day.cpp
+++ b/sim/federated_day.cpp
@@ -24,18 +24,19 @@
       federation.shares.push_back({team, region_name(n), 0, gpus});
   }
   for (std::size_t n = 0; n < plan.regions; ++n) {
-    DayPlan day;
+    SimulationPlan day;
     day.seed = plan.seed * 10 + n;
     day.length = plan.length;
     day.jobs = 0;
-    day.troubles = false;
+    day.faults = false;
     if (!plan.fixed_division) {
       federation.region = region_name(n);
       day.options.federation = federation;
     }
     if (plan.adjust) plan.adjust(n, day);
-    worlds_.push_back(std::make_unique<World>(day));
-    worlds_.back()->on_region_message = [this, n](std::size_t other, const RegionMessage& message) {
+    regions_.push_back(std::make_unique<SimulatedRegion>(day));
+    regions_.back()->on_region_message = [this, n](std::size_t other,
+                                                   const RegionMessage& message) {
       send(n, other < n ? other : other + 1, message);
     };
     if (n > 0) continue;
@@ -44,17 +45,17 @@
              .teams)
       if (team.gpus_max > 0) limits_[team.name] = team.gpus_max;
   }
-  if (plan.troubles) plan_troubles();
+  if (plan.faults) plan_faults();
 }
 
 void FederatedDay::run_until(Time t) {
   while (now_ < t) {
     now_ = std::min(t, now_ + kSlice);
-    for (auto& world : worlds_) world->run_until(now_);
+    for (auto& region : regions_) region->run_until(now_);
     deliver_due();
-    while (!troubles_at_.empty() && troubles_at_.back() <= now_) {
-      troubles_at_.pop_back();
-      trouble();
+    while (!faults_at_.empty() && faults_at_.back() <= now_) {
+      faults_at_.pop_back();
+      fault();
     }
     if (now_ < next_check_) continue;
     next_check_ = now_ + kChecksApart;
@@ -89,7 +90,7 @@
     messages_due_.erase(messages_due_.begin());
     PeerReader reader;
     reader.feed(held.bytes);
-    if (const auto message = reader.next()) worlds_[held.to]->receive_region(message->region);
+    if (const auto message = reader.next()) regions_[held.to]->receive_region(message->region);
   }
 }
 
@@ -98,13 +99,13 @@
 }
 
 void FederatedDay::cut_off(std::size_t region, Time for_ms, bool hold) {
-  for (std::size_t other = 0; other < worlds_.size(); ++other)
+  for (std::size_t other = 0; other < regions_.size(); ++other)
     if (other != region) cut(region, other, for_ms, hold);
 }
 
 ShareLedger FederatedDay::ledger(std::size_t region) const {
   ShareLedger out;
-  const FakeKvStore& state = worlds_[region]->state();
+  const FakeKvStore& state = regions_[region]->state();
   for (const auto& [team, limit] : limits_)
     decode_share_value(share_key(team), state.value_of(share_key(team)), out);
   for (const std::string& name : names_)
@@ -114,14 +115,14 @@
 
 Amounts FederatedDay::held(const std::string& team) const {
   Amounts sum;
-  for (std::size_t n = 0; n < worlds_.size(); ++n) sum += ledger(n).teams[team].share;
+  for (std::size_t n = 0; n < regions_.size(); ++n) sum += ledger(n).teams[team].share;
   return sum;
 }
 
 Amounts FederatedDay::in_transit(const std::string& team) const {
   Amounts sum;
-  for (std::size_t from = 0; from < worlds_.size(); ++from)
-    for (std::size_t to = 0; to < worlds_.size(); ++to) {
+  for (std::size_t from = 0; from < regions_.size(); ++from)
+    for (std::size_t to = 0; to < regions_.size(); ++to) {
       if (from == to) continue;
       const TransferRecord sent = ledger(from).regions[names_[to]];
       if (sent.sent <= ledger(to).regions[names_[from]].credited) continue;
@@ -133,7 +134,7 @@
 
 double FederatedDay::used_gpus(const std::string& team) const {
   double sum = 0;
-  for (const auto& world : worlds_) sum += world->checker().used_by(team).gpus;
+  for (const auto& region : regions_) sum += region->checker().used_by(team).gpus;
   return sum;
 }
 
@@ -150,12 +151,12 @@
 // Once all regions have written what they begin with, nothing appears and nothing vanishes; and no
 // region uses more than it holds.
 void FederatedDay::check_shares(const std::string& team, double limit) {
-  for (std::size_t n = 0; n < worlds_.size(); ++n) {
+  for (std::size_t n = 0; n < regions_.size(); ++n) {
     const ShareLedger mine = ledger(n);
     const auto record = mine.teams.find(team);
     if (record == mine.teams.end()) return;
     const double share = static_cast<double>(record->second.share.gpus) / 1000;
-    if (worlds_[n]->checker().used_by(team).gpus > share + 1e-6)
+    if (regions_[n]->checker().used_by(team).gpus > share + 1e-6)
       broken_.try_emplace("share", team + " in " + names_[n] + " at " + std::to_string(now_));
   }
   const Amounts excess = ledger(0).teams[team].excess;
@@ -169,45 +170,45 @@
 std::string FederatedDay::broken() const {
   std::string out;
   for (const auto& [rule, what] : broken_) out.append(rule).append(" (").append(what).append(") ");
-  for (std::size_t n = 0; n < worlds_.size(); ++n)
-    if (const std::string summary = worlds_[n]->checker().summary(); !summary.empty())
+  for (std::size_t n = 0; n < regions_.size(); ++n)
+    if (const std::string summary = regions_[n]->checker().summary(); !summary.empty())
       out.append(names_[n]).append(": ").append(summary);
   return out;
 }
 
-void FederatedDay::plan_troubles() {
+void FederatedDay::plan_faults() {
   const auto from = static_cast<std::uint32_t>(plan_.length / 6);
   const auto span = static_cast<std::uint32_t>(plan_.length / 2);
   constexpr int kFaults = 14;
-  for (int n = 0; n < kFaults; ++n) troubles_at_.push_back(from + random_(span));
-  std::sort(troubles_at_.rbegin(), troubles_at_.rend());
+  for (int n = 0; n < kFaults; ++n) faults_at_.push_back(from + random_(span));
+  std::sort(faults_at_.rbegin(), faults_at_.rend());
 }
 
-void FederatedDay::trouble() {
-  const std::size_t n = random_(static_cast<std::uint32_t>(worlds_.size()));
-  World& world = *worlds_[n];
+void FederatedDay::fault() {
+  const std::size_t n = random_(static_cast<std::uint32_t>(regions_.size()));
+  SimulatedRegion& region = *regions_[n];
   const Time span = 3'000 + random_(20'000);
   const bool hold = random_(2) == 0;
-  const int lead = world.leader();
+  const int lead = region.leader();
   const std::size_t node = lead >= 0 ? static_cast<std::size_t>(lead) : random_(3);
   switch (random_(9)) {
     case 0:
     case 1:
-      return world.kill(node, random_(2) == 0 ? 300 : 6'000);
+      return region.kill(node, random_(2) == 0 ? 300 : 6'000);
     case 2:
       return cut_off(n, span, hold);
     case 3:
-      return cut(n, (n + 1) % worlds_.size(), 2 * span, hold);
+      return cut(n, (n + 1) % regions_.size(), 2 * span, hold);
     case 4:
-      return world.kv_store_outage(span / 2);
+      return region.kv_store_outage(span / 2);
     case 5:
-      return world.late_writes(0.4, span, random_(2) == 0);
+      return region.late_writes(0.4, span, random_(2) == 0);
     case 6:
-      return world.freeze(node, span);
+      return region.freeze(node, span);
     case 7:
-      return world.isolate(node, span, hold);
+      return region.isolate(node, span, hold);
     default:
-      for (std::size_t i = 0; i < 3; ++i) world.kill(i, i == node ? 500 : 5'000);
+      for (std::size_t i = 0; i < 3; ++i) region.kill(i, i == node ? 500 : 5'000);
   }
 }
 
--- a/sim/federated_day.hpp
+++ b/sim/federated_day.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "sim/world.hpp"
+#include "sim/simulated_region.hpp"
 #include "storage/share_records.hpp"
 
 namespace sailreel::sim {
@@ -26,9 +26,9 @@
   double reserve_ratio = 0.05;
   /// Each region keeps a fixed part of each limit, and nothing moves.
   bool fixed_division = false;
-  bool troubles = false;
+  bool faults = false;
   /// Changes the plan of a region's own day.
-  std::function<void(std::size_t region, DayPlan&)> adjust;
+  std::function<void(std::size_t region, SimulationPlan&)> adjust;
 };
 
 class FederatedDay {
@@ -37,8 +37,8 @@
 
   void run_until(Time t);
   [[nodiscard]] Time now() const { return now_; }
-  World& region(std::size_t n) { return *worlds_[n]; }
-  [[nodiscard]] std::size_t regions() const { return worlds_.size(); }
+  SimulatedRegion& region(std::size_t n) { return *regions_[n]; }
+  [[nodiscard]] std::size_t regions() const { return regions_.size(); }
 
   /// The two regions lose each other; what is sent meanwhile is held, or lost.
   void cut(std::size_t a, std::size_t b, Time for_ms, bool hold);
@@ -67,17 +67,17 @@
   void deliver_due();
   void check();
   void check_shares(const std::string& team, double limit);
-  void plan_troubles();
-  void trouble();
+  void plan_faults();
+  void fault();
 
   FederationPlan plan_;
   pcg32 random_;
-  std::vector<std::unique_ptr<World>> worlds_;
+  std::vector<std::unique_ptr<SimulatedRegion>> regions_;
   std::vector<std::string> names_;
   std::map<std::string, double> limits_;
   std::multimap<Time, Held> messages_due_;
   std::map<std::pair<std::size_t, std::size_t>, std::pair<Time, bool>> cuts_;
-  std::vector<Time> troubles_at_;
+  std::vector<Time> faults_at_;
   std::map<std::string, std::string> broken_;
   Time now_ = 0, next_check_ = 0;
   std::uint64_t messages_ = 0, message_bytes_ = 0;
--- a/sim/gangs.cpp
+++ b/sim/gangs.cpp
@@ -1,9 +1,9 @@
 // Gangs on the workers of the simulated world, by the phases that the protocol's table gives.
-#include "sim/world.hpp"
+#include "sim/simulated_region.hpp"
 
 namespace sailreel::sim {
 
-std::vector<std::string> World::machines_of(const std::string& job) const {
+std::vector<std::string> SimulatedRegion::machines_of(const std::string& job) const {
   std::vector<std::string> out;
   for (const auto& [name, w] : workers_)
     for (const auto& [key, list] : w.tasks)
@@ -13,8 +13,8 @@
 }
 
 // Tasks of the attempt that are on a machine which executes them.
-std::uint32_t World::gang_tasks_present(const User& user, std::uint64_t attempt,
-                                        bool saved_only) const {
+std::uint32_t SimulatedRegion::gang_tasks_present(const User& user, std::uint64_t attempt,
+                                                  bool saved_only) const {
   std::uint32_t present = 0;
   for (const auto& [name, w] : workers_) {
     if (!w.alive || now_ < w.hang_until) continue;
@@ -27,7 +27,7 @@
   return present;
 }
 
-void World::start_gang_if_complete(const User& user, std::uint64_t attempt) {
+void SimulatedRegion::start_gang_if_complete(const User& user, std::uint64_t attempt) {
   GangRun& run = gang_runs_[{user.spec.id, attempt}];
   if (run.started || gang_tasks_present(user, attempt, false) < user.spec.tasks) return;
   GangProgress& progress = gang_progress_[user.spec.id];
@@ -40,7 +40,7 @@
 }
 
 // A task of a running gang is gone: what was not saved is lost, but for the gang's own checkpoints.
-void World::break_gang(const User& user, GangRun& run) {
+void SimulatedRegion::break_gang(const User& user, GangRun& run) {
   if (run.broken_at > 0) return;
   run.broken_at = now_;
   GangProgress& progress = gang_progress_[user.spec.id];
@@ -50,7 +50,7 @@
   if (interval > 0) progress.saved_ms = std::max(progress.saved_ms, reached / interval * interval);
 }
 
-void World::advance_gang(Worker& w, WorkTask& t, const User& user) {
+void SimulatedRegion::advance_gang(Worker& w, WorkTask& t, const User& user) {
   TaskStatus& r = t.heartbeat;
   const Time wait = ms(plan_.gang_wait_s), peer = ms(plan_.gang_peer_s);
   GangRun& run = gang_runs_[{user.spec.id, r.attempt}];
@@ -114,7 +114,7 @@
   }
 }
 
-void World::stop_gang_task(WorkTask& t, const User& user, double grace_s, Worker& w) {
+void SimulatedRegion::stop_gang_task(WorkTask& t, const User& user, double grace_s, Worker& w) {
   TaskStatus& r = t.heartbeat;
   GangRun& run = gang_runs_[{user.spec.id, r.attempt}];
   const bool saves =
--- a/sim/processor.cpp
+++ b/sim/processor.cpp
@@ -3,16 +3,16 @@
 #include <cmath>
 
 #include "protocol/user_codec.hpp"
-#include "sim/world.hpp"
+#include "sim/simulated_region.hpp"
 
 namespace sailreel::sim {
 
-void World::slow_down(std::size_t node, double factor, Time for_ms) {
+void SimulatedRegion::slow_down(std::size_t node, double factor, Time for_ms) {
   nodes_[node].slowness = factor;
   nodes_[node].slow_until = now_ + for_ms;
 }
 
-void World::take_next_input(std::size_t i) {
+void SimulatedRegion::take_next_input(std::size_t i) {
   Node& n = nodes_[i];
   if (n.inbox.empty()) return;
   n.busy = true;
@@ -31,20 +31,20 @@
   });
 }
 
-Time World::step_time(std::size_t i, std::uint64_t looks) const {
+Time SimulatedRegion::step_time(std::size_t i, std::uint64_t looks) const {
   const Node& n = nodes_[i];
   const double factor = now_ < n.slow_until ? n.slowness : 1;
   const ProcessorCost& cost = plan_.processor;
   return std::llround(factor * (cost.step_ms + cost.look_ms * static_cast<double>(looks)));
 }
 
-std::uint64_t World::looks_so_far(std::size_t i) const {
-  const Core* core = nodes_[i].controller->core();
-  return core != nullptr ? core->examined() : 0;
+std::uint64_t SimulatedRegion::looks_so_far(std::size_t i) const {
+  const Controller* controller = nodes_[i].controller->controller();
+  return controller != nullptr ? controller->examined() : 0;
 }
 
 // As the daemon does it: what may not be said or ordered any more isn't.
-void World::act_unless_late(std::size_t i, const Action& action) {
+void SimulatedRegion::act_unless_late(std::size_t i, const Action& action) {
   const auto late = [&](Time valid_until) { return steady_clock(i) >= valid_until; };
   if (const auto* response = std::get_if<Response>(&action);
       response && late(response->valid_until))
--- /dev/null
+++ b/sim/simulated_controller.hpp
@@ -0,0 +1,37 @@
+// A controller of the simulated world, of this version or of another.
+#pragma once
+
+#include <cstdint>
+#include <memory>
+#include <vector>
+
+#include "controller/controller.hpp"
+
+namespace sailreel::sim {
+
+class SimulatedController {
+ public:
+  virtual ~SimulatedController() = default;
+  virtual std::vector<Action> step(Clock clock, Input input) = 0;
+  [[nodiscard]] virtual bool leading() const = 0;
+  [[nodiscard]] virtual std::uint64_t epoch() const = 0;
+  /// The core, if it is of this version.
+  [[nodiscard]] virtual const Controller* controller() const { return nullptr; }
+};
+
+class CurrentController : public SimulatedController {
+ public:
+  CurrentController(Settings settings, Options options, std::uint64_t seed)
+      : controller_(std::move(settings), std::move(options), seed) {}
+  std::vector<Action> step(Clock clock, Input input) override {
+    return controller_.step(clock, std::move(input));
+  }
+  [[nodiscard]] bool leading() const override { return controller_.leading(); }
+  [[nodiscard]] std::uint64_t epoch() const override { return controller_.epoch(); }
+  [[nodiscard]] const Controller* controller() const override { return &controller_; }
+
+ private:
+  Controller controller_;
+};
+
+}  // namespace sailreel::sim
--- a/sim/world.cpp
+++ b/sim/simulated_region.cpp
@@ -1,4 +1,4 @@
-#include "sim/world.hpp"
+#include "sim/simulated_region.hpp"
 
 #include <cstdio>
 #include <cstdlib>
@@ -29,8 +29,8 @@
   s.store.write_rps = 30;
   s.store.value_kb = 8;
   s.store.txn_ops = 16;
-  s.market.rps = 4;
-  s.market.list_lag_s = 5;
+  s.cloud_limits.rps = 4;
+  s.cloud_limits.list_lag_s = 5;
   s.limits.memory_mb = 40;
   s.limits.sockets = 500;
   if (scale > 50) {  // what a fleet of many hundred machines comes with
@@ -56,7 +56,7 @@
   return t;
 }
 
-Deployment sample_deployment(const DayPlan& plan) {
+Deployment sample_deployment(const SimulationPlan& plan) {
   Deployment out;
   for (std::size_t node = 0; node < 3; ++node) {
     Settings s = sample_settings(node, plan.scale);
@@ -83,7 +83,7 @@
   return out;
 }
 
-World::World(const DayPlan& plan)
+SimulatedRegion::SimulatedRegion(const SimulationPlan& plan)
     : plan_(plan),
       random_(plan.seed),
       deployment_(plan.deployment ? *plan.deployment : sample_deployment(plan)),
@@ -96,7 +96,7 @@
   cloud_.capacity = deployment_.capacity;
   cloud_.one_in_never_up = deployment_.one_in_never_up;
   cloud_.address_prefix = deployment_.worker_address_prefix;
-  cloud_.on_rented = [this](const CloudMachine& m) {
+  cloud_.on_launched = [this](const CloudMachine& m) {
     if (m.broken) return;
     at(plan_.boots_ms > 0 ? now_ + plan_.boots_ms : m.boots, [this, m] {
       const auto it = cloud_.machines.find(m.name);
@@ -120,27 +120,27 @@
   plan_jobs();
   if (plan.fault_pairs)
     plan_fault_pairs();
-  else if (plan.troubles)
-    plan_troubles();
+  else if (plan.faults)
+    plan_faults();
 }
 
-World::~World() = default;
+SimulatedRegion::~SimulatedRegion() = default;
 
-void World::housekeeping() {
+void SimulatedRegion::housekeeping() {
   state_.tick(now_);
   if (now_ % 1000 == 0) {
-    cloud_.tick(now_, ms(settings_[0].market.list_lag_s));
+    cloud_.tick(now_, ms(settings_[0].cloud_limits.list_lag_s));
     watch_waiting();
   }
   deliver_copies();
   at(now_ + 20, [this] { housekeeping(); });
 }
 
-void World::at(Time t, std::function<void()> run) {
+void SimulatedRegion::at(Time t, std::function<void()> run) {
   events_.push({std::max(t, now_), order_++, std::move(run)});
 }
 
-void World::run_until(Time t) {
+void SimulatedRegion::run_until(Time t) {
   while (!events_.empty() && events_.top().at <= t) {
     Event e = events_.top();
     events_.pop();
@@ -151,9 +151,10 @@
   now_ = t;
 }
 
-Time World::delay() { return random_(200) == 0 ? 100 + random_(300) : 1 + random_(4); }
+Time SimulatedRegion::delay() { return random_(200) == 0 ? 100 + random_(300) : 1 + random_(4); }
 
-void World::carry(const std::string& from, const std::string& to, std::function<void()> arrive) {
+void SimulatedRegion::carry(const std::string& from, const std::string& to,
+                            std::function<void()> arrive) {
   const auto [until, hold] = cut_between(from, to);
   if (now_ < until) {
     if (!hold) return;
@@ -167,7 +168,7 @@
   at(now_ + delay(), std::move(arrive));
 }
 
-void World::start_node(std::size_t i) {
+void SimulatedRegion::start_node(std::size_t i) {
   Node& n = nodes_[i];
   ++n.incarnation;
   n.direct_calls.clear();
@@ -183,12 +184,12 @@
   } else {
     n.controller = plan_.controllers
                        ? plan_.controllers(i, settings_[i], seed)
-                       : std::make_unique<PresentController>(settings_[i], plan_.options, seed);
+                       : std::make_unique<CurrentController>(settings_[i], plan_.options, seed);
   }
   feed(i, Tick{});
 }
 
-void World::feed(std::size_t i, Input input) {
+void SimulatedRegion::feed(std::size_t i, Input input) {
   Node& n = nodes_[i];
   if (!n.controller) return;
   if (now_ < n.frozen_until) {
@@ -208,48 +209,50 @@
     if (n.controller && n.incarnation == incarnation) act(i, a);
 }
 
-std::vector<Action> World::step(std::size_t i, Input input) {
+std::vector<Action> SimulatedRegion::step(std::size_t i, Input input) {
   const Clock clock{steady_clock(i), 1'700'000'000'000 + now_ + static_cast<Time>(random_(10)) - 5};
   return nodes_[i].controller->step(clock, std::move(input));
 }
 
-Time World::steady_clock(std::size_t node) const {
+Time SimulatedRegion::steady_clock(std::size_t node) const {
   return static_cast<Time>(static_cast<double>(now_) * nodes_[node].drift) + 1'000'000;
 }
 
-void World::act(std::size_t i, const Action& action) {
+void SimulatedRegion::act(std::size_t i, const Action& action) {
   std::visit([this, i](const auto& a) { perform(i, a); }, action);
 }
 
-std::size_t World::node_index(const std::string& name) const {
+std::size_t SimulatedRegion::node_index(const std::string& name) const {
   std::size_t i = 0;
   while (i < nodes_.size() && nodes_[i].name != name) ++i;
   return i;
 }
 
-std::function<bool()> World::still_alive(std::size_t i) const {
+std::function<bool()> SimulatedRegion::still_alive(std::size_t i) const {
   return [this, i, incarnation = nodes_[i].incarnation] {
     return nodes_[i].controller && nodes_[i].incarnation == incarnation;
   };
 }
 
 // For finding out what happened on a day that fails.
-void World::perform(std::size_t i, const Log& line) {
+void SimulatedRegion::perform(std::size_t i, const Log& line) {
   static const bool kWanted = std::getenv("SIM_LOG") != nullptr;
   if (kWanted)
     std::fprintf(stderr, "%8.3f %s %s\n", static_cast<double>(now_) / 1000.0,
                  nodes_[i].name.c_str(), line.text.c_str());
 }
 
-void World::perform(std::size_t i, const ArmTimer& timer) {
+void SimulatedRegion::perform(std::size_t i, const ArmTimer& timer) {
   at(now_ + timer.in_ms, [this, i, alive = still_alive(i)] {
     if (alive()) feed(i, Tick{});
   });
 }
 
-void World::perform(std::size_t i, const Response& response) { handle_node_response(i, response); }
+void SimulatedRegion::perform(std::size_t i, const Response& response) {
+  handle_node_response(i, response);
+}
 
-void World::perform(std::size_t i, const CallKvStore& call) {
+void SimulatedRegion::perform(std::size_t i, const CallKvStore& call) {
   const auto done = std::make_shared<bool>(false);
   const auto finish = [this, i, alive = still_alive(i), done,
                        id = call.call](const KvResponse& reply) {
@@ -274,7 +277,7 @@
   });
 }
 
-void World::perform(std::size_t i, const CallCloud& call) {
+void SimulatedRegion::perform(std::size_t i, const CallCloud& call) {
   const auto done = std::make_shared<bool>(false);
   const auto finish = [this, i, alive = still_alive(i), done,
                        id = call.call](const CloudResponse& reply) {
@@ -289,7 +292,7 @@
   at(now_ + call.timeout_ms, [finish] { finish(CloudResponse{}); });
 }
 
-void World::perform(std::size_t i, const CallWorker& call) {
+void SimulatedRegion::perform(std::size_t i, const CallWorker& call) {
   const auto fail = [this, i, alive = still_alive(i), id = call.call] {
     if (!alive()) return;
     nodes_[i].direct_calls.erase(id);
@@ -301,15 +304,15 @@
   at(now_ + call.timeout_ms, fail);
 }
 
-void World::perform(std::size_t, const SendRegion& send) const {
+void SimulatedRegion::perform(std::size_t, const SendRegion& send) const {
   if (on_region_message) on_region_message(send.region, send.message);
 }
 
-void World::receive_region(const RegionMessage& message) {
+void SimulatedRegion::receive_region(const RegionMessage& message) {
   for (std::size_t i = 0; i < nodes_.size(); ++i) feed(i, RegionMessageReceived{message});
 }
 
-void World::change_team_limit(const std::string& name, double gpus_max) {
+void SimulatedRegion::change_team_limit(const std::string& name, double gpus_max) {
   constexpr Time kApart = 4'000, kDown = 300;
   for (std::size_t i = 0; i < nodes_.size(); ++i)
     at(now_ + static_cast<Time>(i) * kApart, [this, i, name, gpus_max] {
@@ -320,7 +323,7 @@
 }
 
 // Over the real frames, so that these are in the test too.
-void World::perform(std::size_t i, const SendPeer& peer) {
+void SimulatedRegion::perform(std::size_t i, const SendPeer& peer) {
   const std::string to = settings_[i].peers[peer.peer].name;
   const std::size_t j = node_index(to);
   // The link ends with the process: its number stands for both.
@@ -332,8 +335,8 @@
   });
 }
 
-void World::receive(std::size_t from, std::size_t to, std::uint64_t link,
-                    const PeerMessage& message) {
+void SimulatedRegion::receive(std::size_t from, std::size_t to, std::uint64_t link,
+                              const PeerMessage& message) {
   if (message.kind == PeerMessage::Kind::Request) {
     const PeerRequest& request = message.request;
     const RequestSource source{RequestSource::Kind::Peer, link, request.call};
@@ -348,7 +351,7 @@
     if (peers[k].name == nodes_[from].name) feed(to, PeerMessageReceived{k, message});
 }
 
-void World::handle_node_response(std::size_t i, const Response& a) {
+void SimulatedRegion::handle_node_response(std::size_t i, const Response& a) {
   if (a.source.kind == RequestSource::Kind::Peer) {
     const auto j = static_cast<std::size_t>(a.source.link % nodes_.size());
     const std::uint64_t incarnation = a.source.link / nodes_.size();
--- a/sim/world.hpp
+++ b/sim/simulated_region.hpp
@@ -15,10 +15,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 #include "sim/checker.hpp"
-#include "sim/controller.hpp"
-#include "sim/stand_ins.hpp"
+#include "sim/fakes.hpp"
+#include "sim/simulated_controller.hpp"
 
 namespace sailreel::sim {
 
@@ -44,12 +44,12 @@
   [[nodiscard]] bool takes_time() const { return step_ms > 0 || look_ms > 0; }
 };
 
-struct DayPlan {
+struct SimulationPlan {
   std::uint64_t seed = 1;
   Time length = 240'000;
-  Time troubles_from = 40'000, troubles_until = 170'000;
+  Time faults_from = 40'000, faults_until = 170'000;
   std::uint32_t jobs = 40;
-  bool troubles = true;
+  bool faults = true;
   bool fault_pairs = false;  // troubles that meet, instead of single ones
   bool gangs = false;        // a third of the jobs are gangs
   double gang_wait_s = 20, gang_peer_s = 2;
@@ -57,11 +57,13 @@
   double next_value_kb = 0, next_write_rps = 0;
   std::uint64_t next_txn_ops = 0;
   /// The day begins with controllers of another version, which are upgraded one by one.
-  std::function<std::unique_ptr<Controller>(const Settings&, std::uint64_t seed)> production;
+  std::function<std::unique_ptr<SimulatedController>(const Settings&, std::uint64_t seed)>
+      production;
   /// Instead of the sample deployment.
   std::optional<Deployment> deployment;
   /// Makes each controller; empty: a core of the present version within this process.
-  std::function<std::unique_ptr<Controller>(std::size_t node, const Settings&, std::uint64_t seed)>
+  std::function<std::unique_ptr<SimulatedController>(std::size_t node, const Settings&,
+                                                     std::uint64_t seed)>
       controllers;
   /// Operators' options of the controllers of the present version.
   Options options;
@@ -83,12 +85,12 @@
 /// The only type of machine that the cloud rents.
 MachineType sample_type();
 /// Three controllers in two zones, changed as the plan says.
-Deployment sample_deployment(const DayPlan& plan);
+Deployment sample_deployment(const SimulationPlan& plan);
 
-class World {
+class SimulatedRegion {
  public:
-  explicit World(const DayPlan& plan);
-  ~World();
+  explicit SimulatedRegion(const SimulationPlan& plan);
+  ~SimulatedRegion();
 
   void run_until(Time t);
   /// Something to be done at that moment of the day.
@@ -183,8 +185,8 @@
   /// The node that leads under the highest epoch; -1: none does.
   [[nodiscard]] int leader() const;
   /// The node's core; null while it is down or runs the version in production.
-  [[nodiscard]] const Core* core(std::size_t node) const {
-    return nodes_[node].controller ? nodes_[node].controller->core() : nullptr;
+  [[nodiscard]] const Controller* controller(std::size_t node) const {
+    return nodes_[node].controller ? nodes_[node].controller->controller() : nullptr;
   }
   [[nodiscard]] std::vector<std::string> machines_up() const;
   /// Submissions that got no answer within their user's patience.
@@ -219,7 +221,7 @@
  private:
   struct Node {
     std::string name;
-    std::unique_ptr<Controller> controller;
+    std::unique_ptr<SimulatedController> controller;
     bool upgraded = false;  // where the day begins with the version in production
     std::uint64_t incarnation = 0;
     double drift = 1.0;
@@ -374,17 +376,17 @@
   void deliver_everywhere(const std::string& raw);
   void user_answer(std::size_t u, UserOp op, int status, const std::string& body);
   [[nodiscard]] const User* user_of(const std::string& job) const;
-  void plan_troubles();
-  void trouble(std::uint32_t kind);
-  void controller_trouble(std::uint32_t kind, std::size_t target, Time span_ms, bool hold);
-  void machine_trouble(std::uint32_t kind, const std::string& machine, Time span_ms, bool hold);
+  void plan_faults();
+  void fault(std::uint32_t kind);
+  void controller_fault(std::uint32_t kind, std::size_t target, Time span_ms, bool hold);
+  void machine_fault(std::uint32_t kind, const std::string& machine, Time span_ms, bool hold);
   void take_back(const std::string& machine);
   void plan_fault_pairs();
   void inject_fault(std::uint32_t kind);
   void plan_jobs();
   void make_gang(JobSpec& spec);
 
-  DayPlan plan_;
+  SimulationPlan plan_;
   pcg32 random_;
   Deployment deployment_;
   std::vector<Settings> settings_;
--- a/sim/users.cpp
+++ b/sim/users.cpp
@@ -1,6 +1,6 @@
 // The users of the simulated world.
-#include "protocol/counterpart_codec.hpp"
-#include "sim/world.hpp"
+#include "protocol/fake_server_codec.hpp"
+#include "sim/simulated_region.hpp"
 
 namespace sailreel::sim {
 namespace {
@@ -13,12 +13,12 @@
 
 }  // namespace
 
-const World::User* World::user_of(const std::string& job) const {
+const SimulatedRegion::User* SimulatedRegion::user_of(const std::string& job) const {
   const auto it = by_job_.find(job);
   return it == by_job_.end() ? nullptr : users_[it->second].get();
 }
 
-void World::submit(const JobSpec& spec, Time cancel_at) {
+void SimulatedRegion::submit(const JobSpec& spec, Time cancel_at) {
   auto u = std::make_unique<User>();
   u->spec = spec;
   u->body = encode_submission(spec);
@@ -30,15 +30,16 @@
   user_tick(users_.size() - 1);
 }
 
-void World::submit_at(const JobSpec& spec, std::size_t node, const std::function<void(int)>& then) {
+void SimulatedRegion::submit_at(const JobSpec& spec, std::size_t node,
+                                const std::function<void(int)>& then) {
   checker_.submitted(spec);
   request(node, UserOp::Submit, spec.id, encode_submission(spec),
           [then](int status, const std::string&) { then(status); });
 }
 
-std::uint64_t World::request(std::size_t node, UserOp op, const std::string& id,
-                             const std::string& body,
-                             std::function<void(int, const std::string&)> then) {
+std::uint64_t SimulatedRegion::request(std::size_t node, UserOp op, const std::string& id,
+                                       const std::string& body,
+                                       std::function<void(int, const std::string&)> then) {
   const std::uint64_t call = next_call_++;
   answers_[call] = [this, node, then = std::move(then)](int status, const std::string& text) {
     carry(nodes_[node].name, "users", [then, status, text] { then(status, text); });
@@ -53,13 +54,13 @@
   return call;
 }
 
-void World::user_next(std::size_t index, Time when) {
+void SimulatedRegion::user_next(std::size_t index, Time when) {
   at(when, [this, index, turn = users_[index]->turn] {
     if (users_[index]->turn == turn) user_tick(index);
   });
 }
 
-void World::user_tick(std::size_t index) {
+void SimulatedRegion::user_tick(std::size_t index) {
   User& u = *users_[index];
   ++u.turn;
   if (u.over && now_ - u.first > plan_.length) return;
@@ -94,7 +95,8 @@
   });
 }
 
-void World::user_answer(std::size_t index, UserOp op, int status, const std::string& body) {
+void SimulatedRegion::user_answer(std::size_t index, UserOp op, int status,
+                                  const std::string& body) {
   User& u = *users_[index];
   if (u.call == 0) return;
   u.call = 0;
@@ -126,8 +128,8 @@
 }
 
 // One question more; what it brings binds all nodes from then on.
-void World::ask_for(const std::string& id, std::size_t node, UserOp op,
-                    const std::function<void(int)>& then) {
+void SimulatedRegion::ask_for(const std::string& id, std::size_t node, UserOp op,
+                              const std::function<void(int)>& then) {
   const auto it = by_job_.find(id);
   const std::string body = it == by_job_.end() ? "" : users_[it->second]->body;
   const Time asked = now_;
@@ -143,7 +145,7 @@
   });
 }
 
-void World::poll_everywhere(std::size_t index) {
+void SimulatedRegion::poll_everywhere(std::size_t index) {
   const std::string id = users_[index]->spec.id;
   for (std::size_t round = 0; round < 3; ++round)
     for (std::size_t node = 0; node < nodes_.size(); ++node)
@@ -153,21 +155,21 @@
   if (!users_[index]->over && random_(8) == 0) call_off(index);
 }
 
-void World::call_off(std::size_t index) {
+void SimulatedRegion::call_off(std::size_t index) {
   User& u = *users_[index];
   if (!u.accepted || u.over || u.cancelling) return;
   u.cancel_at = now_;
   user_tick(index);
 }
 
-void World::cancel(const std::string& id) { call_off(by_job_.at(id)); }
+void SimulatedRegion::cancel(const std::string& id) { call_off(by_job_.at(id)); }
 
-void World::completed(const TaskKey& key) {
+void SimulatedRegion::completed(const TaskKey& key) {
   if (const auto it = by_job_.find(key.job); it != by_job_.end())
     users_[it->second]->completed.insert(key.index);
 }
 
-void World::odd_request(Time until) {
+void SimulatedRegion::odd_request(Time until) {
   if (now_ >= until) return;
   at(now_ + 300 + random_(700), [this, until] { odd_request(until); });
   const std::size_t node = random_(node_count());
--- a/sim/workers.cpp
+++ b/sim/workers.cpp
@@ -1,7 +1,7 @@
 // The workers of the simulated world, by their published protocol.
-#include "protocol/counterpart_codec.hpp"
+#include "protocol/fake_server_codec.hpp"
 #include "protocol/worker_codec.hpp"
-#include "sim/world.hpp"
+#include "sim/simulated_region.hpp"
 
 namespace sailreel::sim {
 namespace {
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-Heartbeat World::make_heartbeat(Worker& w) {
+Heartbeat SimulatedRegion::make_heartbeat(Worker& w) {
   Heartbeat r;
   r.machine = w.machine.name;
   r.address = w.machine.address;
@@ -27,12 +27,12 @@
   return r;
 }
 
-void World::ended(const TaskKey& key, const std::string& machine, bool completed) {
+void SimulatedRegion::ended(const TaskKey& key, const std::string& machine, bool completed) {
   checker_.ended(key, machine, completed);
   if (on_ended) on_ended(key, machine);
 }
 
-void World::lapse(Worker& w) {
+void SimulatedRegion::lapse(Worker& w) {
   for (const auto& [key, list] : w.tasks)
     for (const WorkTask& t : list)
       if (t.on) ended(t.heartbeat.key, w.machine.name, false);
@@ -43,7 +43,7 @@
   w.changed = true;
 }
 
-void World::worker_tick(const std::string& name) {
+void SimulatedRegion::worker_tick(const std::string& name) {
   const auto found = workers_.find(name);
   if (found == workers_.end() || !found->second.alive) return;
   Worker& w = found->second;
@@ -60,7 +60,7 @@
   at(now_ + kWorkerTick, [this, name] { worker_tick(name); });
 }
 
-void World::advance(Worker& w, WorkTask& t) {
+void SimulatedRegion::advance(Worker& w, WorkTask& t) {
   TaskStatus& r = t.heartbeat;
   const User* user = user_of(r.key.job);
   if (is_gang(user)) return advance_gang(w, t, *user);
@@ -80,7 +80,7 @@
   }
 }
 
-void World::begin_task(Worker& w, WorkTask& t) {
+void SimulatedRegion::begin_task(Worker& w, WorkTask& t) {
   TaskStatus& r = t.heartbeat;
   r.state = RunState::Running;
   t.on = true;
@@ -98,7 +98,7 @@
     at(t.done_at - 50 + random_(200), [this, id = u->spec.id] { call_off(by_job_.at(id)); });
 }
 
-void World::end_task(Worker& w, WorkTask& t, ExitCause cause) {
+void SimulatedRegion::end_task(Worker& w, WorkTask& t, ExitCause cause) {
   if (t.on) ended(t.heartbeat.key, w.machine.name, cause == ExitCause::Done);
   t.on = false;
   t.heartbeat.state = RunState::Exited;
@@ -106,7 +106,7 @@
   w.changed = true;
 }
 
-void World::send_heartbeat(Worker& w) {
+void SimulatedRegion::send_heartbeat(Worker& w) {
   const std::string name = w.machine.name;
   const Heartbeat heartbeat = make_heartbeat(w);
   const Time sent = now_;
@@ -155,15 +155,15 @@
 // A cut holds what is sent over a connection that is open. One that is only attempted meanwhile is
 // given up, and doesn't complete later: so it is the report of before the cut that arrives after
 // it, and none of those that the worker sends to the other controllers in the meantime.
-void World::deliver_heartbeat(Worker& w, std::function<void()> arrive) {
+void SimulatedRegion::deliver_heartbeat(Worker& w, std::function<void()> arrive) {
   const std::string& node = nodes_[w.node].name;
   const bool cut_off = now_ < cut_between(w.machine.name, node).first;
   if (now_ < w.mute_until || (cut_off && !w.connected)) return;
   carry(w.machine.name, node, std::move(arrive));
 }
 
-void World::take_answer(Worker& w, std::uint64_t flight, Time sent, std::uint64_t incarnation,
-                        int status, const std::string& body) {
+void SimulatedRegion::take_answer(Worker& w, std::uint64_t flight, Time sent,
+                                  std::uint64_t incarnation, int status, const std::string& body) {
   if (!w.in_flight || w.flight != flight) return;
   w.in_flight = false;
   w.connected = status == 200;
@@ -191,7 +191,7 @@
   w.next_heartbeat = now_ + 1000;
 }
 
-void World::stop_work(Worker& w, WorkTask& t, const Command& c) {
+void SimulatedRegion::stop_work(Worker& w, WorkTask& t, const Command& c) {
   if (t.heartbeat.state == RunState::Exited) return;
   const User* user = user_of(c.key.job);
   if (is_gang(user)) return stop_gang_task(t, *user, c.grace_s, w);
@@ -209,7 +209,7 @@
   w.changed = true;
 }
 
-void World::obey(Worker& w, const Command& c) {
+void SimulatedRegion::obey(Worker& w, const Command& c) {
   if (on_command) on_command(w.machine.name, c);
   auto& list = w.tasks[{c.key.job, c.key.index}];
   const auto same = std::find_if(list.begin(), list.end(), [&](const WorkTask& t) {
@@ -263,16 +263,16 @@
 }
 
 // A direct command, or its answer, which may be held up for seconds.
-void World::carry_command(const std::string& from, const std::string& to,
-                          std::function<void()> arrive) {
+void SimulatedRegion::carry_command(const std::string& from, const std::string& to,
+                                    std::function<void()> arrive) {
   if (strikes(slow_commands_))
     at(now_ + random_(6'000), std::move(arrive));
   else
     carry(from, to, std::move(arrive));
 }
 
-void World::direct(std::size_t node, std::uint64_t call, const std::string& address,
-                   const std::string& body) {
+void SimulatedRegion::direct(std::size_t node, std::uint64_t call, const std::string& address,
+                             const std::string& body) {
   const auto known = by_address_.find(address);
   if (known == by_address_.end()) return;
   const std::string name = known->second;
@@ -281,8 +281,8 @@
   carry_command(nodes_[node].name, name, execute);
 }
 
-void World::execute_direct(std::size_t node, std::uint64_t call, const std::string& name,
-                           const std::string& body, std::uint64_t incarnation) {
+void SimulatedRegion::execute_direct(std::size_t node, std::uint64_t call, const std::string& name,
+                                     const std::string& body, std::uint64_t incarnation) {
   command(name, body, [=, this](int status, const Heartbeat& heartbeat) {
     const auto response = [this, node, call, incarnation, status, heartbeat] {
       if (nodes_[node].incarnation != incarnation) return;
@@ -293,8 +293,8 @@
   });
 }
 
-void World::command(const std::string& name, const std::string& body,
-                    const std::function<void(int, const Heartbeat&)>& then) {
+void SimulatedRegion::command(const std::string& name, const std::string& body,
+                              const std::function<void(int, const Heartbeat&)>& then) {
   const auto it = workers_.find(name);
   if (it == workers_.end() || !it->second.alive || now_ < it->second.deaf_until) return;
   Worker& w = it->second;
@@ -314,8 +314,8 @@
   then(status, make_heartbeat(w));
 }
 
-void World::inspect(const std::string& name,
-                    const std::function<void(int, const Heartbeat&)>& then) {
+void SimulatedRegion::inspect(const std::string& name,
+                              const std::function<void(int, const Heartbeat&)>& then) {
   const auto it = workers_.find(name);
   if (it == workers_.end() || !it->second.alive || now_ < it->second.deaf_until) return;
   if (now_ < it->second.hang_until)
@@ -324,12 +324,12 @@
 }
 
 // A copy of a report, to all controllers at once; nobody waits for an answer.
-void World::deliver_everywhere(const std::string& raw) {
+void SimulatedRegion::deliver_everywhere(const std::string& raw) {
   for (std::size_t i = 0; i < nodes_.size(); ++i)
     if (auto decoded = decode_heartbeat(raw)) feed(i, HeartbeatReceived{{}, *decoded, raw});
 }
 
-void World::deliver_copies() {
+void SimulatedRegion::deliver_copies() {
   const int lead = leader();
   if (lead < 0) return;
   const std::uint64_t epoch = nodes_[static_cast<std::size_t>(lead)].controller->epoch();
@@ -342,13 +342,13 @@
 
 // Names tasks that wait although a machine that suits them has room and their team is under its
 // limit.
-void World::watch_waiting() {
+void SimulatedRegion::watch_waiting() {
   if (!checker_.is_calm()) return;
   const Occupancy now = occupancy();
   for (const auto& u : users_) checker_.waiting(u->spec.id, could_start(*u, now), now_);
 }
 
-World::Occupancy World::occupancy() const {
+SimulatedRegion::Occupancy SimulatedRegion::occupancy() const {
   Occupancy out;
   for (const auto& [name, w] : workers_) {
     if (!w.alive || !cloud_.machines.contains(name)) continue;
@@ -368,7 +368,7 @@
   return out;
 }
 
-bool World::could_start(const User& u, const Occupancy& now) const {
+bool SimulatedRegion::could_start(const User& u, const Occupancy& now) const {
   const JobSpec& s = u.spec;
   const auto tasks = now.tasks.find(s.id);
   const std::size_t there = tasks == now.tasks.end() ? 0 : tasks->second;
@@ -392,7 +392,7 @@
 }
 
 // All of it has room at once, in one zone if need be. Spread gangs aren't judged.
-bool World::gang_could_start(const JobSpec& s, const Occupancy& now) {
+bool SimulatedRegion::gang_could_start(const JobSpec& s, const Occupancy& now) {
   if (s.spread) return false;
   std::map<std::string, std::uint32_t> slots;
   for (Room room : now.rooms) {
@@ -404,7 +404,7 @@
                      [&](const auto& entry) { return entry.second >= s.tasks; });
 }
 
-bool World::team_allows(const JobSpec& s, const Occupancy& now) const {
+bool SimulatedRegion::team_allows(const JobSpec& s, const Occupancy& now) const {
   const auto it = now.used.find(s.team);
   Resources used = it == now.used.end() ? Resources{} : it->second;
   if (s.kind == JobKind::Gang) used += s.need.times(s.tasks - 1);
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <random>
 
-#include "coordination/capacity_check.hpp"
-#include "coordination/core.hpp"
+#include "controller/capacity_check.hpp"
+#include "controller/controller.hpp"
 #include "protocol/cloud_codec.hpp"
 #include "protocol/kv_codec.hpp"
 #include "protocol/user_codec.hpp"
@@ -307,7 +307,7 @@
 
   const Settings settings_;
   EventLoop loop_;
-  Core core_;
+  Controller core_;
   const SocketShares sockets_;
   HttpClient client_, workers_;
   HttpServer server_;
--- a/src/coordination/fleet_sizing.cpp
+++ b/src/controller/autoscaler.cpp
@@ -2,13 +2,13 @@
 #include <cmath>
 #include <utility>
 
-#include "coordination/capacity_check.hpp"
-#include "coordination/core.hpp"
-#include "coordination/resource_ratios.hpp"
+#include "controller/capacity_check.hpp"
+#include "controller/controller.hpp"
+#include "controller/resource_ratios.hpp"
 
 namespace sailreel {
 namespace {
-constexpr std::uint32_t kMaxRental = 50;
+constexpr std::uint32_t kMaxScaleOut = 50;
 constexpr std::size_t kMaxRelease = 100;
 /// A machine that takes this many times its type's boot time is given up.
 constexpr double kDeadBoot = 3;
@@ -23,7 +23,7 @@
 
 /// Where there was no capacity, it is asked for again after a list's lag and this at least.
 constexpr Time kLeastNoCapacity = 2'000;
-constexpr Time kRentalRetry = 1'000;
+constexpr Time kScaleOutRetry = 1'000;
 constexpr Time kLeastListGap = 1'000;
 /// What is logged where no type of machine holds what is guaranteed.
 constexpr double kMostDescribed = 1e9;
@@ -36,19 +36,19 @@
 
 }  // namespace
 
-void Core::fleet_tick() {
+void Controller::autoscale_tick() {
   poll_cloud();
   if (tables_.types.empty()) return;
   if (clock_.now >= next_sizing_) {
     next_sizing_ = clock_.now + std::max<Time>(200, heartbeat_interval() / 4);
-    size_fleet();
-    return_idle();
+    autoscale();
+    scale_in_idle();
   }
-  send_rentals();
-  send_releases();
+  send_scale_outs();
+  send_terminations();
 }
 
-void Core::poll_cloud() {
+void Controller::poll_cloud() {
   const Time now = clock_.now;
   const std::uint64_t term = term_;
   if (now >= next_types_) {
@@ -59,7 +59,7 @@
             [this, term](const CloudResponse& r) {
               if (term != term_) return;
               if (r.status == 200)
-                take_types(r);
+                handle_types(r);
               else
                 next_types_ = clock_.now + 1000;
             },
@@ -72,7 +72,7 @@
 
 // Asks for the list's next page; if the rate doesn't allow it now, later. A list that was begun
 // anew instead was never read to its end where its pages are more than the rate's burst.
-void Core::ask_for_list() {
+void Controller::ask_for_list() {
   const std::uint64_t term = term_;
   CloudRequest call;
   call.kind = CloudRequest::Kind::List;
@@ -80,14 +80,15 @@
   listing_ = call_cloud(
       call,
       [this, term](const CloudResponse& r) {
-        if (term == term_) take_list(r);
+        if (term == term_) handle_machine_list(r);
       },
       true);
   if (listing_ && listed_up_to_.empty())
-    next_list_ = clock_.now + std::max<Time>(ms(settings_.market.list_lag_s / 2), kLeastListGap);
+    next_list_ =
+        clock_.now + std::max<Time>(ms(settings_.cloud_limits.list_lag_s / 2), kLeastListGap);
 }
 
-void Core::take_types(const CloudResponse& r) {
+void Controller::handle_types(const CloudResponse& r) {
   tables_.types = r.types;
   for (auto& [name, m] : tables_.machines) tables_.size_machine(*m);
   scheduling_needed_ = true;
@@ -95,7 +96,7 @@
 }
 
 // Says so, once for each leader, if the settings describe more machines than their limits carry.
-void Core::check_capacity() {
+void Controller::check_capacity() {
   if (std::exchange(capacity_checked_, true) || tables_.types.empty()) return;
   double boot_s = 0;
   for (const MachineType& type : tables_.types) boot_s = std::max(boot_s, type.boot_s);
@@ -107,17 +108,17 @@
       " described=", static_cast<std::uint64_t>(std::min(described, kMostDescribed)));
 }
 
-void Core::take_list(const CloudResponse& r) {
+void Controller::handle_machine_list(const CloudResponse& r) {
   const Time now = clock_.now;
   listing_ = false;
   listed_up_to_.clear();
   if (r.status != 200) return;
   for (const ListedMachine& l : r.machines) {
     // Lists lag: what we returned is listed for a while.
-    if (released_.contains(l.name)) continue;
+    if (terminated_.contains(l.name)) continue;
     Machine* known = tables_.machine(l.name);
     if (known == nullptr && l.state == ListedMachine::State::Failed) {
-      release_queue_.insert(l.name);
+      termination_queue_.insert(l.name);
       continue;
     }
     Machine& m = tables_.add_machine(l.name, now);
@@ -127,50 +128,50 @@
       m.type = l.type;
       m.zone = l.zone;
       m.spot = l.spot;
-      m.rented = std::min(m.rented, now - ms(l.age_s));
+      m.launched = std::min(m.launched, now - ms(l.age_s));
       tables_.size_machine(m);
     }
     if (m.address.empty() && !l.address.empty()) m.address = l.address;
     m.listed_running = l.state == ListedMachine::State::Running;
     // A failed machine has stopped by itself; returning it takes it off the list.
-    if (l.state == ListedMachine::State::Failed && !m.releasing) release(m, "failed");
+    if (l.state == ListedMachine::State::Failed && !m.terminating) terminate_instance(m, "failed");
   }
   if (r.more && !r.machines.empty()) {
     listed_up_to_ = r.machines.back().name;
     return ask_for_list();
   }
-  for (auto it = released_.begin(); it != released_.end();)
-    it = now - it->second > 20 * worker_lease() + ms(4 * settings_.market.list_lag_s)
-             ? released_.erase(it)
+  for (auto it = terminated_.begin(); it != terminated_.end();)
+    it = now - it->second > 20 * worker_lease() + ms(4 * settings_.cloud_limits.list_lag_s)
+             ? terminated_.erase(it)
              : std::next(it);
 }
 
-void Core::size_fleet() {
+void Controller::autoscale() {
   FleetSupply supply = count_supply();
-  const OrdinaryRoom ordinary = ordinary_room();
-  Demand demand = demand_of_waiting(ordinary, supply);
-  add_headroom(ordinary, demand);
-  for (const auto& [market, total] : demand.in_zone) rent_in_zone(market, total, supply);
-  for (const auto& [kind, total] : demand.anywhere) rent_missing(kind, total, supply);
+  const OnDemandCapacity on_demand = on_demand_capacity();
+  Demand demand = demand_of_waiting(on_demand, supply);
+  add_headroom(on_demand, demand);
+  for (const auto& [pool, total] : demand.in_zone) scale_out_in_zone(pool, total, supply);
+  for (const auto& [kind, total] : demand.anywhere) scale_out_missing(kind, total, supply);
 }
 
 // Machines up and still booting. Those that are late aren't counted on any more.
-Core::FleetSupply Core::count_supply() const {
+Controller::FleetSupply Controller::count_supply() const {
   FleetSupply supply;
   for (const auto& [name, m] : tables_.machines) {
-    if (m->type.empty() || m->releasing) continue;
+    if (m->type.empty() || m->terminating) continue;
     const MachineType* type = tables_.type(m->type);
     if (type == nullptr) continue;
     const MachineKind kind{m->type, m->spot};
     ++supply.by_zone[kind][m->zone];
     if (!m->heard_in_epoch && !zone_unreachable(m->zone) &&
-        clock_.now - m->rented < ms(type->boot_s * kLateBoot)) {
+        clock_.now - m->launched < ms(type->boot_s * kLateBoot)) {
       supply.coming[kind] += 1;
       supply.coming_in_zone[{kind, m->zone}] += 1;
     }
   }
-  for (const auto& [name, rental] : rentals_) {
-    const RentalRequest& request = rental.request;
+  for (const auto& [name, scale_out] : scale_outs_) {
+    const ScaleOutRequest& request = scale_out.request;
     const MachineKind kind{request.type, request.spot};
     if (!zone_unreachable(request.zone)) {
       supply.coming[kind] += request.count;
@@ -181,13 +182,13 @@
   return supply;
 }
 
-bool Core::may_rent(const MachineKind& kind, const std::string& zone) const {
+bool Controller::may_scale_out(const MachineKind& kind, const std::string& zone) const {
   const auto it = no_capacity_until_.find({kind, zone});
   return it == no_capacity_until_.end() || it->second <= clock_.now;
 }
 
 // The type that takes such work for the least money, among those that may be rented now.
-const MachineType* Core::cheapest_type(const ResourceRequest& want, bool spot) const {
+const MachineType* Controller::cheapest_type(const ResourceRequest& want, bool spot) const {
   const MachineType* best = nullptr;
   double best_price = 0;
   for (const MachineType& type : tables_.types) {
@@ -196,7 +197,7 @@
       continue;
     if (!want.each.fits_in(type.size)) continue;
     const bool open = std::any_of(type.zones.begin(), type.zones.end(), [&](const auto& zone) {
-      return (want.zone.empty() || want.zone == zone) && may_rent({type.name, spot}, zone);
+      return (want.zone.empty() || want.zone == zone) && may_scale_out({type.name, spot}, zone);
     });
     if (!open) continue;
     const double slots = std::max(1.0, std::floor(task_slots(type.size, want.each)));
@@ -210,7 +211,7 @@
 
 // Arrays' tasks end by themselves: by the time that a machine has booted, some of the room that
 // they take is free for those that wait.
-Resources Core::room_freed_by_arrays() const {
+Resources Controller::room_freed_by_arrays() const {
   Resources freed;
   for (const auto& [name, m] : tables_.machines) {
     const MachineType* type = tables_.type(m->type);
@@ -226,22 +227,24 @@
 
 // How much ordinary room may be rented for work that nobody was promised: as far as the fleet stays
 // within twice its headroom.
-Resources Core::ordinary_allowance(const OrdinaryRoom& ordinary, const FleetSupply& supply) const {
+Resources Controller::on_demand_allowance(const OnDemandCapacity& on_demand,
+                                          const FleetSupply& supply) const {
   const double most = 1 + 2 * options_.headroom_ratio;
-  Resources allowance{ordinary.used.cpus * most - ordinary.size.cpus,
-                      ordinary.used.gpus * most - ordinary.size.gpus, 0};
+  Resources allowance{on_demand.used.cpus * most - on_demand.size.cpus,
+                      on_demand.used.gpus * most - on_demand.size.gpus, 0};
   for (const auto& [kind, count] : supply.coming)
     if (const MachineType* type = tables_.type(kind.type); type != nullptr && !kind.spot) {
       allowance.cpus -= count * type->size.cpus;
       allowance.gpus -= count * type->size.gpus;
     }
   for (const auto& [name, m] : tables_.machines)
-    if (!m->spot && m->retiring && usable(*m)) allowance -= m->size;
+    if (!m->spot && m->draining && usable(*m)) allowance -= m->size;
   return allowance;
 }
 
 // For each kind of waiting work, room on the cheapest type that takes it.
-Core::Demand Core::demand_of_waiting(const OrdinaryRoom& ordinary, const FleetSupply& supply) {
+Controller::Demand Controller::demand_of_waiting(const OnDemandCapacity& on_demand,
+                                                 const FleetSupply& supply) {
   Demand demand;
   const auto add = [&demand](const MachineKind& kind, const UnmetDemand& unmet) {
     if (unmet.want.zone.empty())
@@ -250,8 +253,8 @@
       demand.in_zone[{kind, unmet.want.zone}] += unmet.total;
   };
   Resources freed = room_freed_by_arrays();
-  Resources allowance = ordinary_allowance(ordinary, supply);
-  ordinary_awaited_ = false;
+  Resources allowance = on_demand_allowance(on_demand, supply);
+  on_demand_awaited_ = false;
   for (UnmetDemand unmet : unmet_demand_) {
     if (unmet.want.spot) serve_from(freed, unmet);
     if (const MachineType* type = unmet.want.spot ? cheapest_type(unmet.want, true) : nullptr) {
@@ -267,7 +270,7 @@
 }
 
 // Takes what the freed room will serve off the work that waits.
-void Core::serve_from(Resources& freed, UnmetDemand& unmet) {
+void Controller::serve_from(Resources& freed, UnmetDemand& unmet) {
   if (unmet.tasks == 0) return;
   const Resources& each = unmet.want.each;
   double tasks = unmet.tasks;
@@ -281,11 +284,12 @@
 // Work that nobody was promised, and that may use cheap machines, waits for these. Ordinary ones
 // are rented for it within the allowance, and one beyond, so that it gets on where there are no
 // cheap ones: a guest's array once filled a zone's dear machines.
-void Core::limit_to_allowance(const MachineType& type, Resources& allowance, UnmetDemand& unmet) {
+void Controller::limit_to_allowance(const MachineType& type, Resources& allowance,
+                                    UnmetDemand& unmet) {
   constexpr double kSlack = 1e-6;
   const double cpus = allowance.cpus + type.size.cpus;
   const double gpus = allowance.gpus + type.size.gpus;
-  ordinary_awaited_ = ordinary_awaited_ || (cpus >= -kSlack && gpus >= -kSlack);
+  on_demand_awaited_ = on_demand_awaited_ || (cpus >= -kSlack && gpus >= -kSlack);
   double share = 1;
   if (unmet.total.cpus > 0) share = std::min(share, std::max(0.0, cpus) / unmet.total.cpus);
   if (unmet.total.gpus > 0) share = std::min(share, std::max(0.0, gpus) / unmet.total.gpus);
@@ -294,8 +298,8 @@
 }
 
 // Headroom for services to come, as a share of what such work uses or waits for.
-void Core::add_headroom(const OrdinaryRoom& ordinary, Demand& demand) const {
-  Resources used = ordinary.used;
+void Controller::add_headroom(const OnDemandCapacity& on_demand, Demand& demand) const {
+  Resources used = on_demand.used;
   for (const UnmetDemand& unmet : unmet_demand_)
     if (!unmet.want.spot) used += unmet.total;
   if (used.gpus <= 0 && used.cpus <= 0) return;
@@ -305,33 +309,35 @@
   Resources& wanted = demand.anywhere[{type->name, false}];
   const double share = 1 + options_.headroom_ratio;
   // Room for work that is bound to a zone is rented there.
-  Resources provided = ordinary.size;
-  for (const auto& [market, total] : demand.in_zone)
-    if (!market.kind.spot) provided += total;
+  Resources provided = on_demand.size;
+  for (const auto& [pool, total] : demand.in_zone)
+    if (!pool.kind.spot) provided += total;
   wanted.gpus = std::max(wanted.gpus, used.gpus * share - provided.gpus);
   wanted.cpus = std::max(wanted.cpus, used.cpus * share - provided.cpus);
 }
 
 // Rents what is missing in a zone. What comes there is for that work, and for none that could go
 // elsewhere. A job bound to one zone once had machines rented in all of them, again and again.
-void Core::rent_in_zone(const Market& market, const Resources& total, FleetSupply& supply) {
-  const MachineType* type = tables_.type(market.kind.type);
+void Controller::scale_out_in_zone(const InstancePool& pool, const Resources& total,
+                                   FleetSupply& supply) {
+  const MachineType* type = tables_.type(pool.kind.type);
   if (type == nullptr) return;
   const double needed = std::ceil(machines_for(total, type->size) - kMachineSlack);
-  double& coming = supply.coming_in_zone[market];
-  if (needed > coming && may_rent(market.kind, market.zone)) {
+  double& coming = supply.coming_in_zone[pool];
+  if (needed > coming && may_scale_out(pool.kind, pool.zone)) {
     const auto missing = static_cast<std::uint32_t>(needed - coming);
-    rent(market.kind, market.zone, missing);
-    supply.by_zone[market.kind][market.zone] += static_cast<int>(missing);
-    supply.coming[market.kind] += missing;
+    scale_out(pool.kind, pool.zone, missing);
+    supply.by_zone[pool.kind][pool.zone] += static_cast<int>(missing);
+    supply.coming[pool.kind] += missing;
     coming += missing;
   }
-  supply.coming[market.kind] -= std::min(needed, coming);
+  supply.coming[pool.kind] -= std::min(needed, coming);
 }
 
 // Rents what is missing, one by one in the zone that has the fewest, of those within reach if
 // possible.
-void Core::rent_missing(const MachineKind& kind, const Resources& total, FleetSupply& supply) {
+void Controller::scale_out_missing(const MachineKind& kind, const Resources& total,
+                                   FleetSupply& supply) {
   const MachineType* type = tables_.type(kind.type);
   if (type == nullptr) return;
   const double machines = machines_for(total, type->size);
@@ -342,7 +348,7 @@
   for (; missing > 0; --missing) {
     const std::string* zone = nullptr;
     for (const std::string& other : type->zones)
-      if (may_rent(kind, other) &&
+      if (may_scale_out(kind, other) &&
           (zone == nullptr || std::pair(zone_unreachable(other), have[other]) <
                                   std::pair(zone_unreachable(*zone), have[*zone])))
         zone = &other;
@@ -350,71 +356,73 @@
     ++have[*zone];
     ++split[*zone];
   }
-  for (const auto& [zone, count] : split) rent(kind, zone, count);
+  for (const auto& [zone, count] : split) scale_out(kind, zone, count);
 }
 
 // Records a rental; the cloud is asked once that is committed.
-void Core::rent(const MachineKind& kind, const std::string& zone, std::uint32_t count) {
+void Controller::scale_out(const MachineKind& kind, const std::string& zone, std::uint32_t count) {
   while (count > 0) {
-    const std::uint32_t n = std::min(count, kMaxRental);
+    const std::uint32_t n = std::min(count, kMaxScaleOut);
     count -= n;
-    OpenRental rental;
+    PendingScaleOut scale_out;
     // The epoch makes the name our own; no other node ever uses it.
-    const std::string name = "r-" + std::to_string(epoch_) + "-" + std::to_string(next_rental_++);
-    rental.request = {name, kind.type, zone, kind.spot, n};
-    rental.since = clock_.now;
+    const std::string name =
+        "r-" + std::to_string(epoch_) + "-" + std::to_string(next_scale_out_++);
+    scale_out.request = {name, kind.type, zone, kind.spot, n};
+    scale_out.since = clock_.now;
     // The rest is asked for once these have been answered.
-    if (rental_bytes() + rental_size(rental.request) > value_limit(kRentalFill)) return;
+    if (scale_out_bytes() + scale_out_size(scale_out.request) > value_limit(kScaleOutFill)) return;
     log(Log::Level::Info, "event=rent request=", name, " type=", kind.type, " zone=", zone,
         " spot=", kind.spot ? 1 : 0, " count=", n);
-    rentals_[name] = std::move(rental);
-    rentals_dirty_ = true;
+    scale_outs_[name] = std::move(scale_out);
+    scale_outs_changed_ = true;
   }
 }
 
-void Core::send_rentals() {
+void Controller::send_scale_outs() {
   const std::uint64_t term = term_;
-  for (auto& [name, rental] : rentals_) {
-    if (!rental.committed || rental.asking || clock_.now < rental.retry) continue;
+  for (auto& [name, scale_out] : scale_outs_) {
+    if (!scale_out.committed || scale_out.asking || clock_.now < scale_out.retry) continue;
     CloudRequest call;
-    call.kind = CloudRequest::Kind::Rent;
-    call.rental = rental.request;
-    rental.asking = call_cloud(
+    call.kind = CloudRequest::Kind::ScaleOut;
+    call.scale_out = scale_out.request;
+    scale_out.asking = call_cloud(
         call,
         [this, term, name = name](const CloudResponse& reply) {
-          if (term == term_) take_rental(name, reply);
+          if (term == term_) handle_scale_out_response(name, reply);
         },
         false);
-    if (!rental.asking) return;
+    if (!scale_out.asking) return;
   }
 }
 
-void Core::take_rental(const std::string& name, const CloudResponse& reply) {
-  const auto it = rentals_.find(name);
-  if (it == rentals_.end()) return;
-  OpenRental& open = it->second;
+void Controller::handle_scale_out_response(const std::string& name, const CloudResponse& reply) {
+  const auto it = scale_outs_.find(name);
+  if (it == scale_outs_.end()) return;
+  PendingScaleOut& open = it->second;
   open.asking = false;
-  const RentalRequest& request = open.request;
-  if (reply.status == 200) add_rented(request, reply.names);
+  const ScaleOutRequest& request = open.request;
+  if (reply.status == 200) add_launched(request, reply.names);
   const bool partly = reply.status == 200 && reply.names.size() < request.count;
   if (reply.no_capacity || partly) {
     log(Log::Level::Info, "event=no_capacity request=", name, " got=", reply.names.size(),
         " of=", request.count);
     no_capacity_until_[{{request.type, request.spot}, request.zone}] =
-        clock_.now + std::max<Time>(ms(settings_.market.list_lag_s), kLeastNoCapacity);
+        clock_.now + std::max<Time>(ms(settings_.cloud_limits.list_lag_s), kLeastNoCapacity);
   }
   if (reply.status == 200 || reply.status == 400 || reply.no_capacity) {
-    rentals_.erase(it);
-    rentals_dirty_ = true;
+    scale_outs_.erase(it);
+    scale_outs_changed_ = true;
   } else {
     // No answer: the same request again, since it may have been carried out.
-    open.retry = clock_.now + kRentalRetry;
+    open.retry = clock_.now + kScaleOutRetry;
   }
 }
 
-void Core::add_rented(const RentalRequest& request, const std::vector<std::string>& names) {
+void Controller::add_launched(const ScaleOutRequest& request,
+                              const std::vector<std::string>& names) {
   for (const std::string& name : names) {
-    if (released_.contains(name)) continue;
+    if (terminated_.contains(name)) continue;
     Machine& machine = tables_.add_machine(name, clock_.now);
     if (machine.heard_in_epoch) continue;
     machine.type = request.type;
@@ -424,69 +432,69 @@
   }
 }
 
-void Core::drain(Machine& m, const char* why) {
-  if (m.draining) return;
-  m.draining = true;
-  m.drain_cause = why;
+void Controller::cordon(Machine& m, const char* why) {
+  if (m.cordoned) return;
+  m.cordoned = true;
+  m.cordon_cause = why;
   log(Log::Level::Info, "event=drain machine=", m.name, " cause=\"", why, "\"");
   drop_unsent(m);
-  if (m.drain_cause == "faulty")
+  if (m.cordon_cause == "faulty")
     for (TaskAttempt& p : m.attempts)
       if (p.held && p.job != nullptr) stop_with_gang(p, grace_for(*p.job));
 }
 
-void Core::release(Machine& m, const char* why) {
-  if (m.releasing) return;
-  m.releasing = m.draining = true;
-  release_queue_.insert(m.name);
+void Controller::terminate_instance(Machine& m, const char* why) {
+  if (m.terminating) return;
+  m.terminating = m.cordoned = true;
+  termination_queue_.insert(m.name);
   log(Log::Level::Info, "event=release machine=", m.name, " cause=\"", why, "\"");
 }
 
-void Core::return_idle() {
+void Controller::scale_in_idle() {
   const Time now = clock_.now;
-  OrdinaryRoom ordinary = ordinary_room();
+  OnDemandCapacity on_demand = on_demand_capacity();
   for (auto& [name, ptr] : tables_.machines) {
     Machine& m = *ptr;
-    if (m.releasing) continue;
+    if (m.terminating) continue;
     const MachineType* t = tables_.type(m.type);
     if (t == nullptr) continue;
     if (!m.heard_in_epoch) {
       if (!m.recorded || !reconciling_)
-        if (now - m.rented > ms(t->boot_s * kDeadBoot) && now >= expiry(m))
-          release(m, "never came up");
+        if (now - m.launched > ms(t->boot_s * kDeadBoot) && now >= expiry(m))
+          terminate_instance(m, "never came up");
       continue;
     }
     if (!m.empty()) continue;
-    if (m.draining || m.retiring) {
-      release(m, m.retiring ? "retired" : m.drain_cause.c_str());
+    if (m.cordoned || m.draining) {
+      terminate_instance(m, m.draining ? "retired" : m.cordon_cause.c_str());
       continue;
     }
     if (reconciling_ || m.idle_since == 0 ||
         now - m.idle_since < ms(t->boot_s * options_.idle_ratio))
       continue;
     if (!m.spot) {
-      if (!spare(ordinary, m)) continue;
-      ordinary.size -= m.size;
+      if (!spare(on_demand, m)) continue;
+      on_demand.size -= m.size;
     }
-    release(m, "idle");
+    terminate_instance(m, "idle");
   }
-  retire(ordinary);
+  drain_surplus(on_demand);
 }
 
 // True if without the machine more than enough is left.
-bool Core::spare(const OrdinaryRoom& ordinary, const Machine& m) const {
-  const auto& [size, used] = ordinary;
+bool Controller::spare(const OnDemandCapacity& on_demand, const Machine& m) const {
+  const auto& [size, used] = on_demand;
   const double keep = 1 + kReturnHeadroom * options_.headroom_ratio;
   return size.gpus - m.size.gpus >= used.gpus * keep && size.cpus - m.size.cpus >= used.cpus * keep;
 }
 
 // The size of the ordinary machines that take work, and what work that needs them uses; what may be
 // stopped counts as free.
-Core::OrdinaryRoom Core::ordinary_room() const {
-  OrdinaryRoom room;
+Controller::OnDemandCapacity Controller::on_demand_capacity() const {
+  OnDemandCapacity room;
   for (const auto& [name, m] : tables_.machines) {
     if (!usable(*m) || m->spot) continue;
-    if (!m->retiring) room.size += m->size;
+    if (!m->draining) room.size += m->size;
     for (const TaskAttempt& p : m->attempts)
       if (p.held && (p.job == nullptr || !p.job->spec().spot)) room.used += p.need;
   }
@@ -495,22 +503,22 @@
 
 // When more is up than is needed, the machines whose replicas are fewest are emptied: replicas end
 // here and there, and no machine would empty by itself. Each goes where its image lies already.
-void Core::retire(OrdinaryRoom ordinary) {
+void Controller::drain_surplus(OnDemandCapacity on_demand) {
   // Demand that comes and goes within seconds once had one machine marked 17 times in a day, and
   // its replicas moved each time.
-  const bool wanted = ordinary_awaited_ || std::any_of(unmet_demand_.begin(), unmet_demand_.end(),
-                                                       [](auto& u) { return !u.want.spot; });
+  const bool wanted = on_demand_awaited_ || std::any_of(unmet_demand_.begin(), unmet_demand_.end(),
+                                                        [](auto& u) { return !u.want.spot; });
   if (wanted) {
-    retire_not_before_ = clock_.now + kRetireLeases * worker_lease();
+    drain_not_before_ = clock_.now + kRetireLeases * worker_lease();
     // Emptied while such work waits for it, a machine was rented again each time.
-    for (auto& [name, m] : tables_.machines) m->retiring = m->retiring && !usable(*m);
+    for (auto& [name, m] : tables_.machines) m->draining = m->draining && !usable(*m);
   }
-  if (reconciling_ || clock_.now < retire_not_before_) return;
-  std::size_t up = 0, retiring = 0;
+  if (reconciling_ || clock_.now < drain_not_before_) return;
+  std::size_t up = 0, draining = 0;
   for (const auto& [name, m] : tables_.machines) {
     if (m->spot || !usable(*m)) continue;
     ++up;
-    retiring += m->retiring ? 1 : 0;
+    draining += m->draining ? 1 : 0;
   }
   Reservations under_way;
   for (const auto& [task, move] : migrations_)
@@ -519,24 +527,24 @@
   image_holders_.clear();
   // As many at a time as the fleet's size allows: one for each look at the fleet was too slow for
   // hundreds, when demand fell.
-  for (Machine* m : machines_to_retire()) {
-    if (retiring > up / kRetiringShare) break;
-    if (!spare(ordinary, *m) || !empty_machine(*m, under_way, failed_migrations)) continue;
-    ordinary.size -= m->size;
-    ++retiring;
+  for (Machine* m : machines_to_drain()) {
+    if (draining > up / kRetiringShare) break;
+    if (!spare(on_demand, *m) || !drain_machine(*m, under_way, failed_migrations)) continue;
+    on_demand.size -= m->size;
+    ++draining;
   }
   image_holders_.clear();
 }
 
 // The machines that might be emptied, those first on which the fewest tasks have to end or go.
-std::vector<Machine*> Core::machines_to_retire() const {
+std::vector<Machine*> Controller::machines_to_drain() const {
   struct Candidate {
     std::size_t tasks;
     Machine* machine;
   };
   std::vector<Candidate> candidates;
   for (const auto& [name, m] : tables_.machines) {
-    if (m->spot || !usable(*m) || m->retiring || m->empty()) continue;
+    if (m->spot || !usable(*m) || m->draining || m->empty()) continue;
     Resources moved;
     std::size_t tasks = 0;
     bool possible = true;
@@ -563,8 +571,8 @@
 // promised there meanwhile is added to `under_way`, and what finds no place is noted
 // `failed_migrations`: a look at all machines for each replica of each machine grew with the square
 // of the fleet.
-bool Core::empty_machine(Machine& m, Reservations& under_way,
-                         std::vector<FailedMigration>& failed_migrations) {
+bool Controller::drain_machine(Machine& m, Reservations& under_way,
+                               std::vector<FailedMigration>& failed_migrations) {
   // What another machine's emptying has sent here stays.
   if (under_way.contains(&m)) return false;
   std::vector<PlannedMigration> plan;
@@ -587,34 +595,34 @@
     }
     plan.push_back({&p, to});
   }
-  m.retiring = true;
+  m.draining = true;
   log(Log::Level::Info, "event=retire machine=", m.name, " moves=", plan.size());
   for (const PlannedMigration& step : plan) {
     under_way[step.to] += step.attempt_record->need;
-    move(*step.attempt_record, m, *step.to);
+    migrate_replica(*step.attempt_record, m, *step.to);
   }
   return true;
 }
 
-void Core::send_releases() {
-  if (releasing_ || release_queue_.empty()) return;
+void Controller::send_terminations() {
+  if (terminating_ || termination_queue_.empty()) return;
   CloudRequest call;
-  call.kind = CloudRequest::Kind::Release;
-  for (const std::string& name : release_queue_) {
+  call.kind = CloudRequest::Kind::Terminate;
+  for (const std::string& name : termination_queue_) {
     if (call.names.size() >= kMaxRelease) break;
     call.names.push_back(name);
   }
   const std::uint64_t term = term_;
   const auto names = call.names;
-  releasing_ = call_cloud(
+  terminating_ = call_cloud(
       std::move(call),
       [this, term, names](const CloudResponse& r) {
         if (term != term_) return;
-        releasing_ = false;
+        terminating_ = false;
         if (r.status != 200) return;
         for (const std::string& name : names) {
-          release_queue_.erase(name);
-          released_[name] = clock_.now;
+          termination_queue_.erase(name);
+          terminated_[name] = clock_.now;
           // The machine and everything on it is gone: the strongest proof there is.
           if (Machine* m = tables_.machine(name)) machine_gone(*m, "returned");
         }
--- a/src/coordination/capacity_check.cpp
+++ b/src/controller/capacity_check.cpp
@@ -1,9 +1,9 @@
-#include "coordination/capacity_check.hpp"
+#include "controller/capacity_check.hpp"
 
 #include <algorithm>
 #include <limits>
 
-#include "coordination/resource_ratios.hpp"
+#include "controller/resource_ratios.hpp"
 #include "storage/checkpoint.hpp"
 
 namespace sailreel {
--- a/src/coordination/checkpoint_commits.cpp
+++ b/src/controller/checkpoint_commits.cpp
@@ -2,7 +2,7 @@
 #include <cmath>
 #include <utility>
 
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 #include "protocol/user_codec.hpp"
 
 namespace sailreel {
@@ -33,16 +33,18 @@
 constexpr double kImageHintReserve = 0.75;
 }  // namespace
 
-bool Core::commit_needed() const {
+bool Controller::commit_needed() const {
   return (!features_written_ && peers_.all_understand_gangs()) || !dirty_jobs_.empty() ||
-         !dirty_machine_shards_.empty() || rentals_dirty_ || !pending_responses_.empty() ||
+         !dirty_machine_shards_.empty() || scale_outs_changed_ || !pending_responses_.empty() ||
          !finished_tasks_.empty() || limits_.wants_commit();
 }
 
 // A user, a worker, or another region's work waits for what the next round brings.
-bool Core::someone_waits() const { return !pending_responses_.empty() || limits_.wants_commit(); }
+bool Controller::someone_waits() const {
+  return !pending_responses_.empty() || limits_.wants_commit();
+}
 
-void Core::commit_if_due() {
+void Controller::commit_if_due() {
   if (role_ != Role::Leader) return;
   if (commit_in_flight_) {
     if (clock_.now >= commit_retry_at_) {
@@ -63,35 +65,35 @@
   send_commit();
 }
 
-bool Core::image_hints_due() {
+bool Controller::image_hints_due() {
   return !stale_image_shards_.empty() && operations_allowed(kImageHintReserve) > 0;
 }
 
 // How many writes beside the head leave that share of the burst.
-std::size_t Core::operations_allowed(double reserve_share) {
+std::size_t Controller::operations_allowed(double reserve_share) {
   const double available = write_limiter_.available(clock_.now);
   return static_cast<std::size_t>(
       std::max(0.0, available - 1 - reserve_share * write_limiter_.burst()));
 }
 
-std::string Core::record_text(Job& job, std::uint64_t seq) {
+std::string Controller::record_text(Job& job, std::uint64_t seq) {
   job.record.seq = seq;
   return encode_record(job.record);
 }
 
 // The limits of the settings; halved for each round that the state service refused all the same.
-std::size_t Core::value_limit(double fill) const {
+std::size_t Controller::value_limit(double fill) const {
   const double refused = std::exp2(static_cast<double>(rejected_commits_));
   return static_cast<std::size_t>(std::max(kLeastValueKb, settings_.store.value_kb / refused) *
                                   1024 * fill);
 }
 
-std::size_t Core::operations_limit() const {
+std::size_t Controller::operations_limit() const {
   return std::max<std::size_t>(1 + kLeastOperations, settings_.store.txn_ops >> rejected_commits_);
 }
 
 // Puts the next round together and sends it.
-void Core::send_commit() {
+void Controller::send_commit() {
   commit_ = CheckpointCommit{};
   commit_.recent_records = recent_records_;
   if (manifest_bytes_of(recent_records_) > value_limit(kValueFill)) return send_flush();
@@ -103,7 +105,7 @@
   CompareAndSwapBuilder transaction(std::min(most, allowed), kConditionBytes + value_limit(1));
 
   Manifest manifest{commit_.seq, epoch_, {}};
-  std::size_t manifest_bytes = add_rentals(manifest);
+  std::size_t manifest_bytes = add_scale_outs(manifest);
   add_features(transaction);
   add_shares(transaction);
   // Where a transaction takes few changes, lists of machines leave some to a head that fills up.
@@ -145,7 +147,7 @@
 }
 
 // What a round writes, by the kind of key.
-void Core::log_commit() {
+void Controller::log_commit() {
   std::size_t jobs = 0, machines = 0, other = 0;
   for (const KvRequest::Put& put : commit_.call.puts) {
     if (put.key.starts_with(kShardPrefix))
@@ -162,28 +164,29 @@
 }
 
 // What a head with these records, and the open rentals, takes.
-std::size_t Core::manifest_bytes_of(
+std::size_t Controller::manifest_bytes_of(
     const std::map<std::string, std::string>& recent_records) const {
-  std::size_t bytes = rental_bytes();
+  std::size_t bytes = scale_out_bytes();
   for (const auto& [id, text] : recent_records) bytes += text.size() + 1;
   return bytes;
 }
 
-std::size_t Core::rental_bytes() const {
+std::size_t Controller::scale_out_bytes() const {
   std::size_t bytes = kPunctuationBytes;
-  for (const auto& [request, rental] : rentals_) bytes += rental_size(rental.request);
+  for (const auto& [request, scale_out] : scale_outs_) bytes += scale_out_size(scale_out.request);
   return bytes;
 }
 
-std::size_t Core::rental_size(const RentalRequest& rental) {
-  return kPunctuationBytes + rental.request.size() + rental.type.size() + rental.zone.size();
+std::size_t Controller::scale_out_size(const ScaleOutRequest& scale_out) {
+  return kPunctuationBytes + scale_out.request.size() + scale_out.type.size() +
+         scale_out.zone.size();
 }
 
 // A head of a time with higher limits is too large to be written again with one change: first its
 // records are copied to shards, a few in each round, while the head stays as it is. Each shard is
 // written once, and always with the same records: so a copy of such a transaction that is carried
 // out late changes nothing, although no key that it is conditional on has changed meanwhile.
-void Core::send_flush() {
+void Controller::send_flush() {
   commit_.flush = true;
   commit_.seq = manifest_seq_;
   CompareAndSwapBuilder transaction(operations_limit(), kConditionBytes);
@@ -196,23 +199,23 @@
 }
 
 // The open rentals lie in the head; what they take isn't there for jobs. Returns their size.
-std::size_t Core::add_rentals(Manifest& manifest) {
-  for (const auto& [request, rental] : rentals_) {
-    manifest.rentals.push_back(rental.request);
-    commit_.rentals.push_back(request);
+std::size_t Controller::add_scale_outs(Manifest& manifest) {
+  for (const auto& [request, scale_out] : scale_outs_) {
+    manifest.scale_outs.push_back(scale_out.request);
+    commit_.scale_outs.push_back(request);
   }
-  rentals_dirty_ = false;
-  return rental_bytes();
+  scale_outs_changed_ = false;
+  return scale_out_bytes();
 }
 
 // Once every controller understands gangs, that is written down: a later leader need not hear all
 // of them again.
-void Core::add_features(CompareAndSwapBuilder& transaction) {
+void Controller::add_features(CompareAndSwapBuilder& transaction) {
   if (features_written_ || !peers_.all_understand_gangs()) return;
   commit_.features = transaction.put(kFeaturesKey, encode_features({.gangs = true}));
 }
 
-void Core::add_machine_shards(CompareAndSwapBuilder& transaction) {
+void Controller::add_machine_shards(CompareAndSwapBuilder& transaction) {
   const std::size_t hints = operations_allowed(kImageHintReserve);
   if (dirty_machine_shards_.empty() &&
       (stale_image_shards_.empty() || transaction.operations() > hints))
@@ -229,7 +232,7 @@
 
 // The machines of the shard alone are looked at. A look at all machines for each shard grew with
 // the square of a fleet that boots: at some 5,000 machines the leader lost its lease.
-bool Core::add_machine_shard(CompareAndSwapBuilder& transaction, std::size_t shard) {
+bool Controller::add_machine_shard(CompareAndSwapBuilder& transaction, std::size_t shard) {
   std::vector<MachineRecord> list;
   std::vector<std::string> names;
   for (const Machine* m : tables_.machines_of_shard(shard)) {
@@ -250,8 +253,8 @@
 
 // Adds the changed pieces of the jobs' bitmaps. Returns the jobs whose record may be written in
 // this round: those of which no piece is left.
-std::map<std::string, Job*> Core::add_bitmaps(CompareAndSwapBuilder& transaction,
-                                              std::vector<Job*>& postponed) {
+std::map<std::string, Job*> Controller::add_bitmaps(CompareAndSwapBuilder& transaction,
+                                                    std::vector<Job*>& postponed) {
   std::map<std::string, Job*> whole;
   for (Job* job : dirty_jobs_)
     if (add_bitmap(transaction, *job))
@@ -264,12 +267,12 @@
 // Whether pieces of the larger kind may be too large to be written. As long as a controller of an
 // older version may lead, which reads only these, they are written all the same, unless that was
 // refused before.
-bool Core::small_pieces() const {
+bool Controller::small_pieces() const {
   return value_limit(1) < encode_piece(std::string(kPieceBits / kBitsPerDigit, '0')).size() &&
          (gangs_enabled_ || rejected_commits_ > 0);
 }
 
-bool Core::add_bitmap(CompareAndSwapBuilder& transaction, Job& job) {
+bool Controller::add_bitmap(CompareAndSwapBuilder& transaction, Job& job) {
   if (job.record.final) return erase_bitmap(transaction, job);
   const bool small = small_pieces();
   const std::size_t bits = small ? kSmallPieceBits : kPieceBits;
@@ -288,7 +291,7 @@
 }
 
 // A finished job's pieces are deleted, as far as there are any. `dirty_pieces` says which are left.
-bool Core::erase_bitmap(CompareAndSwapBuilder& transaction, Job& job) {
+bool Controller::erase_bitmap(CompareAndSwapBuilder& transaction, Job& job) {
   const std::string& id = job.spec().id;
   constexpr std::size_t kSmallPerPiece = kPieceBits / kSmallPieceBits;
   while (!job.dirty_pieces.empty()) {
@@ -305,7 +308,8 @@
 
 // Moves `wanted` bytes of the head, or as much as the transaction takes, to their shards, together
 // with what lies there already. Returns how many bytes of the head that frees.
-std::size_t Core::flush_recent_records(CompareAndSwapBuilder& transaction, std::size_t wanted) {
+std::size_t Controller::flush_recent_records(CompareAndSwapBuilder& transaction,
+                                             std::size_t wanted) {
   std::map<std::size_t, std::vector<std::string>> by_shard;
   for (const auto& [id, text] : commit_.recent_records)
     by_shard[shards_.place(id, reserve_for(id, text))].push_back(id);
@@ -328,7 +332,7 @@
 }
 
 // Writes a shard with all its jobs; false if it doesn't fit.
-bool Core::put_shard(CompareAndSwapBuilder& transaction, std::size_t shard) {
+bool Controller::put_shard(CompareAndSwapBuilder& transaction, std::size_t shard) {
   std::vector<std::string> records;
   std::size_t bytes = kPunctuationBytes;
   const std::set<std::string> jobs_in_shard = shards_.jobs_in(shard);
@@ -347,13 +351,13 @@
   return transaction.put(shard_key(shard), encode_shard(records));
 }
 
-std::size_t Core::reserve_for(const std::string& id, const std::string& text) {
+std::size_t Controller::reserve_for(const std::string& id, const std::string& text) {
   const Job* job = tables_.job(id);
   return record_reserve(job == nullptr || job->record.final, text.size());
 }
 
 // A job's record for its shard; empty if there is none yet.
-std::string Core::text_for_shard(const std::string& id) {
+std::string Controller::text_for_shard(const std::string& id) {
   if (const auto t = commit_.recent_records.find(id); t != commit_.recent_records.end())
     return t->second;
   // As the checkpoint has it. Encoded from memory, a change that waits for a later round would be
@@ -371,8 +375,8 @@
 }
 
 // A burst larger than one round: the rest of it waits for the next.
-void Core::postpone_excess(std::map<std::string, Job*>& changed, std::vector<Job*>& postponed,
-                           std::size_t manifest_bytes) {
+void Controller::postpone_excess(std::map<std::string, Job*>& changed, std::vector<Job*>& postponed,
+                                 std::size_t manifest_bytes) {
   for (auto it = changed.begin();
        it != changed.end() && manifest_bytes > value_limit(kValueFill);) {
     const auto t = commit_.recent_records.find(it->first);
@@ -393,7 +397,7 @@
 }
 
 // Users and workers who wait for a job of this round are answered with it, the others later.
-void Core::move_pending_responses_to_commit() {
+void Controller::move_pending_responses_to_commit() {
   std::set<std::string> postponed;
   for (const Job* job : dirty_jobs_) postponed.insert(job->spec().id);
   std::vector<PendingResponse> pending_responses = std::exchange(pending_responses_, {});
@@ -409,7 +413,7 @@
 // Sends the open round's transaction, again if need be. Without an answer it may have been carried
 // out, or may be later; but as it is conditional on the head, it can be so only once, and nothing
 // else is written until its fate is known.
-void Core::resolve_uncertain_commit() {
+void Controller::resolve_uncertain_commit() {
   if (!holds_valid_lease(clock_.now)) {
     commit_retry_at_ = clock_.now + 50;
     return;
@@ -427,7 +431,7 @@
 
 // Too large, although it is within the limits as we know them. Whether an earlier copy of it was
 // carried out isn't known; whoever leads next reads that, and writes smaller rounds.
-void Core::commit_rejected() {
+void Controller::commit_rejected() {
   std::size_t largest = 0;
   std::string key;
   for (const KvRequest::Put& put : commit_.call.puts) {
@@ -444,7 +448,7 @@
   step_down("the state service refuses a round");
 }
 
-void Core::handle_commit_response(const KvResponse& reply) {
+void Controller::handle_commit_response(const KvResponse& reply) {
   if (reply.status == 200) return commit_succeeded(reply.revision);
   if (reply.status == 400) return commit_rejected();
   if (reply.status != 409) {
@@ -485,7 +489,7 @@
       true);
 }
 
-void Core::commit_succeeded(std::uint64_t revision) {
+void Controller::commit_succeeded(std::uint64_t revision) {
   CheckpointCommit r = std::move(commit_);
   commit_ = CheckpointCommit{};
   commit_in_flight_ = false;
@@ -506,8 +510,9 @@
       m->recorded = true;
       m->record_dirty = false;
     }
-  for (const std::string& request : r.rentals)
-    if (const auto it = rentals_.find(request); it != rentals_.end()) it->second.committed = true;
+  for (const std::string& request : r.scale_outs)
+    if (const auto it = scale_outs_.find(request); it != scale_outs_.end())
+      it->second.committed = true;
   for (const FinishedTask& f : r.finished_tasks)
     // Now that it is written that the task is finished, its worker may forget it.
     if (Machine* m = tables_.machine(f.machine))
@@ -537,18 +542,18 @@
   for (Job* job : over) finish_job(*job);
 }
 
-bool Core::too_many_waiting() const {
+bool Controller::too_many_waiting() const {
   return pending_responses_.size() + commit_.pending_responses.size() > most_open_requests();
 }
 
 // Each user or worker that waits for an answer has a socket at one of the controllers.
-std::size_t Core::most_open_requests() const {
+std::size_t Controller::most_open_requests() const {
   return settings_.limits.sockets * (1 + peers_.size());
 }
 
 // To be answered once what is known of the job is in the checkpoint: with the round in flight, if
 // that has it.
-void Core::respond_after_commit(const Job& job, const RequestSource& source, int status) {
+void Controller::respond_after_commit(const Job& job, const RequestSource& source, int status) {
   if (commit_.retries > 0) return reject(source, "the state service does not answer");
   if (too_many_waiting()) return reject(source, "too many requests at once");
   // The round in flight may have been sent before the last change: a cancellation was once answered
@@ -560,13 +565,13 @@
 
 // While a round is in flight, or its answer was lost, another node may have read what it wrote and
 // told a user so. What it changes is answered once its fate is known, and not in the old form.
-void Core::respond_committed(const RequestSource& source, int status, const Job& job) {
+void Controller::respond_committed(const RequestSource& source, int status, const Job& job) {
   if (!job.committed || job.in_doubt()) return respond_after_commit(job, source, status);
   respond_with_job(source, status, view(job));
 }
 
 // Marks a job that is over for its last record, once none of its tasks can be on a machine.
-void Core::finalize_if_over(Job& job) {
+void Controller::finalize_if_over(Job& job) {
   if (job.active() || job.record.final || job.placed > 0 || job.unknown > 0) return;
   if (!job.orphans.empty()) return;
   job.record.final = true;
@@ -576,13 +581,13 @@
     for (std::size_t i = 0; i * kSmallPieceBits < job.spec().tasks; ++i) job.dirty_pieces.insert(i);
 }
 
-void Core::touch(Job& job) {
+void Controller::touch(Job& job) {
   if (!job.dirty) dirty_jobs_.push_back(&job);
   job.dirty = true;
 }
 
 // The job's last record is written: only its final state is kept.
-void Core::finish_job(Job& job) {
+void Controller::finish_job(Job& job) {
   const std::string id = job.spec().id;
   log(Log::Level::Info, "event=", job.record.phase == Phase::Done ? "job_done" : "job_cancelled",
       " job=", id);
--- a/src/coordination/core.cpp
+++ b/src/controller/controller.cpp
@@ -1,4 +1,4 @@
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 
 #include "protocol/user_codec.hpp"
 #include "protocol/worker_codec.hpp"
@@ -16,7 +16,7 @@
 constexpr Time kLateTickShare = 10;
 }  // namespace
 
-Core::Core(Settings settings, Options options, std::uint64_t seed)
+Controller::Controller(Settings settings, Options options, std::uint64_t seed)
     : settings_(std::move(settings)),
       options_(std::move(options)),
       random_(seed),
@@ -27,7 +27,7 @@
                   settings_.store.rps * options_.state_share),
       write_limiter_(settings_.store.write_rps * options_.write_share,
                      settings_.store.write_rps * options_.write_share),
-      cloud_limiter_(settings_.market.rps * 0.8, settings_.market.rps * 1.2),
+      cloud_limiter_(settings_.cloud_limits.rps * 0.8, settings_.cloud_limits.rps * 1.2),
       election_history_(worker_lease()),
       incarnation_((std::uint64_t{random_()} << 32) | random_() | 1),
       peers_(settings_.peers.size(), incarnation_, worker_lease(), keep_alive_span()),
@@ -35,7 +35,7 @@
   nonce_ = (std::uint64_t{random_()} << 20) ^ random_();
 }
 
-std::vector<Action> Core::step(Clock clock, Input input) {
+std::vector<Action> Controller::step(Clock clock, Input input) {
   // A clock that stood still or went back would stretch leases; it never runs backwards here.
   clock_.now = std::max(clock_.now, clock.now);
   clock_.wall_ms = clock.wall_ms;
@@ -75,7 +75,7 @@
   return std::move(out_);
 }
 
-void Core::tick() {
+void Controller::tick() {
   watch_event_loop_lag();
   election_tick();
   intake_tick();
@@ -87,7 +87,7 @@
       share_tick();
       review_gangs();
       if (scheduling_needed_ && clock_.now >= next_scheduling_) schedule_all();
-      fleet_tick();
+      autoscale_tick();
       migration_tick();
     }
   }
@@ -98,14 +98,14 @@
 
 // Says so, once for each worker's lease, if most ticks come late: the processor can't carry what
 // the settings describe.
-void Core::watch_event_loop_lag() {
+void Controller::watch_event_loop_lag() {
   const auto late = event_loop_lag_.fired(clock_.now);
   if (!late) return;
   log(Log::Level::Warning, "event=processor_limit limit=cpu late_ms=", late->mean,
       " most_ms=", late->most);
 }
 
-bool Core::healthy(Time now) const {
+bool Controller::healthy(Time now) const {
   // Short gaps, such as a take-over, aren't worth being taken off the balancer's list for.
   if (now - last_path_ < worker_lease() / 2) return true;
   // Where the others are no better off, as in an outage of the state service, being taken off the
@@ -118,17 +118,17 @@
   return heard;
 }
 
-void Core::respond(const RequestSource& source, int status, std::string body, int retry_after_s,
-                   Time valid_until) {
+void Controller::respond(const RequestSource& source, int status, std::string body,
+                         int retry_after_s, Time valid_until) {
   if (source.kind == RequestSource::Kind::None) return;
   out_.push_back(Response{source, status, std::move(body), retry_after_s, valid_until});
 }
 
-void Core::reject(const RequestSource& source, const char* why) {
+void Controller::reject(const RequestSource& source, const char* why) {
   respond(source, 503, encode_error(why), 1);
 }
 
-bool Core::call_kv_store(KvRequest request, KvContinuation then, bool urgent) {
+bool Controller::call_kv_store(KvRequest request, KvContinuation then, bool urgent) {
   // Renewals and elections come first: they may overdraw the budget, others have to wait.
   if (!urgent && !kv_limiter_.allows(1 + settings_.store.rps / 20, clock_.now)) return false;
   kv_limiter_.spend(1, clock_.now);
@@ -141,7 +141,7 @@
   return true;
 }
 
-bool Core::call_cloud(CloudRequest request, CloudContinuation then, bool keep_reserve) {
+bool Controller::call_cloud(CloudRequest request, CloudContinuation then, bool keep_reserve) {
   if (!cloud_limiter_.allows(keep_reserve ? 2 : 1, clock_.now)) return false;
   cloud_limiter_.spend(1, clock_.now);
   const std::uint64_t call = next_call_++;
@@ -150,14 +150,15 @@
   return true;
 }
 
-void Core::call_worker(const std::string& address, std::string body, WorkerContinuation then) {
+void Controller::call_worker(const std::string& address, std::string body,
+                             WorkerContinuation then) {
   const std::uint64_t call = next_call_++;
   worker_calls_.emplace(call, std::move(then));
   out_.push_back(CallWorker{call, address, std::move(body),
                             std::max<Time>(worker_lease() / 14, 500), command_until()});
 }
 
-bool Core::calls_full() const {
+bool Controller::calls_full() const {
   return worker_calls_.size() >= settings_.limits.sockets / kCallShare;
 }
 
--- a/src/coordination/core.hpp
+++ b/src/controller/controller.hpp
@@ -15,14 +15,14 @@
 #include <variant>
 #include <vector>
 
-#include "coordination/actions.hpp"
-#include "coordination/election_history.hpp"
-#include "coordination/event_loop_lag.hpp"
-#include "coordination/gang.hpp"
-#include "coordination/machine_ranking.hpp"
-#include "coordination/peer_table.hpp"
-#include "coordination/rate_limiter.hpp"
-#include "coordination/regional_quotas.hpp"
+#include "controller/actions.hpp"
+#include "controller/election_history.hpp"
+#include "controller/event_loop_lag.hpp"
+#include "controller/gang.hpp"
+#include "controller/machine_ranking.hpp"
+#include "controller/peer_table.hpp"
+#include "controller/rate_limiter.hpp"
+#include "controller/regional_quotas.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/peer_frames.hpp"
 #include "protocol/settings.hpp"
@@ -34,9 +34,9 @@
 
 namespace sailreel {
 
-class Core {
+class Controller {
  public:
-  Core(Settings settings, Options options, std::uint64_t seed);
+  Controller(Settings settings, Options options, std::uint64_t seed);
 
   std::vector<Action> step(Clock clock, Input input);
 
@@ -146,10 +146,10 @@
   [[nodiscard]] std::size_t operations_limit() const;
   [[nodiscard]] std::size_t manifest_bytes_of(
       const std::map<std::string, std::string>& recent_records) const;
-  [[nodiscard]] std::size_t rental_bytes() const;
-  [[nodiscard]] static std::size_t rental_size(const RentalRequest& rental);
+  [[nodiscard]] std::size_t scale_out_bytes() const;
+  [[nodiscard]] static std::size_t scale_out_size(const ScaleOutRequest& scale_out);
   void add_features(CompareAndSwapBuilder& transaction);
-  std::size_t add_rentals(Manifest& manifest);
+  std::size_t add_scale_outs(Manifest& manifest);
   void add_machine_shards(CompareAndSwapBuilder& transaction);
   bool add_machine_shard(CompareAndSwapBuilder& transaction, std::size_t shard);
   std::map<std::string, Job*> add_bitmaps(CompareAndSwapBuilder& transaction,
@@ -179,7 +179,7 @@
   void begin_reconciliation();
   void note_unreadable(const Snapshot& image);
   void load_shards(const Snapshot& image);
-  void load_rentals(const Snapshot& image);
+  void load_scale_outs(const Snapshot& image);
   void load_jobs(Snapshot& image);
   void load_job(JobRecord record);
   void load_machines(const Snapshot& image);
@@ -307,7 +307,7 @@
   void unplace(Job& job);
   void record_unmet_demand(const Job& job, const TeamQuota& team, std::uint32_t tasks,
                            const std::string& zone);
-  [[nodiscard]] bool late_if_cold(const Job& job, const Machine& m, const char* aim) const;
+  [[nodiscard]] bool late_if_cold(const Job& job, const Machine& m, const char* slo) const;
   std::uint64_t attempt_number();
   /// How good a choice a machine is, less being better; by importance of what it compares.
   using BinPackingScore = std::array<double, 6>;
@@ -346,7 +346,7 @@
   Machine* migration_target(const Job& job, std::uint32_t index);
   [[nodiscard]] bool usable(const Machine& m) const;
   /// Usable, and not being emptied.
-  [[nodiscard]] bool open(const Machine& m) const { return usable(m) && !m.retiring; }
+  [[nodiscard]] bool open(const Machine& m) const { return usable(m) && !m.draining; }
   using Reservations = std::unordered_map<const Machine*, Resources>;
   /// What a machine has free beside what is promised there.
   [[nodiscard]] static Resources room_beside(const Reservations& promised, const Machine& m);
@@ -381,7 +381,7 @@
   bool hold_machines(const Job& job, std::uint32_t missing, const std::string& zone);
   /// A machine that takes this many times its type's boot time isn't waited for any more.
   static constexpr double kLateBoot = 1.3;
-  [[nodiscard]] std::string zone_to_rent_in(const Job& job, const std::string& best) const;
+  [[nodiscard]] std::string zone_to_scale_out_in(const Job& job, const std::string& best) const;
   /// Stops a task and, if it is one of a gang, all the others of it.
   void stop_with_gang(TaskAttempt& p, double grace_s);
   void stop_gang(Job& job, double grace_s);
@@ -416,13 +416,13 @@
   [[nodiscard]] double grace_for(const Job& job) const;
 
   // fleet_sizing.cpp
-  void fleet_tick();
+  void autoscale_tick();
   void poll_cloud();
   void ask_for_list();
-  void take_types(const CloudResponse& reply);
+  void handle_types(const CloudResponse& reply);
   void check_capacity();
-  void take_list(const CloudResponse& reply);
-  void size_fleet();
+  void handle_machine_list(const CloudResponse& reply);
+  void autoscale();
   /// A kind of machine: its type, cheap (spot) or ordinary.
   struct MachineKind {
     std::string type;
@@ -431,58 +431,58 @@
     auto operator<=>(const MachineKind&) const = default;
   };
   /// Where machines of a kind are rented.
-  struct Market {
+  struct InstancePool {
     MachineKind kind;
     std::string zone;
     // NOLINTNEXTLINE(modernize-use-nullptr): as above
-    auto operator<=>(const Market&) const = default;
+    auto operator<=>(const InstancePool&) const = default;
   };
   struct FleetSupply {
     std::map<MachineKind, double> coming;
-    std::map<Market, double> coming_in_zone;
+    std::map<InstancePool, double> coming_in_zone;
     std::map<MachineKind, std::map<std::string, int>> by_zone;
   };
   /// Room that is to be rented: in any zone, and for work that needs it in a certain one.
   struct Demand {
     std::map<MachineKind, Resources> anywhere;
-    std::map<Market, Resources> in_zone;
+    std::map<InstancePool, Resources> in_zone;
   };
   /// The size of the ordinary machines that take work, and what work that needs them uses.
-  struct OrdinaryRoom {
+  struct OnDemandCapacity {
     Resources size, used;
   };
   [[nodiscard]] FleetSupply count_supply() const;
-  [[nodiscard]] bool may_rent(const MachineKind& kind, const std::string& zone) const;
+  [[nodiscard]] bool may_scale_out(const MachineKind& kind, const std::string& zone) const;
   [[nodiscard]] const MachineType* cheapest_type(const ResourceRequest& want, bool spot) const;
   [[nodiscard]] Resources room_freed_by_arrays() const;
-  [[nodiscard]] Resources ordinary_allowance(const OrdinaryRoom& ordinary,
-                                             const FleetSupply& supply) const;
-  Demand demand_of_waiting(const OrdinaryRoom& ordinary, const FleetSupply& supply);
+  [[nodiscard]] Resources on_demand_allowance(const OnDemandCapacity& on_demand,
+                                              const FleetSupply& supply) const;
+  Demand demand_of_waiting(const OnDemandCapacity& on_demand, const FleetSupply& supply);
   static void serve_from(Resources& freed, UnmetDemand& unmet);
   void limit_to_allowance(const MachineType& type, Resources& allowance, UnmetDemand& unmet);
-  void add_headroom(const OrdinaryRoom& ordinary, Demand& demand) const;
-  void rent_in_zone(const Market& market, const Resources& total, FleetSupply& supply);
-  void rent_missing(const MachineKind& kind, const Resources& total, FleetSupply& supply);
-  void rent(const MachineKind& kind, const std::string& zone, std::uint32_t count);
-  void send_rentals();
-  void take_rental(const std::string& name, const CloudResponse& reply);
-  void add_rented(const RentalRequest& request, const std::vector<std::string>& names);
-  void return_idle();
-  [[nodiscard]] OrdinaryRoom ordinary_room() const;
-  void retire(OrdinaryRoom ordinary);
-  [[nodiscard]] std::vector<Machine*> machines_to_retire() const;
-  bool empty_machine(Machine& m, Reservations& under_way,
+  void add_headroom(const OnDemandCapacity& on_demand, Demand& demand) const;
+  void scale_out_in_zone(const InstancePool& pool, const Resources& total, FleetSupply& supply);
+  void scale_out_missing(const MachineKind& kind, const Resources& total, FleetSupply& supply);
+  void scale_out(const MachineKind& kind, const std::string& zone, std::uint32_t count);
+  void send_scale_outs();
+  void handle_scale_out_response(const std::string& name, const CloudResponse& reply);
+  void add_launched(const ScaleOutRequest& request, const std::vector<std::string>& names);
+  void scale_in_idle();
+  [[nodiscard]] OnDemandCapacity on_demand_capacity() const;
+  void drain_surplus(OnDemandCapacity on_demand);
+  [[nodiscard]] std::vector<Machine*> machines_to_drain() const;
+  bool drain_machine(Machine& m, Reservations& under_way,
                      std::vector<FailedMigration>& failed_migrations);
-  [[nodiscard]] bool spare(const OrdinaryRoom& ordinary, const Machine& m) const;
+  [[nodiscard]] bool spare(const OnDemandCapacity& on_demand, const Machine& m) const;
   /// Machines by an image that they hold, in the order of their names.
   using ImageHolders = std::unordered_map<std::string, std::vector<Machine*>>;
   const ImageHolders& image_holders();
   [[nodiscard]] Machine* warm_room(const TaskAttempt& p, const Machine& from,
                                    const Reservations& promised,
                                    const std::vector<PlannedMigration>& plan);
-  void send_releases();
-  void release(Machine& m, const char* why);
-  void drain(Machine& m, const char* why);
+  void send_terminations();
+  void terminate_instance(Machine& m, const char* why);
+  void cordon(Machine& m, const char* why);
 
   const Settings settings_;
   const Options options_;
@@ -574,7 +574,7 @@
   /// Shards in which only the images that machines hold differ: a hint for a later leader, written
   /// from what the limit on writes leaves over.
   std::set<std::size_t> stale_image_shards_;
-  bool rentals_dirty_ = false;
+  bool scale_outs_changed_ = false;
   JobShards shards_;
   struct FinishedTask {
     std::string job;
@@ -593,7 +593,7 @@
     };
     std::vector<Change> jobs;
     std::vector<PendingResponse> pending_responses;
-    std::vector<std::string> machines_added, rentals;
+    std::vector<std::string> machines_added, scale_outs;
     std::vector<FinishedTask> finished_tasks;
     bool flush = false;     // copies records of the head to shards, and nothing else
     bool shares = false;    // has writes of the shares
@@ -616,17 +616,17 @@
   bool unknown_jobs_ = false, unknown_machines_ = false;
 
   // machines
-  struct OpenRental {
-    RentalRequest request;
+  struct PendingScaleOut {
+    ScaleOutRequest request;
     bool committed = false, asking = false;
     Time retry = 0, since = 0;
   };
-  std::map<std::string, OpenRental> rentals_;
-  std::uint64_t next_rental_ = 1;
-  std::map<Market, Time> no_capacity_until_;
-  std::set<std::string> release_queue_;
-  std::map<std::string, Time> released_;
-  bool releasing_ = false;
+  std::map<std::string, PendingScaleOut> scale_outs_;
+  std::uint64_t next_scale_out_ = 1;
+  std::map<InstancePool, Time> no_capacity_until_;
+  std::set<std::string> termination_queue_;
+  std::map<std::string, Time> terminated_;
+  bool terminating_ = false;
   Time next_types_ = 0, next_list_ = 0, next_sizing_ = 0;
   bool listing_ = false, capacity_checked_ = false;
   std::string listed_up_to_;  // by the list that is being read; empty: none is
@@ -645,8 +645,8 @@
   std::vector<UnmetDemand> unmet_demand_;  // by kind, in the order of their first jobs
   std::unordered_map<const TeamQuota*, Resources> unmet_of_team_;
   /// Work beyond any guarantee waits, and may have the ordinary machines that are up.
-  bool ordinary_awaited_ = false;
-  Time retire_not_before_ = 0;
+  bool on_demand_awaited_ = false;
+  Time drain_not_before_ = 0;
   int fetch_votes_ = 0;  // above 0: images fetched at the same time share the rate
   /// Replicas on their way to another machine, and the room that is kept for them there.
   struct Migration {
@@ -677,7 +677,7 @@
 };
 
 template <typename... Parts>
-void Core::log(Log::Level level, const Parts&... parts) {
+void Controller::log(Log::Level level, const Parts&... parts) {
   std::string text = "epoch=" + std::to_string(epoch_);
   const auto add = [&](const auto& part) {
     if constexpr (std::is_arithmetic_v<std::decay_t<decltype(part)>>)
--- a/src/coordination/election.cpp
+++ b/src/controller/election.cpp
@@ -1,5 +1,5 @@
 // Who leads: a lease in the state service, numbered by epoch.
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 
 namespace sailreel {
 namespace {
@@ -12,7 +12,7 @@
 constexpr Time kLongestLeaseShare = 2;
 }  // namespace
 
-void Core::election_tick() {
+void Controller::election_tick() {
   const Time now = clock_.now;
   if (now >= next_heartbeat_) send_heartbeats();
   if (role_ == Role::Leader || role_ == Role::Loading) {
@@ -31,7 +31,7 @@
 }
 
 // Reads who leads, then waits for a change of that.
-void Core::watch_leader() {
+void Controller::watch_leader() {
   watching_ = true;
   KvRequest get;
   get.kind = KvRequest::Kind::List;
@@ -70,7 +70,7 @@
       true);
 }
 
-void Core::learn_leader(const KvItem* item) {
+void Controller::learn_leader(const KvItem* item) {
   if (item == nullptr) {
     leader_name_.clear();
     if (campaign_at_ == kNever) {
@@ -91,7 +91,7 @@
   }
 }
 
-void Core::campaign() {
+void Controller::campaign() {
   campaign_at_ = kNever;
   role_ = Role::Candidate;
   const std::uint64_t term = ++term_;
@@ -135,7 +135,7 @@
 }
 
 // One transaction takes the lease's key and raises the epoch.
-void Core::claim(std::uint64_t lease, Time granted) {
+void Controller::claim(std::uint64_t lease, Time granted) {
   const std::uint64_t term = term_;
   const std::uint64_t epoch = epoch_ + 1;
   const std::string value = encode_leader({settings_.name, epoch, nonce_});
@@ -174,7 +174,7 @@
 }
 
 // Reads the whole checkpoint. Nobody else can change it any more: the epoch is ours.
-void Core::load(const std::string& from, std::uint64_t revision) {
+void Controller::load(const std::string& from, std::uint64_t revision) {
   const std::uint64_t term = term_;
   KvRequest list;
   list.kind = KvRequest::Kind::List;
@@ -197,7 +197,7 @@
 
 // A renewal doesn't wait for the answer to the one before: that may be lost, and is given up only
 // after a tenth of a worker's lease.
-void Core::renew() {
+void Controller::renew() {
   const std::uint64_t term = term_;
   const Time sent = clock_.now;
   const Time ttl = lease_length_;
@@ -226,7 +226,7 @@
       true);
 }
 
-void Core::step_down(const char* why) {
+void Controller::step_down(const char* why) {
   log(Log::Level::Info, "event=stepped_down role=", static_cast<int>(role_), " cause=\"", why,
       "\"");
   ++term_;
@@ -257,10 +257,10 @@
   dirty_jobs_.clear();
   dirty_machine_shards_.clear();
   stale_image_shards_.clear();
-  rentals_dirty_ = false;
+  scale_outs_changed_ = false;
   shards_.clear();
-  rentals_.clear();
-  release_queue_.clear();
+  scale_outs_.clear();
+  termination_queue_.clear();
   no_capacity_until_.clear();
   unmet_demand_.clear();
   reservations_.clear();
@@ -273,7 +273,7 @@
   zone_unreachable_at_.clear();
   worker_calls_.clear();
   cloud_calls_.clear();
-  releasing_ = listing_ = false;
+  terminating_ = listing_ = false;
   listed_up_to_.clear();
   reconciling_ = false;
   limits_.stop();
@@ -281,7 +281,7 @@
   send_heartbeats();
 }
 
-void Core::revoke(std::uint64_t lease) {
+void Controller::revoke(std::uint64_t lease) {
   KvRequest call;
   call.kind = KvRequest::Kind::Revoke;
   call.lease = lease;
@@ -291,7 +291,7 @@
 
 // Gives the lease back, so that another can take it at once, and leaves it to the others for a
 // while.
-void Core::resign(const char* why) {
+void Controller::resign(const char* why) {
   revoke(lease_);
   election_backoff_until_ = clock_.now + worker_lease();
   // Another may lead from now on, and reckons from then with whom we keep alive.
@@ -299,7 +299,7 @@
   step_down(why);
 }
 
-void Core::peer_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat) {
+void Controller::peer_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat) {
   if (!peers_.take(peer, heartbeat, clock_.now)) return;
   if (heartbeat.leading && heartbeat.acknowledged_incarnation == incarnation_)
     keep_alive_permit_.allow(heartbeat.epoch,
@@ -311,7 +311,7 @@
   election_history_.note(epoch_, clock_.now);
 }
 
-void Core::send_heartbeats() {
+void Controller::send_heartbeats() {
   const Time now = clock_.now;
   next_heartbeat_ = now + worker_lease() / 30;
   PeerMessage m;
--- a/src/coordination/failure_detection.cpp
+++ b/src/controller/failure_detection.cpp
@@ -1,5 +1,5 @@
 // Which machines are silent or dead, and when a leader has lost its workers.
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 
 namespace sailreel {
 namespace {
@@ -7,14 +7,14 @@
 constexpr std::size_t kDeadShare = 3;
 }  // namespace
 
-Time Core::silent_after() const { return heartbeat_interval() * 5 / 2 + 500; }
+Time Controller::silent_after() const { return heartbeat_interval() * 5 / 2 + 500; }
 
 // Few enough for the machines to be at fault, and not the network.
-bool Core::few_silent(std::size_t silent, std::size_t of) {
+bool Controller::few_silent(std::size_t silent, std::size_t of) {
   return silent <= std::max<std::size_t>(2, of / 10) && (silent < of || of == 1);
 }
 
-void Core::machine_tick() {
+void Controller::machine_tick() {
   const FleetContact contact = fleet_contact();
   if (workers_lost(contact)) return resign("no worker is heard");
   const bool few = few_silent(contact.silent, contact.up);
@@ -25,9 +25,11 @@
 }
 
 // A worker that wasn't heard for so long would have to be heard soon for its lease to last.
-Time Core::unheard_after() const { return std::max(silent_after(), worker_lease() * 45 / 100); }
+Time Controller::unheard_after() const {
+  return std::max(silent_after(), worker_lease() * 45 / 100);
+}
 
-Core::FleetContact Core::fleet_contact() const {
+Controller::FleetContact Controller::fleet_contact() const {
   FleetContact contact;
   const Time heard_since = clock_.now - unheard_after();
   for (const auto& [name, m] : tables_.machines) {
@@ -42,7 +44,7 @@
 // Once, a leader that had lost all workers and siblings, but not the state service, kept its lease
 // while every task died (recorded incident on tbilisi-listings). Another may still reach them.
 // Where no sibling hears us either, a few workers that still come through change nothing of that.
-bool Core::workers_lost(const FleetContact& contact) const {
+bool Controller::workers_lost(const FleetContact& contact) const {
   const Time now = clock_.now;
   if (!holds_valid_lease(now) || settings_.peers.empty() || contact.up <= 1 ||
       now - elected_at_ <= unheard_after())
@@ -54,10 +56,11 @@
 }
 
 // Notes when a machine falls silent, and what its lease's end means for its tasks.
-void Core::watch_machine(Machine& m, bool few_are_silent) {
+void Controller::watch_machine(Machine& m, bool few_are_silent) {
   const Time now = clock_.now;
   if (!m.heard_in_epoch) {
-    if (m.recorded && m.listed_running && now >= expiry(m)) release(m, "not heard since take-over");
+    if (m.recorded && m.listed_running && now >= expiry(m))
+      terminate_instance(m, "not heard since take-over");
     return;
   }
   if (!m.error_jobs.empty()) check_for_fault(m);
@@ -74,14 +77,15 @@
   incarnation_lost(m, "lease expired");
   // When many are silent, the network is rather at fault: they may come back, warm, and are waited
   // for a little.
-  if (few_are_silent || now >= expiry(m) + 2 * worker_lease()) release(m, "lease expired");
+  if (few_are_silent || now >= expiry(m) + 2 * worker_lease())
+    terminate_instance(m, "lease expired");
 }
 
 // A machine that answers neither way is most likely dead, if others of its zone do answer directly.
 // Returning it proves that its tasks are gone, sooner than its lease would. Where none of the zone
 // is reached, the fault is rather between us and the zone, and leases are waited for: when two
 // zones were apart, a rule by the share of silent machines alone returned healthy ones.
-void Core::detect_dead_machines() {
+void Controller::detect_dead_machines() {
   // What was up when the former leader ended, and hasn't been heard for as long, is silent too.
   const bool awaited = reconciling_ && clock_.now - elected_at_ > silent_after();
   const auto silent = [&](const Machine& m) {
@@ -94,7 +98,7 @@
   std::map<std::string, Zone> zones;
   std::size_t all_up = 0, all_silent = 0;
   for (auto& [name, m] : tables_.machines) {
-    if (m->releasing || m->zone.empty() || !(m->heard_in_epoch || silent(*m))) continue;
+    if (m->terminating || m->zone.empty() || !(m->heard_in_epoch || silent(*m))) continue;
     Zone& zone = zones[m->zone];
     ++zone.up;
     ++all_up;
@@ -110,18 +114,18 @@
     if (zone.witness == nullptr && zone.up > 1) zone_unreachable_at_[name] = clock_.now;
   const bool few = few_silent(all_silent, all_up);
   for (auto& [name, m] : tables_.machines) {
-    if (m->releasing || m->zone.empty() || !silent(*m) || m->probe_failures < 2) continue;
+    if (m->terminating || m->zone.empty() || !silent(*m) || m->probe_failures < 2) continue;
     const char* why = m->heard_in_epoch ? "silent" : "silent since take-over";
     Zone& zone = zones[m->zone];
     const Time reached = zone_reached_[m->zone];
     if (zone.witness == nullptr) {
       // All of a zone at once is rather the zone; the only one of its zone is judged by the rest.
-      if (few && zone.up == 1) release(*m, why);
+      if (few && zone.up == 1) terminate_instance(*m, why);
     } else if (reached > (m->heard_in_epoch ? m->silent_since : elected_at_)) {
       // An inquiry that left before the zone was reached says nothing: it may have met the end of a
       // cut that others were out of a moment sooner.
       const bool few_of_zone = zone.silent == 1 || zone.silent * kDeadShare <= zone.up;
-      if (reached <= m->probe_failed && few_of_zone) release(*m, why);
+      if (reached <= m->probe_failed && few_of_zone) terminate_instance(*m, why);
     } else {
       inquire_if_due(*zone.witness);
     }
@@ -130,7 +134,7 @@
 
 // Of the zone's machines none was heard a short while ago. What is rented there can't be reached
 // either: a cut zone, having lost its machines, once got all the new ones.
-bool Core::zone_unreachable(const std::string& zone) const {
+bool Controller::zone_unreachable(const std::string& zone) const {
   const auto it = zone_unreachable_at_.find(zone);
   return it != zone_unreachable_at_.end() && clock_.now - it->second < 2 * worker_lease();
 }
--- a/src/coordination/gang.cpp
+++ b/src/controller/gang.cpp
@@ -1,4 +1,4 @@
-#include "coordination/gang.hpp"
+#include "controller/gang.hpp"
 
 #include <algorithm>
 #include <numeric>
--- a/src/coordination/gang_scheduling.cpp
+++ b/src/controller/gang_scheduling.cpp
@@ -2,8 +2,8 @@
 // out.
 #include <cmath>
 
-#include "coordination/core.hpp"
-#include "coordination/resource_ratios.hpp"
+#include "controller/controller.hpp"
+#include "controller/resource_ratios.hpp"
 
 namespace sailreel {
 namespace {
@@ -21,15 +21,15 @@
 
 }  // namespace
 
-void Core::review_gang(const Job& job) {
+void Controller::review_gang(const Job& job) {
   if (is_gang(job)) gangs_to_review_.insert(job.spec().id);
 }
 
-Gang& Core::gang_of(const Job& job) {
+Gang& Controller::gang_of(const Job& job) {
   return gangs_.try_emplace(job.spec().id, ms(settings_.workers.gang_wait_s)).first->second;
 }
 
-GangView Core::gang_view(const Job& job) const {
+GangView Controller::gang_view(const Job& job) const {
   GangView view;
   view.tasks = job.spec().tasks;
   view.unknown = job.unknown;
@@ -51,14 +51,14 @@
   return view;
 }
 
-bool Core::start_overdue(const Machine& m) const {
+bool Controller::start_overdue(const Machine& m) const {
   const auto most =
       static_cast<Time>(static_cast<double>(heartbeat_interval()) * kOverdueHeartbeats);
   return clock_.now - m.last_own_heartbeat > most;
 }
 
 // Gangs are looked at when something of theirs has changed, and as long as a start has not left.
-void Core::review_gangs() {
+void Controller::review_gangs() {
   std::set<std::string> waiting;
   for (const std::string& id : std::exchange(gangs_to_review_, {})) {
     Job* job = tables_.job(id);
@@ -82,7 +82,7 @@
 }
 
 // True if it needs no more room.
-bool Core::place_gang(Job& job) {
+bool Controller::place_gang(Job& job) {
   GangDecision decision = gang_of(job).decide(gang_view(job), clock_.now);
   if (decision == GangDecision::Unplace) {
     unplace(job);
@@ -109,7 +109,7 @@
 }
 
 // Whether all tasks that are to be placed may be tried again.
-bool Core::gang_due(const Job& job) {
+bool Controller::gang_due(const Job& job) {
   const bool later = std::any_of(job.tasks.begin(), job.tasks.end(), [this](const Task& task) {
     return task.state == TaskState::Queued && task.not_before > clock_.now;
   });
@@ -119,7 +119,7 @@
 }
 
 // Places all tasks that are missing, or none.
-bool Core::place_gang_tasks(Job& job, std::uint64_t attempt) {
+bool Controller::place_gang_tasks(Job& job, std::uint64_t attempt) {
   const std::uint32_t wanted = job.queued;
   if (job.team == nullptr || !job.team->allows(job.spec().need.times(wanted))) return true;
   const std::vector<Machine*> machines = gang_machines(job);
@@ -141,7 +141,7 @@
   return true;
 }
 
-std::vector<Machine*> Core::gang_machines(const Job& job) const {
+std::vector<Machine*> Controller::gang_machines(const Job& job) const {
   std::vector<Machine*> machines;
   for (Machine* m : rankings_.machines())
     if (open(*m) && tables_.allowed(job, *m) &&
@@ -151,7 +151,7 @@
 }
 
 // A machine that would keep GPUs without the CPUs or the memory to use them is the worse choice.
-GangCandidate Core::gang_candidate(const Job& job, const Machine& m) const {
+GangCandidate Controller::gang_candidate(const Job& job, const Machine& m) const {
   const JobSpec& spec = job.spec();
   const Resources room = room_beside(reservations_, m);
   GangCandidate candidate{m.zone, slots_in(room, spec.need, job.queued), 0};
@@ -167,7 +167,7 @@
 }
 
 // Starts go with the answer to a report. How long that of a machine is to be waited for.
-double Core::heartbeat_due_s(const Machine& m) const {
+double Controller::heartbeat_due_s(const Machine& m) const {
   if (&m == heartbeat_sender_) return 0;
   const double interval = settings_.workers.heartbeat_interval_s;
   const double age = static_cast<double>(clock_.now - m.last_own_heartbeat) / 1000.0;
@@ -176,7 +176,7 @@
   return 2 * interval;
 }
 
-double Core::fetch_s(const Job& job, const Machine& m) const {
+double Controller::fetch_s(const Job& job, const Machine& m) const {
   const JobSpec& spec = job.spec();
   const MachineType* type = tables_.type(m.type);
   if (m.has_image(spec.image) || type == nullptr || type->fetch_gb_per_s <= 0) return 0;
@@ -185,7 +185,7 @@
   return alone * static_cast<double>(1 + m.fetches());
 }
 
-GangZones Core::gang_zones(const Job& job) const {
+GangZones Controller::gang_zones(const Job& job) const {
   GangZones zones;
   zones.one_zone = job.spec().one_zone;
   if (!job.spec().spread) return zones;
@@ -203,10 +203,10 @@
 // machines rented for it would be up: then machines are held for the rest too. So it can't starve
 // behind single tasks. As nothing of it holds room from one pass to the next until all of it does,
 // two gangs never wait for each other.
-void Core::make_room_for_gang(Job& job, const GangPlan& plan,
-                              const std::vector<Machine*>& machines) {
+void Controller::make_room_for_gang(Job& job, const GangPlan& plan,
+                                    const std::vector<Machine*>& machines) {
   const std::string zone = plan.zone.empty() ? job.spec().zone : plan.zone;
-  record_unmet_demand(job, *job.team, plan.missing, zone_to_rent_in(job, zone));
+  record_unmet_demand(job, *job.team, plan.missing, zone_to_scale_out_in(job, zone));
   std::uint32_t made = 0;
   if (job.placed > 0) return;
   // Reserved first, so that what is stopped is stopped for the rest.
@@ -223,7 +223,7 @@
 }
 
 // By then what was rented for a job is up, or there was nothing to rent.
-Time Core::starved_after() const {
+Time Controller::starved_after() const {
   double boot_s = 0;
   for (const MachineType& type : tables_.types) boot_s = std::max(boot_s, type.boot_s);
   return worker_lease() + ms(kLateBoot * boot_s);
@@ -233,7 +233,7 @@
 // arrays and gangs there have ended, so that nothing new begins there. Single tasks once took each
 // part of a machine as it became free, and a gang that needs whole ones never started. False if the
 // machines that are up can't hold all of it: then nothing is kept, and others get on.
-bool Core::hold_machines(const Job& job, std::uint32_t missing, const std::string& zone) {
+bool Controller::hold_machines(const Job& job, std::uint32_t missing, const std::string& zone) {
   struct Candidate {
     Machine* machine;
     Resources room;
@@ -265,21 +265,21 @@
 }
 
 // The zone with most room for it, unless none of its machines can be rented there now.
-std::string Core::zone_to_rent_in(const Job& job, const std::string& best) const {
+std::string Controller::zone_to_scale_out_in(const Job& job, const std::string& best) const {
   if (!job.spec().one_zone || !job.spec().zone.empty()) return best;
   ResourceRequest want = resource_request_of(job.spec());
-  const auto can_rent = [&](const std::string& zone) {
+  const auto can_scale_out = [&](const std::string& zone) {
     want.zone = zone;
     return cheapest_type(want, false) != nullptr ||
            (want.spot && cheapest_type(want, true) != nullptr);
   };
-  if (!best.empty() && can_rent(best)) return best;
+  if (!best.empty() && can_scale_out(best)) return best;
   for (const std::string& zone : settings_.zones)
-    if (can_rent(zone)) return zone;
+    if (can_scale_out(zone)) return zone;
   return best;
 }
 
-void Core::stop_with_gang(TaskAttempt& p, double grace_s) {
+void Controller::stop_with_gang(TaskAttempt& p, double grace_s) {
   if (p.job != nullptr && is_gang(*p.job))
     stop_gang(*p.job, grace_s);
   else
@@ -288,7 +288,7 @@
 
 // One decision for all tasks: the stops leave in the same step, straight to the machines, and are
 // repeated with the answers to reports until they are confirmed.
-void Core::stop_gang(Job& job, double grace_s) {
+void Controller::stop_gang(Job& job, double grace_s) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
     for (TaskAttempt& p : task.machine->attempts)
--- a/src/coordination/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -1,12 +1,12 @@
 // Workers' reports as a whole: which are taken in, which are of the past, and what they say of
 // their machine.
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 #include "protocol/user_codec.hpp"
 #include "protocol/worker_codec.hpp"
 
 namespace sailreel {
 
-void Core::handle_heartbeat(const HeartbeatReceived& in) {
+void Controller::handle_heartbeat(const HeartbeatReceived& in) {
   const Time now = clock_.now;
   const Heartbeat& r = in.heartbeat;
   if (in.source.kind == RequestSource::Kind::Local) last_worker_heartbeat_ = now;
@@ -17,7 +17,7 @@
   }
   if (!holds_valid_lease(now)) return handle_heartbeat_without_lease(in);
   if (redirect_to_own_zone(in)) return;
-  if (released_.contains(r.machine))
+  if (terminated_.contains(r.machine))
     return respond(in.source, 503, encode_error("machine was returned"));
   if (r.fencing_token < epoch_) return handle_heartbeat_with_old_fencing_token(in);
   const HeartbeatOutcome outcome = apply_heartbeat(r, {});
@@ -36,7 +36,7 @@
 }
 
 // The worker's tasks live on for a bounded time while we can't tell whether we still lead.
-void Core::handle_heartbeat_without_lease(const HeartbeatReceived& in) {
+void Controller::handle_heartbeat_without_lease(const HeartbeatReceived& in) {
   const Time now = clock_.now, until = lease_expiry_ + keep_alive_span();
   if (now >= until) return respond(in.source, 503, encode_error("lease lapsed"));
   if (Machine* m = tables_.machine(in.heartbeat.machine)) {
@@ -48,7 +48,7 @@
 }
 
 // Perhaps a copy from an earlier time. It learns our token; only what it reports under that counts.
-void Core::handle_heartbeat_with_old_fencing_token(const HeartbeatReceived& in) {
+void Controller::handle_heartbeat_with_old_fencing_token(const HeartbeatReceived& in) {
   const Time now = clock_.now;
   Machine* m = tables_.machine(in.heartbeat.machine);
   if (m != nullptr && m->recorded) {
@@ -67,7 +67,7 @@
   respond(in.source, 200, encode_heartbeat_response(epoch_, {}), 0, command_until());
 }
 
-void Core::handle_worker_response(const WorkerResponseReceived& in) {
+void Controller::handle_worker_response(const WorkerResponseReceived& in) {
   if (auto node = worker_calls_.extract(in.call)) node.mapped()(in.status, in.heartbeat);
 }
 
@@ -75,7 +75,7 @@
 // taken for present: tasks that had been placed anew came to life again in their former zone
 // (incident held-reports). If it is the proof that was wrong, the answer to an inquiry that leaves
 // now says so.
-void Core::reject_heartbeat(const HeartbeatReceived& in, Machine& m) {
+void Controller::reject_heartbeat(const HeartbeatReceived& in, Machine& m) {
   const Heartbeat& r = in.heartbeat;
   log(Log::Level::Info, "event=report_refused machine=", m.name, " zone=", r.zone,
       " session=", r.incarnation, " seq=", r.seq, " tasks=", r.tasks.size(),
@@ -89,15 +89,16 @@
 
 // No start leaves for a machine that isn't recorded, and what is recorded is known: once a rebuild
 // is over, a machine that isn't known has no tasks. One that reports some was returned long ago.
-bool Core::unknown_with_tasks(const Heartbeat& r) {
+bool Controller::unknown_with_tasks(const Heartbeat& r) {
   return !reconciling_ && !r.tasks.empty() && tables_.machine(r.machine) == nullptr;
 }
 
-bool Core::is_late(const Machine& m, const Heartbeat& r) {
+bool Controller::is_late(const Machine& m, const Heartbeat& r) {
   return m.heard_in_epoch && std::pair(r.incarnation, r.seq) <= std::pair(m.incarnation, m.seq);
 }
 
-Core::HeartbeatOutcome Core::apply_heartbeat(const Heartbeat& r, std::optional<Time> asked) {
+Controller::HeartbeatOutcome Controller::apply_heartbeat(const Heartbeat& r,
+                                                         std::optional<Time> asked) {
   if (unknown_with_tasks(r)) {
     log(Log::Level::Info, "event=report_of_unknown machine=", r.machine, " session=", r.incarnation,
         " tasks=", r.tasks.size());
@@ -130,7 +131,7 @@
   return HeartbeatOutcome::Taken;
 }
 
-void Core::apply_first_heartbeat(Machine& m, const Heartbeat& r) {
+void Controller::apply_first_heartbeat(Machine& m, const Heartbeat& r) {
   m.last_own_heartbeat = clock_.now;
   m.zone = r.zone;
   m.type = r.type;
@@ -138,21 +139,21 @@
   m.idle_since = clock_.now;
   log(Log::Level::Info, "event=machine_up machine=", m.name, " zone=", m.zone,
       " spot=", m.spot ? 1 : 0, " session=", r.incarnation, " tasks=", r.tasks.size(),
-      " after_ms=", clock_.now - m.rented);
+      " after_ms=", clock_.now - m.launched);
   scheduling_needed_ = true;
 }
 
 // Its lease ran out. If we heard it all the time and answered, it doesn't hear us: until it has
 // proved otherwise for a while, work given to it would only wait. Reports that a cut held back and
 // let go at its end prove nothing: they once had half a fleet quarantined.
-void Core::begin_incarnation(Machine& m) {
+void Controller::begin_incarnation(Machine& m) {
   const Time now = clock_.now;
   if (now - m.answered < worker_lease() / 2 && now - m.steady_since > worker_lease())
     quarantine(m, "deaf");
   incarnation_lost(m, "new session");
 }
 
-void Core::note_address(Machine& m, const std::string& address) {
+void Controller::note_address(Machine& m, const std::string& address) {
   if (m.address != address) {
     m.address = address;
     if (m.recorded) dirty_machine_shards_.insert(machine_shard(m.name));
@@ -162,7 +163,7 @@
   dirty_machine_shards_.insert(machine_shard(m.name));
 }
 
-void Core::record_heartbeat(Machine& m, const Heartbeat& r) {
+void Controller::record_heartbeat(Machine& m, const Heartbeat& r) {
   const Time now = clock_.now;
   tables_.size_machine(m);
   // An answer to an inquiry renews no lease; but of a session that we have only just met, or whose
@@ -186,9 +187,9 @@
 }
 
 // The cloud is about to take the machine back: what can save, saves now.
-void Core::take_notice(Machine& m, double notice_s) {
+void Controller::take_notice(Machine& m, double notice_s) {
   m.notice_until = clock_.now + ms(notice_s);
-  drain(m, "notice");
+  cordon(m, "notice");
   for (TaskAttempt& p : m.attempts)
     if (p.held && p.job != nullptr && p.job->spec().checkpoint_s > 0)
       stop_with_gang(p, grace_for(*p.job));
--- a/src/coordination/image_fetches.cpp
+++ b/src/controller/image_fetches.cpp
@@ -1,18 +1,18 @@
 // Which images machines hold and fetch, and what is learnt of fetches at the same time.
 #include <cmath>
 
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 
 namespace sailreel {
 
 // A task runs, so its machine has its image.
-void Core::note_image(Machine& m, const JobSpec& spec) {
+void Controller::note_image(Machine& m, const JobSpec& spec) {
   note_fetch_ended(m, spec.image);
   if (m.recorded && !m.has_image(spec.image)) stale_image_shards_.insert(machine_shard(m.name));
   m.touch_image(spec.image, spec.image_gb);
 }
 
-void Core::note_fetch_begun(Machine& m, const JobSpec& s) {
+void Controller::note_fetch_begun(Machine& m, const JobSpec& s) {
   const MachineType* t = tables_.type(m.type);
   if (t == nullptr || t->fetch_gb_per_s <= 0 || m.has_image(s.image)) return;
   for (const Fetch& f : m.fetching_now)
@@ -26,7 +26,7 @@
 // Learns whether images fetched at the same time share a machine's rate: the documents say that
 // they may, and both was seen. Of two that were begun together, the later tells: it took its own
 // time, or that of both.
-void Core::note_fetch_ended(Machine& m, const std::string& image) {
+void Controller::note_fetch_ended(Machine& m, const std::string& image) {
   const auto it = std::find_if(m.fetching_now.begin(), m.fetching_now.end(),
                                [&](const Fetch& f) { return f.image == image; });
   if (it == m.fetching_now.end()) return;
@@ -47,6 +47,8 @@
 // How many images a machine is given to fetch at the same time. Where they share the rate, one
 // after the other comes no later and the first sooner; until that is known two, which is how it is
 // learnt.
-std::size_t Core::fetch_limit() const { return fetch_votes_ > 0 ? 1 : fetch_votes_ < 0 ? 8 : 2; }
+std::size_t Controller::fetch_limit() const {
+  return fetch_votes_ > 0 ? 1 : fetch_votes_ < 0 ? 8 : 2;
+}
 
 }  // namespace sailreel
--- a/src/coordination/intake.cpp
+++ b/src/controller/intake.cpp
@@ -1,5 +1,5 @@
 // Users' requests: the leader takes them in; the others hand them on, or read the state service.
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 #include "protocol/user_codec.hpp"
 
 namespace sailreel {
@@ -14,7 +14,7 @@
 constexpr double kPageKb = 512;
 }  // namespace
 
-void Core::user_request(const UserRequest& r) {
+void Controller::user_request(const UserRequest& r) {
   if (holds_valid_lease(clock_.now)) {
     if (r.op == UserOp::Submit) return lead_submit(r);
     if (r.op == UserOp::Query) return lead_query(r);
@@ -41,13 +41,13 @@
 
 // A sibling that can be reached, and hears the leader. When two zones were apart, users at nodes of
 // one were turned away although a third zone's nodes reached both.
-std::optional<std::size_t> Core::relaying_peer() {
+std::optional<std::size_t> Controller::relaying_peer() {
   const std::vector<std::size_t> candidates = peers_.relays(clock_.now);
   if (candidates.empty()) return {};
   return candidates[random_(static_cast<std::uint32_t>(candidates.size()))];
 }
 
-JobView Core::view(const Job& job) const {
+JobView Controller::view(const Job& job) const {
   JobView v{job.spec().id, job.committed_phase, 0, 0};
   if (v.phase == Phase::Active) {
     v.done = job.record.done.count();
@@ -56,15 +56,15 @@
   return v;
 }
 
-JobView Core::view(const std::string& id, const FinishedJob& job) const {
+JobView Controller::view(const std::string& id, const FinishedJob& job) const {
   return {id, job.phase, job.phase == Phase::Done ? job.tasks : 0, 0};
 }
 
-void Core::respond_with_job(const RequestSource& source, int status, const JobView& view) {
+void Controller::respond_with_job(const RequestSource& source, int status, const JobView& view) {
   respond(source, status, encode_job(view), 0, command_until());
 }
 
-void Core::lead_submit(const UserRequest& r) {
+void Controller::lead_submit(const UserRequest& r) {
   // A repeat is known by its id, before anything else in it is judged.
   const auto id = submission_id(r.body);
   if (id) {
@@ -98,19 +98,19 @@
       " team=", job.spec().team, " tasks=", job.spec().tasks);
 }
 
-void Core::lead_query(const UserRequest& r) {
+void Controller::lead_query(const UserRequest& r) {
   if (const auto f = tables_.finished.find(r.id); f != tables_.finished.end())
     return respond_with_job(r.source, 200, view(r.id, f->second));
   if (const Job* job = tables_.job(r.id)) return respond_committed(r.source, 200, *job);
   respond_unknown(r.source, unknown_jobs_, command_until());
 }
 
-void Core::respond_unknown(const RequestSource& source, bool unreadable, Time valid_until) {
+void Controller::respond_unknown(const RequestSource& source, bool unreadable, Time valid_until) {
   if (unreadable) return reject(source, "parts of the checkpoint can't be read");
   respond(source, 404, encode_error("no such job"), 0, valid_until);
 }
 
-void Core::lead_cancel(const UserRequest& r) {
+void Controller::lead_cancel(const UserRequest& r) {
   if (const auto f = tables_.finished.find(r.id); f != tables_.finished.end())
     return respond_with_job(r.source, 200, view(r.id, f->second));
   Job* job = tables_.job(r.id);
@@ -135,16 +135,16 @@
 }
 
 // As long as a direct stop and its answer usually take; no answer is held back for longer.
-Time Core::cancel_wait() const { return std::clamp<Time>(worker_lease() / 50, 100, 500); }
+Time Controller::cancel_wait() const { return std::clamp<Time>(worker_lease() / 50, 100, 500); }
 
-bool Core::stops_at_once(const Job& job) const {
+bool Controller::stops_at_once(const Job& job) const {
   if (job.unknown > 0 || commit_.retries > 0) return false;
   return std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& t) {
     return t.machine == nullptr || (t.machine->heard_in_epoch && !t.machine->silent);
   });
 }
 
-void Core::reject_cancel_waits(const std::string& id) {
+void Controller::reject_cancel_waits(const std::string& id) {
   const auto waits = cancel_waits_.extract(id);
   if (!waits) return;
   for (const CancelWait& w : waits.mapped()) reject(w.source, "its tasks are being stopped");
@@ -153,15 +153,15 @@
 // None of its tasks is on a machine any more: now it may be called cancelled. To say so sooner
 // would start the clock on machines that can't be reached: what a controller of a zone that is cut
 // off keeps alive there would outlast `cancel_s`.
-void Core::cancel_over(Job& job) {
+void Controller::cancel_over(Job& job) {
   job.record.phase = Phase::Cancelled;
   const auto waits = cancel_waits_.extract(job.spec().id);
   if (!waits) return;
   for (const CancelWait& w : waits.mapped()) respond_after_commit(job, w.source, 200);
 }
 
-void Core::forward(const RequestSource& source, UserOp op, const std::string& id, std::string body,
-                   std::size_t peer, std::uint64_t fencing_token) {
+void Controller::forward(const RequestSource& source, UserOp op, const std::string& id,
+                         std::string body, std::size_t peer, std::uint64_t fencing_token) {
   const std::uint64_t call = next_forward_++;
   const bool commits = op == UserOp::Submit || op == UserOp::Cancel;
   const Time now = clock_.now;
@@ -173,7 +173,7 @@
   out_.push_back(SendPeer{peer, std::move(m)});
 }
 
-void Core::handle_peer_response(std::size_t, const PeerResponse& a) {
+void Controller::handle_peer_response(std::size_t, const PeerResponse& a) {
   const auto node = forwarded_.extract(a.call);
   if (!node) return;
   const Forwarded& f = node.mapped();
@@ -185,7 +185,7 @@
   respond(f.source, a.status, a.body, a.retry_after_s, valid_until);
 }
 
-void Core::time_out(const Forwarded& f) {
+void Controller::time_out(const Forwarded& f) {
   if (f.op == UserOp::Query)
     look_up(f.source, f.id);
   else if (f.op == UserOp::Heartbeat)
@@ -195,7 +195,7 @@
     reject(f.source, "the leader does not answer");
 }
 
-void Core::intake_tick() {
+void Controller::intake_tick() {
   const Time now = clock_.now;
   std::vector<std::uint64_t> over;
   for (const auto& [call, f] : forwarded_)
@@ -218,13 +218,13 @@
   if (!lookups_.empty() && !refreshing_ && now >= next_refresh_) refresh();
 }
 
-void Core::look_up(const RequestSource& source, const std::string& id) {
+void Controller::look_up(const RequestSource& source, const std::string& id) {
   lookups_.push_back({source, id, clock_.now});
   if (!refreshing_ && clock_.now >= next_refresh_) refresh();
 }
 
 // Brings the image up to the present revision, then answers whoever asked before that began.
-void Core::refresh() {
+void Controller::refresh() {
   if (role_ == Role::Leader || role_ == Role::Loading) {
     // Asked while lapsed or loading: the answer comes from our own tables once we command.
     if (!holds_valid_lease(clock_.now)) return;
@@ -268,7 +268,7 @@
   if (!sent) finish_lookups(false);
 }
 
-void Core::refresh_list(const std::string& from, std::uint64_t revision) {
+void Controller::refresh_list(const std::string& from, std::uint64_t revision) {
   const std::uint64_t term = term_;
   KvRequest list;
   list.kind = KvRequest::Kind::List;
@@ -289,7 +289,7 @@
   if (!sent) finish_lookups(false);
 }
 
-void Core::finish_lookups(bool ok) {
+void Controller::finish_lookups(bool ok) {
   refreshing_ = false;
   if (ok) last_path_ = snapshot_read_at_ = clock_.now;
   const auto served = std::move(lookups_served_);
--- a/src/coordination/keepalive.cpp
+++ b/src/controller/keepalive.cpp
@@ -1,6 +1,6 @@
 // What keeps workers' tasks alive while no leader can be reached, and how long a leader has to
 // reckon with that.
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 #include "protocol/worker_codec.hpp"
 
 namespace sailreel {
@@ -13,11 +13,11 @@
 constexpr int kRedirectLeases = 4;
 }  // namespace
 
-Time Core::keep_alive_span() const { return kKeepLeases * worker_lease(); }
+Time Controller::keep_alive_span() const { return kKeepLeases * worker_lease(); }
 
 // The moment by which the tasks on a machine have surely ended, unless it is answered again. What
 // siblings say holds as of the contact span ago: a lease has to have run out by then.
-Time Core::expiry(const Machine& m) const {
+Time Controller::expiry(const Machine& m) const {
   const Time last = std::max(m.answered, peers_.latest_answer(clock_.now));
   const Time ours = last + with_drift(worker_lease()) + peers_.contact_span();
   // Until the worker has seen our token, a former leader's answers may still renew its lease, and
@@ -27,7 +27,7 @@
 
 // A report to a node that doesn't lead. It is handed on, not sent away: a worker that can't reach
 // the leader itself, as when two zones are apart, lost its tasks while it was sent to and fro.
-void Core::forward_heartbeat(const HeartbeatReceived& in) {
+void Controller::forward_heartbeat(const HeartbeatReceived& in) {
   if (in.source.kind == RequestSource::Kind::Peer)
     return respond(in.source, 503, encode_error("no leader"));
   std::optional<std::size_t> peer = peers_.leader(clock_.now);
@@ -41,7 +41,7 @@
 
 // Sends a worker to a node of its own zone. When a zone was cut off, workers that reported to nodes
 // outside went from one to the next of them, 5 s each, until their leases had run out.
-bool Core::redirect_to_own_zone(const HeartbeatReceived& in) {
+bool Controller::redirect_to_own_zone(const HeartbeatReceived& in) {
   const std::string& zone = in.heartbeat.zone;
   if (in.source.kind != RequestSource::Kind::Local || zone == settings_.zone) return false;
   if (was_redirected(in.heartbeat.machine, kRedirectLeases * worker_lease())) return false;
@@ -54,7 +54,7 @@
 // in a while: it may be cut off from them, or none may report to it yet. One machine tells which,
 // and the others follow. Without that, a node to which no worker reported by chance never got one,
 // and a cut of its zone ended all tasks there.
-std::optional<std::size_t> Core::peer_in_zone(const std::string& zone) {
+std::optional<std::size_t> Controller::peer_in_zone(const std::string& zone) {
   std::vector<std::size_t> hearing;
   std::optional<std::size_t> untried;
   for (std::size_t i = 0; i < peers_.size(); ++i) {
@@ -70,13 +70,13 @@
   return untried;
 }
 
-bool Core::was_redirected(const std::string& machine, Time within) const {
+bool Controller::was_redirected(const std::string& machine, Time within) const {
   const auto it = redirected_at_.find(machine);
   return it != redirected_at_.end() && clock_.now - it->second < within;
 }
 
-void Core::redirect_worker(const RequestSource& source, const std::string& machine,
-                           std::size_t peer) {
+void Controller::redirect_worker(const RequestSource& source, const std::string& machine,
+                                 std::size_t peer) {
   const Time span = kRedirectLeases * worker_lease();
   // Once a span, so that each worker costs two looks at most, however many there are.
   if (clock_.now >= next_redirect_tidy_) {
@@ -90,8 +90,8 @@
 // No leader can be reached. If that is so for the whole zone, its workers' tasks live on only if we
 // answer; if it is so for us alone, the worker had better go elsewhere. Each is tried out once on
 // the node before us: if that can't be reached, the worker comes back to us next.
-void Core::keep_alive(const RequestSource& source, const std::string& machine,
-                      std::uint64_t fencing_token, bool may_redirect) {
+void Controller::keep_alive(const RequestSource& source, const std::string& machine,
+                            std::uint64_t fencing_token, bool may_redirect) {
   if (!keep_alive_permit_.valid(fencing_token, clock_.now))
     return respond(source, 503, encode_error("no leader"));
   if (may_redirect && !was_redirected(machine, worker_lease())) {
@@ -108,7 +108,7 @@
 
 // The sibling that workers try just before us: they go by the nodes' numbers, the last of which the
 // first follows.
-std::size_t Core::node_before() const {
+std::size_t Controller::node_before() const {
   const auto less = [](const std::string& a, const std::string& b) {
     return a.size() != b.size() ? a.size() < b.size() : a < b;
   };
--- a/src/coordination/peer_table.cpp
+++ b/src/controller/peer_table.cpp
@@ -1,4 +1,4 @@
-#include "coordination/peer_table.hpp"
+#include "controller/peer_table.hpp"
 
 #include <algorithm>
 
--- a/src/coordination/placement.cpp
+++ b/src/controller/placement.cpp
@@ -1,5 +1,5 @@
 // What runs where: the machine that holds the image, else the roomiest fit, in the named zone.
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 
 namespace sailreel {
 namespace {
@@ -15,50 +15,50 @@
 constexpr double kLeastRankings = 4;
 }  // namespace
 
-bool Core::usable(const Machine& m) const {
+bool Controller::usable(const Machine& m) const {
   // A start goes with the answer to a machine's own report. One that answers inquiries, but reaches
   // no controller itself, once drew the work that waited again and again.
-  return m.heard_in_epoch && m.sized && !m.draining && !m.releasing && !m.silent &&
+  return m.heard_in_epoch && m.sized && !m.cordoned && !m.terminating && !m.silent &&
          clock_.now >= m.quarantined_until && clock_.now - m.last_own_heartbeat <= silent_after();
 }
 
-Resources Core::room_beside(const Reservations& promised, const Machine& m) {
+Resources Controller::room_beside(const Reservations& promised, const Machine& m) {
   Resources room = m.room();
   if (const auto it = promised.find(&m); it != promised.end()) room -= it->second;
   return room;
 }
 
-Resources Core::room_to_come(const Machine& m) const {
+Resources Controller::room_to_come(const Machine& m) const {
   Resources room = room_beside(reservations_, m);
   for (const TaskAttempt& p : m.attempts)
     if (p.held && (p.stop || p.migrating)) room += p.need;
   return room;
 }
 
-void Core::forget_failures() {
+void Controller::forget_failures() {
   no_room_for_.clear();
   no_preemption_for_.clear();
   no_migration_for_.clear();
 }
 
 // Promises room on a machine for the rest of the pass.
-void Core::reserve(Machine& m, const Resources& room) {
+void Controller::reserve(Machine& m, const Resources& room) {
   reservations_[&m] += room;
   machine_changed(m);
 }
 
-void Core::unreserve(Machine& m, const Resources& room) {
+void Controller::unreserve(Machine& m, const Resources& room) {
   reservations_[&m] -= room;
   machine_changed(m);
 }
 
 // A gang of which no zone may hold more than half needs two zones.
-bool Core::never_all_at_once(const JobSpec& s) const {
+bool Controller::never_all_at_once(const JobSpec& s) const {
   if (s.kind != JobKind::Gang || !s.spread || s.tasks < 2) return false;
   return s.one_zone || !s.zone.empty() || settings_.zones.size() < 2;
 }
 
-bool Core::never_fits(const JobSpec& s, std::string& why) const {
+bool Controller::never_fits(const JobSpec& s, std::string& why) const {
   const TeamQuota* team = nullptr;
   for (const TeamQuota& t : tables_.teams)
     if (t.limits.name == s.team) team = &t;
@@ -87,7 +87,7 @@
   return true;
 }
 
-bool Core::ResourceRequest::as_much_as(const ResourceRequest& o) const {
+bool Controller::ResourceRequest::as_much_as(const ResourceRequest& o) const {
   return each.cpus >= o.each.cpus && each.gpus >= o.each.gpus &&
          each.memory_gb >= o.each.memory_gb && spot == o.spot && zone == o.zone &&
          any_type == o.any_type && types == o.types;
@@ -95,7 +95,7 @@
 
 // Which jobs fit, with their team's earlier unfinished ones, into the team's guarantee. Returns
 // those that have tasks to place, by priority.
-Core::Queues Core::note_guarantees() {
+Controller::Queues Controller::note_guarantees() {
   Queues waiting;
   std::vector<Resources> totals(tables_.teams.size());
   for (auto& [order, job] : tables_.in_order) {
@@ -120,7 +120,7 @@
 }
 
 // The guaranteed first, then by deadline and age.
-void Core::queue_order(std::vector<Job*>& jobs) const {
+void Controller::queue_order(std::vector<Job*>& jobs) const {
   const auto due = [](const Job* j) {
     return j->spec().deadline_s ? j->accepted + ms(*j->spec().deadline_s) : kNever;
   };
@@ -131,7 +131,7 @@
   });
 }
 
-void Core::schedule_all() {
+void Controller::schedule_all() {
   scheduling_needed_ = false;
   const Time now = clock_.now;
   const std::uint64_t examined = examined_;
@@ -179,7 +179,7 @@
 
 // Looks at all machines once: which of them take work, and which have room for the least that
 // waits.
-void Core::begin_rankings(const std::optional<Resources>& least_need) {
+void Controller::begin_rankings(const std::optional<Resources>& least_need) {
   end_rankings();
   if (!least_need) return;
   for (auto& [name, m] : tables_.machines) {
@@ -197,20 +197,20 @@
   }
 }
 
-void Core::end_rankings() {
+void Controller::end_rankings() {
   rankings_.clear();
   preemption_rankings_.clear();
   machines_changed_.clear();
   image_holders_.clear();
 }
 
-std::size_t Core::most_rankings() const {
+std::size_t Controller::most_rankings() const {
   const double bytes = settings_.limits.memory_mb * 1024 * 1024 * kRankingMemoryShare;
   const auto machines = static_cast<double>(tables_.machines.size() + 1);
   return static_cast<std::size_t>(std::max(kLeastRankings, bytes / (kRankingBytes * machines)));
 }
 
-bool Core::place_job(Job& job) {
+bool Controller::place_job(Job& job) {
   if (is_gang(job)) return place_gang(job);
   // Of a job that is likely to be a mistake, one task at a time shows whether it still fails.
   const bool one_by_one = job.suspect();
@@ -225,7 +225,7 @@
 }
 
 // True if the task is to be placed by this pass.
-bool Core::due(Job& job, std::uint32_t index) {
+bool Controller::due(Job& job, std::uint32_t index) {
   const Task& task = job.tasks[index];
   if (task.state != TaskState::Queued) {
     if (index == job.next_queued) ++job.next_queued;
@@ -239,7 +239,7 @@
 
 // Places what it can of the job's tasks. Returns how many found no room; empty if the team is at
 // its limit.
-std::optional<std::uint32_t> Core::place_tasks(Job& job, bool one_by_one) {
+std::optional<std::uint32_t> Controller::place_tasks(Job& job, bool one_by_one) {
   std::uint32_t waiting = 0;
   for (std::uint32_t i = job.next_queued; i < job.tasks.size() && job.queued > 0; ++i) {
     if (!due(job, i)) continue;
@@ -265,14 +265,14 @@
 }
 
 // Where a fetch would break an aim, room is made on a machine that holds the image, if possible.
-bool Core::warm_room_made(const Job& job, const Machine& m) {
+bool Controller::warm_room_made(const Job& job, const Machine& m) {
   const bool late = late_if_cold(job, m, "wait");
   if (late && preempt_for(job, true)) return true;
   const bool owed = job.guaranteed && late_if_cold(job, m, "guarantee");
   return (late || owed) && migrate_for(job);
 }
 
-void Core::bind(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt) {
+void Controller::bind(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt) {
   tables_.place(job, index, m, attempt, clock_.now);
   machine_changed(m);
   m.idle_since = 0;
@@ -284,8 +284,8 @@
 // Adds to what more machines could serve: what the team's limit allows beyond what it has and what
 // of its is counted already. Jobs of one kind are counted together: a list that was cut off after
 // so many jobs once hid most of a cold start from the sizing of the fleet.
-void Core::record_unmet_demand(const Job& job, const TeamQuota& team, std::uint32_t tasks,
-                               const std::string& zone) {
+void Controller::record_unmet_demand(const Job& job, const TeamQuota& team, std::uint32_t tasks,
+                                     const std::string& zone) {
   const JobSpec& s = job.spec();
   Resources& counted = unmet_of_team_[&team];
   std::uint32_t wanted = tasks;
@@ -309,19 +309,19 @@
 }
 
 // True if fetching the image there takes longer than an aim on starting allows.
-bool Core::late_if_cold(const Job& job, const Machine& m, const char* aim) const {
+bool Controller::late_if_cold(const Job& job, const Machine& m, const char* slo) const {
   const JobSpec& s = job.spec();
   if (m.has_image(s.image) || m.fetching(s.image)) return false;
   const MachineType* t = tables_.type(m.type);
   if (t == nullptr || t->fetch_gb_per_s <= 0) return false;
-  for (const Objective& o : settings_.objectives)
-    if (o.kind == aim && (o.job_class.empty() || o.job_class == s.job_class))
+  for (const ServiceLevelObjective& o : settings_.objectives)
+    if (o.kind == slo && (o.job_class.empty() || o.job_class == s.job_class))
       return s.image_gb / t->fetch_gb_per_s + settings_.workers.heartbeat_interval_s > o.within_s;
   return false;
 }
 
 // Takes back what was placed of a job and not sent yet.
-void Core::unplace(Job& job) {
+void Controller::unplace(Job& job) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
     ++examined_;
@@ -336,10 +336,10 @@
 }
 
 // Rises across epochs with nothing remembered.
-std::uint64_t Core::attempt_number() { return (epoch_ << kAttemptBits) + next_attempt_++; }
+std::uint64_t Controller::attempt_number() { return (epoch_ << kAttemptBits) + next_attempt_++; }
 
 // Where a replica that was stopped to be moved is awaited, if it still can go there.
-Machine* Core::migration_target(const Job& job, std::uint32_t index) {
+Machine* Controller::migration_target(const Job& job, std::uint32_t index) {
   if (migrations_.empty()) return nullptr;
   const auto node = migrations_.extract(task_name({job.spec().id, index}));
   if (!node) return nullptr;
@@ -354,8 +354,8 @@
 
 // How good a machine is for one more task of such a job; what the job's own tasks and failures say
 // of it is left out.
-MachineRating<Core::BinPackingScore> Core::bin_packing_score(const JobSpec& s, const Machine& m,
-                                                             bool may_queue_fetch) const {
+MachineRating<Controller::BinPackingScore> Controller::bin_packing_score(
+    const JobSpec& s, const Machine& m, bool may_queue_fetch) const {
   if (!open(m)) return {};
   const Resources room = room_beside(reservations_, m);
   if (!s.need.fits_in(room) || !tables_.suits(s, m)) return {};
@@ -374,8 +374,8 @@
 }
 
 // The same for a certain job.
-Core::BinPackingScore Core::score_for_job(const Job& job, const Machine& m,
-                                          BinPackingScore of_kind) {
+Controller::BinPackingScore Controller::score_for_job(const Job& job, const Machine& m,
+                                                      BinPackingScore of_kind) {
   if (job.error_machines.contains(m.name)) of_kind[kScoreFailed] = 1;
   // Replicas of a service keep apart, so that a machine's end takes few of them.
   if (job.spec().kind == JobKind::Service && job.placed > 0)
@@ -385,7 +385,7 @@
   return of_kind;
 }
 
-Machine* Core::best_machine(const Job& job, bool may_queue_fetch) {
+Machine* Controller::best_machine(const Job& job, bool may_queue_fetch) {
   const JobSpec& s = job.spec();
   const ResourceRequest want = resource_request_of(s);
   for (const ResourceRequest& failed : no_room_for_)
--- a/src/coordination/preemption.cpp
+++ b/src/controller/preemption.cpp
@@ -1,6 +1,6 @@
 // Stopping tasks: to make room for more important ones, to run elsewhere, or because their job is
 // cancelled.
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 #include "protocol/worker_codec.hpp"
 
 namespace sailreel {
@@ -11,13 +11,13 @@
 constexpr std::size_t kMovesForAStart = 2;
 }  // namespace
 
-double Core::grace_for(const Job& job) const {
+double Controller::grace_for(const Job& job) const {
   const JobSpec& s = job.spec();
   // A little above what the task needs: what is short of it saves nothing.
   return s.checkpoint_s > 0 ? s.save_s * 1.1 + 0.1 : 0;
 }
 
-void Core::stop_task(TaskAttempt& p, double grace_s) {
+void Controller::stop_task(TaskAttempt& p, double grace_s) {
   // A second stop may only shorten: that ends a task that is saving.
   p.grace_s = p.stop ? std::min(p.grace_s, grace_s) : grace_s;
   p.stop = true;
@@ -32,11 +32,11 @@
 // interval away, a cancelled task would run for nothing and work that waits for its room would wait
 // on. They go with the answers to reports all the same, so nothing depends on these; one that
 // arrives late finds its attempt gone, and does no harm.
-void Core::stop_tick() {
+void Controller::stop_tick() {
   while (!stops_due_.empty() && !calls_full()) {
     Machine* m = tables_.machine(*stops_due_.begin());
     stops_due_.erase(stops_due_.begin());
-    if (m == nullptr || !m->heard_in_epoch || m->silent || m->releasing || m->address.empty())
+    if (m == nullptr || !m->heard_in_epoch || m->silent || m->terminating || m->address.empty())
       continue;
     std::vector<Command> stops;
     for (const TaskAttempt& p : m->attempts)
@@ -55,7 +55,7 @@
 
 // Stops all of a job's tasks. Starts that haven't left are dropped; those that have are stopped in
 // the next answer to their worker, which comes after the start was carried out or dropped.
-void Core::stop_job(Job& job) {
+void Controller::stop_job(Job& job) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
     Machine& m = *task.machine;
@@ -72,7 +72,7 @@
 
 // Lower priority gives way; so does what another team runs beyond its guarantee to a team that is
 // within its own. Work never gives way to work of the same priority otherwise.
-bool Core::may_preempt(const Job& job, const TaskAttempt& p) const {
+bool Controller::may_preempt(const Job& job, const TaskAttempt& p) const {
   if (!p.held || p.job == nullptr || p.stop || p.migrating || p.job == &job) return false;
   const JobSpec& victim = p.job->spec();
   if (victim.priority > job.spec().priority) return true;
@@ -83,7 +83,7 @@
 }
 
 // Promises room for one more task of the job on some machine, stopping others there if need be.
-bool Core::preempt_for(const Job& job, bool warm_only, const std::string& zone) {
+bool Controller::preempt_for(const Job& job, bool warm_only, const std::string& zone) {
   const JobSpec& s = job.spec();
   const ResourceRequest want = resource_request_of(s);
   // What was in vain for work of the same team and priority, which needs no more, is so again.
@@ -99,8 +99,8 @@
   return false;
 }
 
-MachineRanking<double>& Core::preemption_ranking(const Job& job, bool warm_only,
-                                                 const std::string& zone) {
+MachineRanking<double>& Controller::preemption_ranking(const Job& job, bool warm_only,
+                                                       const std::string& zone) {
   const auto rate = [this, &job, warm_only](const Machine& m) -> MachineRating<double> {
     ++examined_;
     if (!open(m) || !tables_.suits(job.spec(), m)) return {};
@@ -116,7 +116,7 @@
       most_rankings(), machines_changed_, rate);
 }
 
-bool Core::preempt_on_best_machine(const Job& job, bool warm_only, const std::string& zone) {
+bool Controller::preempt_on_best_machine(const Job& job, bool warm_only, const std::string& zone) {
   MachineRanking<double>& ranking = preemption_ranking(job, warm_only, zone);
   const auto zone_open = [&](const std::string& other) {
     return (zone.empty() || other == zone) && tables_.zone_open(job, other);
@@ -143,7 +143,8 @@
 
 // What would have to be stopped on a machine to make room for one more task of the job; empty if
 // that can't be done there.
-std::optional<Core::PreemptionPlan> Core::preemption_plan_on(Machine& m, const Job& job) const {
+std::optional<Controller::PreemptionPlan> Controller::preemption_plan_on(Machine& m,
+                                                                         const Job& job) const {
   const JobSpec& spec = job.spec();
   PreemptionPlan eviction;
   eviction.cost = m.has_image(spec.image) ? 0 : 1;
@@ -174,7 +175,7 @@
 
 // The least important first; of arrays what has run shortest, as that work is lost; of replicas
 // what has run longest, as a start that is undone at once was none.
-bool Core::preempted_before(const TaskAttempt* a, const TaskAttempt* b) {
+bool Controller::preempted_before(const TaskAttempt* a, const TaskAttempt* b) {
   const JobSpec& first = a->job->spec();
   const JobSpec& second = b->job->spec();
   if (first.priority != second.priority) return first.priority > second.priority;
@@ -185,7 +186,7 @@
 
 // A replica costs its service a moment; an array's task loses what it hasn't saved. A gang is
 // stopped as a whole.
-double Core::preemption_cost(const TaskAttempt& p) const {
+double Controller::preemption_cost(const TaskAttempt& p) const {
   constexpr double kReplica = 2, kSaved = 2, kUnsaved = 1, kAllWorkLost = 3;
   const JobSpec& spec = p.job->spec();
   const double tasks = is_gang(*p.job) ? static_cast<double>(p.job->placed) : 1;
@@ -196,13 +197,13 @@
 }
 
 // A replica that can be stopped here to run elsewhere.
-bool Core::migratable(const TaskAttempt& p) const {
+bool Controller::migratable(const TaskAttempt& p) const {
   return p.held && p.job != nullptr && p.job->active() && p.job->spec().kind == JobKind::Service &&
          p.state == AttemptState::Running && !p.stop && !p.migrating &&
          clock_.now - p.running_since > kCountedStart;
 }
 
-void Core::migrate_replica(TaskAttempt& p, Machine& from, const Machine& to) {
+void Controller::migrate_replica(TaskAttempt& p, Machine& from, const Machine& to) {
   p.migrating = true;
   machine_changed(from);
   // Its room is kept: a replica that lost it to another once fetched its image for half a minute.
@@ -214,7 +215,7 @@
 // start goes out with the answer: they are down for a fraction of a report's interval, not for more
 // than one. Only the stop goes directly; a direct start would have to be waited for, perhaps for
 // minutes.
-void Core::migration_tick() {
+void Controller::migration_tick() {
   const Time soonest = heartbeat_interval() * 3 / 4;
   for (auto it = migrations_.begin(); it != migrations_.end();) {
     Migration& move = it->second;
@@ -238,7 +239,7 @@
 // Lets a task start where its image lies, although that is full of work as important, if some of
 // that can go on at once where its own image lies: a move takes a second or two, a fetch half a
 // minute.
-bool Core::migrate_for(const Job& job) {
+bool Controller::migrate_for(const Job& job) {
   const JobSpec& s = job.spec();
   const ResourceRequest want = resource_request_of(s);
   for (const FailedMigration& failed : no_migration_for_)
@@ -271,8 +272,8 @@
 
 // The replicas that would have to go elsewhere for one more task of the job to fit on a machine;
 // empty if that can't be done with few.
-std::optional<std::vector<Core::PlannedMigration>> Core::plan_migrations(Machine& m,
-                                                                         const Job& job) {
+std::optional<std::vector<Controller::PlannedMigration>> Controller::plan_migrations(
+    Machine& m, const Job& job) {
   const Resources& need = job.spec().need;
   Resources room = room_to_come(m);
   std::vector<PlannedMigration> plan;
@@ -289,7 +290,7 @@
 }
 
 // Images don't change within a pass of placement, nor within a look at the fleet's size.
-const Core::ImageHolders& Core::image_holders() {
+const Controller::ImageHolders& Controller::image_holders() {
   if (!image_holders_.empty()) return image_holders_;
   for (auto& [name, m] : tables_.machines) {
     ++examined_;
@@ -300,8 +301,9 @@
 
 // A machine that holds the image of a running replica and has room for it, beside what is promised
 // and what the plan so far sends there.
-Machine* Core::warm_room(const TaskAttempt& p, const Machine& from, const Reservations& promised,
-                         const std::vector<PlannedMigration>& plan) {
+Machine* Controller::warm_room(const TaskAttempt& p, const Machine& from,
+                               const Reservations& promised,
+                               const std::vector<PlannedMigration>& plan) {
   const JobSpec& s = p.job->spec();
   const auto holders = image_holders().find(s.image);
   if (holders == image_holders().end()) return nullptr;
--- a/src/coordination/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -1,7 +1,7 @@
 // What a new leader does before it places anything that may already run.
 #include <utility>
 
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 #include "protocol/worker_codec.hpp"
 
 namespace sailreel {
@@ -15,13 +15,13 @@
 }
 }  // namespace
 
-void Core::begin_reconciliation() {
+void Controller::begin_reconciliation() {
   role_ = Role::Leader;
   const Time now = clock_.now;
   fence_at_ = elected_at_ + with_drift(keep_alive_span() + worker_lease());
   reconciling_ = true;
   next_attempt_ = 1;
-  next_rental_ = 1;
+  next_scale_out_ = 1;
   Snapshot image = std::exchange(loading_, Snapshot{});
   note_unreadable(image);
   if (image.unreadable.contains(kManifestKey) || image.unreadable.contains(kEpochKey)) {
@@ -34,16 +34,16 @@
   manifest_version_ = image.manifest_version;
   load_shards(image);
   load_jobs(image);
-  load_rentals(image);
+  load_scale_outs(image);
   features_written_ = image.features.gangs;
   gangs_enabled_ = gangs_enabled_ || image.features.gangs;
   load_machines(image);
   if (!limits_.load(image, epoch_, now)) log(Log::Level::Error, "event=shares_without_options");
-  released_.clear();
+  terminated_.clear();
   capacity_checked_ = false;
   next_types_ = next_list_ = next_sizing_ = now;
   // Written at once, so that the head carries the new epoch before anything depends on it.
-  rentals_dirty_ = true;
+  scale_outs_changed_ = true;
   log(Log::Level::Info, "event=leading jobs=", tables_.jobs.size(),
       " finished=", tables_.finished.size(), " machines=", tables_.machines.size(),
       " seq=", manifest_seq_, " after_ms=", now - elected_at_, " fence_ms=", fence_at_ - now);
@@ -54,7 +54,7 @@
 
 // What an unreadable value held is unknown, and never taken for missing: jobs that may be in it get
 // 503, and it is not written over.
-void Core::note_unreadable(const Snapshot& image) {
+void Controller::note_unreadable(const Snapshot& image) {
   unknown_jobs_ = false;
   unknown_machines_ = false;
   for (const std::string& key : image.unreadable) {
@@ -66,7 +66,7 @@
 
 // A shard that is larger than may be written, as one of a time with higher limits, stays as it is:
 // what is stored stays readable. Its jobs go elsewhere when they change.
-void Core::load_shards(const Snapshot& image) {
+void Controller::load_shards(const Snapshot& image) {
   shards_ = JobShards(value_limit(kValueFill));
   for (const std::string& key : image.unreadable)
     if (const auto shard = shard_number(key)) shards_.close(*shard);
@@ -83,13 +83,13 @@
 
 // Rentals beyond what the head may hold, as after a time with higher limits, are left out: machines
 // of theirs are found in the cloud's list and by their reports.
-void Core::load_rentals(const Snapshot& image) {
-  for (const RentalRequest& rental : image.manifest.rentals)
-    if (rental_bytes() + rental_size(rental) <= value_limit(kRentalFill))
-      rentals_[rental.request] = {rental, true, false, clock_.now, clock_.now};
+void Controller::load_scale_outs(const Snapshot& image) {
+  for (const ScaleOutRequest& scale_out : image.manifest.scale_outs)
+    if (scale_out_bytes() + scale_out_size(scale_out) <= value_limit(kScaleOutFill))
+      scale_outs_[scale_out.request] = {scale_out, true, false, clock_.now, clock_.now};
 }
 
-void Core::load_jobs(Snapshot& image) {
+void Controller::load_jobs(Snapshot& image) {
   merge_pieces(image, image.pieces, kPieceBits);
   merge_pieces(image, image.small_pieces, kSmallPieceBits);
   // Jobs in the order in which they were submitted: that is their order in their team's queue.
@@ -111,7 +111,7 @@
     if (Job* job = tables_.job(key.first)) job->has_small_pieces = true;
 }
 
-void Core::load_job(JobRecord record) {
+void Controller::load_job(JobRecord record) {
   std::string stored = encode_record(record);
   Job& job = tables_.add_job(std::move(record));
   job.stored = std::move(stored);
@@ -131,7 +131,7 @@
   }
 }
 
-void Core::load_machines(const Snapshot& image) {
+void Controller::load_machines(const Snapshot& image) {
   for (const auto& [shard, list] : image.machines)
     for (const MachineRecord& record : list) {
       Machine& machine = tables_.add_machine(record.name, clock_.now);
@@ -146,7 +146,7 @@
 // The rebuild is over once every machine that may hold tasks has been heard under our token, or
 // can't hold any more. Asking them takes milliseconds; the design's wait of one round stays as the
 // bound for those that don't answer.
-void Core::reconcile() {
+void Controller::reconcile() {
   if (!reconciling_ || !holds_valid_lease(clock_.now)) return;
   const Time now = clock_.now;
   std::vector<Machine*> missing;
@@ -162,7 +162,8 @@
   // list that, and so nothing tells its zone.
   if (now - elected_at_ > silent_after() && few_silent(missing.size(), recorded))
     for (Machine* m : missing)
-      if (m->zone.empty() && m->probe_failures >= 2) release(*m, "silent since take-over");
+      if (m->zone.empty() && m->probe_failures >= 2)
+        terminate_instance(*m, "silent since take-over");
   if (!missing.empty()) return;
   // Machines that an unreadable value named can't be asked; but their leases run out.
   if (unknown_machines_ && now < fence_at_) return;
@@ -184,19 +185,20 @@
 }
 
 // It may hold tasks, and hasn't been heard under our token.
-bool Core::awaits_reconciliation(const Machine& m) const {
+bool Controller::awaits_reconciliation(const Machine& m) const {
   return m.recorded && !m.heard_in_epoch && !m.lease_passed && clock_.now < expiry(m);
 }
 
 // Asks the machines that aren't heard. Those that were never asked, or longest ago, come first:
 // there may be fewer sockets than machines that don't answer, and in the order of their names, or
 // with a rebuild's before the others, the last were never asked at all.
-void Core::inquire_tick() {
+void Controller::inquire_tick() {
   if (!holds_valid_lease(clock_.now)) return;
   std::vector<Machine*> unheard;
   for (auto& [name, m] : tables_.machines) {
     const bool awaited = reconciling_ && awaits_reconciliation(*m);
-    const bool silent = m->heard_in_epoch && m->silent && !m->releasing && clock_.now < expiry(*m);
+    const bool silent =
+        m->heard_in_epoch && m->silent && !m->terminating && clock_.now < expiry(*m);
     if (awaited || silent) unheard.push_back(m.get());
   }
   std::stable_sort(unheard.begin(), unheard.end(),
@@ -204,12 +206,12 @@
   for (Machine* m : unheard) inquire_if_due(*m);
 }
 
-void Core::inquire_if_due(Machine& m) {
+void Controller::inquire_if_due(Machine& m) {
   if (!m.probing && clock_.now >= m.probe_at) inquire(m);
 }
 
 // Fences a worker and brings its report. Without orders, it does no harm however late it arrives.
-void Core::inquire(Machine& m) {
+void Controller::inquire(Machine& m) {
   // The others wait for the next tick. With more machines than sockets, those that got none once
   // counted as failed, and a take-over took a second longer.
   if (m.address.empty() || calls_full()) return;
--- a/src/coordination/regional_quotas.cpp
+++ b/src/controller/regional_quotas.cpp
@@ -1,4 +1,4 @@
-#include "coordination/regional_quotas.hpp"
+#include "controller/regional_quotas.hpp"
 
 #include "federation/units.hpp"
 
--- a/src/coordination/share_moves.cpp
+++ b/src/controller/share_moves.cpp
@@ -1,5 +1,5 @@
 // How the core takes part in moves of shares between regions.
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 
 namespace sailreel {
 namespace {
@@ -9,7 +9,7 @@
 constexpr std::size_t kMostShareWrites = 4;
 }  // namespace
 
-void Core::share_tick() {
+void Controller::share_tick() {
   if (!limits_.shared() || clock_.now < next_share_look_) return;
   next_share_look_ = clock_.now + heartbeat_interval() / kLooksPerHeartbeat;
   // While anything may run that isn't known, nothing can be given: it may count against the share.
@@ -17,7 +17,7 @@
   perform_share_actions(limits_.observe(clock_.now, complete, peers_.all_share_limits()));
 }
 
-void Core::region_input(const RegionMessageReceived& input) {
+void Controller::region_input(const RegionMessageReceived& input) {
   if (!holds_valid_lease(clock_.now)) return;
   perform_share_actions(limits_.take(clock_.now, input.message));
   if (input.message.kind != RegionMessage::Kind::Demand) return;
@@ -25,7 +25,7 @@
   share_tick();
 }
 
-void Core::perform_share_actions(std::vector<federation::ShareAction> actions) {
+void Controller::perform_share_actions(std::vector<federation::ShareAction> actions) {
   for (federation::ShareAction& action : actions) {
     if (auto* send = std::get_if<federation::SendToRegion>(&action))
       out_.push_back(SendRegion{send->region, std::move(send->message)});
@@ -38,7 +38,7 @@
 }
 
 // Adds what is to be written of the shares; all of it, or none.
-void Core::add_shares(CompareAndSwapBuilder& transaction) {
+void Controller::add_shares(CompareAndSwapBuilder& transaction) {
   if (!limits_.wants_commit()) return;
   const std::size_t room = operations_limit() - transaction.operations();
   for (auto& write : limits_.writes(std::min(room, kMostShareWrites))) {
@@ -49,7 +49,7 @@
 
 // Stops tasks of the team of lower priority than that, the least important first, until what is
 // left is within its cap.
-void Core::stop_beyond_cap(const std::string& name, Priority below) {
+void Controller::stop_beyond_cap(const std::string& name, Priority below) {
   TeamQuota* team = tables_.team(name);
   if (team == nullptr) return;
   std::vector<TaskAttempt*> candidates;
