--- a/src/coordination/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -1,5 +1,5 @@
 // What reports say of tasks, the commands that answer them, and when a task is surely gone.
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 
 namespace sailreel {
 namespace {
@@ -12,8 +12,8 @@
 }  // namespace
 
 // A report doesn't show what was placed there.
-void Core::handle_missing_task(Machine& m, std::size_t index, std::uint64_t heartbeat_seq,
-                               bool direct) {
+void Controller::handle_missing_task(Machine& m, std::size_t index, std::uint64_t heartbeat_seq,
+                                     bool direct) {
   TaskAttempt& p = m.attempts[index];
   if (p.state == AttemptState::Reserved) return;
   if (p.state == AttemptState::Sent) {
@@ -34,7 +34,7 @@
 }
 
 // Forgets what was placed there; the job may be over with that.
-void Core::drop(Machine& m, std::size_t index) {
+void Controller::drop(Machine& m, std::size_t index) {
   const TaskAttempt& p = m.attempts[index];
   Job* job = p.job != nullptr ? p.job : p.orphan_of;
   tables_.erase(m, index);
@@ -44,18 +44,18 @@
 }
 
 // What hasn't been sent there yet can go elsewhere at once.
-void Core::drop_unsent(Machine& m) {
+void Controller::drop_unsent(Machine& m) {
   for (std::size_t i = m.attempts.size(); i-- > 0;)
     if (m.attempts[i].state == AttemptState::Reserved) drop(m, i);
   scheduling_needed_ = true;
 }
 
-void Core::quarantine(Machine& m, const char* why) {
+void Controller::quarantine(Machine& m, const char* why) {
   m.quarantined_until = clock_.now + 2 * worker_lease();
   log(Log::Level::Info, "event=quarantine machine=", m.name, " cause=\"", why, "\"");
 }
 
-void Core::incarnation_lost(Machine& m, const char* why) {
+void Controller::incarnation_lost(Machine& m, const char* why) {
   if (m.attempts.empty()) return;
   log(Log::Level::Info, "event=tasks_gone machine=", m.name, " count=", m.attempts.size(),
       " zone=", m.zone, " session=", m.incarnation, " heard_ms=", clock_.now - m.last_heartbeat,
@@ -66,7 +66,7 @@
   scheduling_needed_ = true;
 }
 
-void Core::take_task(Machine& m, const TaskStatus& t, std::vector<bool>& seen) {
+void Controller::take_task(Machine& m, const TaskStatus& t, std::vector<bool>& seen) {
   TaskAttempt* p = m.find(t.key, t.attempt);
   if (p != nullptr) {
     const auto i = static_cast<std::size_t>(p - m.attempts.data());
@@ -92,7 +92,7 @@
 
 // An attempt that we don't know: started by a former leader, or come back although we thought it
 // gone.
-TaskAttempt& Core::adopt_attempt(Machine& m, const TaskStatus& t) {
+TaskAttempt& Controller::adopt_attempt(Machine& m, const TaskStatus& t) {
   Job* job = tables_.job(t.key.job);
   if (job != nullptr && t.key.index >= job->tasks.size()) job = nullptr;
   const bool on_machine = t.state != RunState::Exited;
@@ -113,7 +113,7 @@
 
 // An attempt that is not the task's present place: it counts against team and machine, and is
 // stopped.
-TaskAttempt& Core::add_orphan(Machine& m, const TaskStatus& t, Job* job) {
+TaskAttempt& Controller::add_orphan(Machine& m, const TaskStatus& t, Job* job) {
   TaskAttempt orphan;
   orphan.key = t.key;
   orphan.attempt = t.attempt;
@@ -133,7 +133,7 @@
   return m.attempts.back();
 }
 
-void Core::task_state(Machine& m, TaskAttempt& p, AttemptState state) {
+void Controller::task_state(Machine& m, TaskAttempt& p, AttemptState state) {
   if (state == p.state) return;
   const auto runs = [](AttemptState s) {
     return s == AttemptState::Running || s == AttemptState::Saving;
@@ -152,7 +152,7 @@
       p.key.index, " attempt=", p.attempt);
 }
 
-void Core::note_finished(Job& job, std::uint32_t index, const Machine& m) {
+void Controller::note_finished(Job& job, std::uint32_t index, const Machine& m) {
   tables_.mark_done(job, index);
   // The tasks of a gang complete together: one that is done says it of all.
   for (std::uint32_t i = 0; is_gang(job) && i < job.spec().tasks; ++i) tables_.mark_done(job, i);
@@ -161,7 +161,7 @@
   finished_tasks_.push_back({job.spec().id, index, m.name});
 }
 
-void Core::task_exited(Machine& m, TaskAttempt& p) {
+void Controller::task_exited(Machine& m, TaskAttempt& p) {
   const Time now = clock_.now;
   Job* job = p.job;
   Job* orphan_of = p.orphan_of;
@@ -226,7 +226,7 @@
 
 // A job submitted with a mistake fails everywhere; a faulty machine fails several jobs that run
 // elsewhere. Two jobs with a mistake once had every machine returned that they came to.
-void Core::task_failed(Job& job, Machine& m) {
+void Controller::task_failed(Job& job, Machine& m) {
   ++job.errors;
   job.error_machines.insert(m.name);
   if (!job.suspect()) {
@@ -243,8 +243,8 @@
 
 // A machine is faulty when several jobs failed on it that run elsewhere. Until that is known of
 // them, it gets no work.
-void Core::check_for_fault(Machine& m) {
-  if (m.draining || m.error_jobs.size() < kFaultyJobs) return;
+void Controller::check_for_fault(Machine& m) {
+  if (m.cordoned || m.error_jobs.size() < kFaultyJobs) return;
   const auto runs_elsewhere = [&](const std::string& id) {
     Job* job = tables_.job(id);
     if (job == nullptr)
@@ -260,12 +260,12 @@
   const auto proven = static_cast<std::size_t>(
       std::count_if(m.error_jobs.begin(), m.error_jobs.end(), runs_elsewhere));
   if (proven >= kFaultyJobs)
-    drain(m, "faulty");
+    cordon(m, "faulty");
   else if (clock_.now >= m.quarantined_until)
     quarantine(m, "errors");
 }
 
-std::vector<Command> Core::commands_for(Machine& m, std::uint64_t heartbeat_seq) {
+std::vector<Command> Controller::commands_for(Machine& m, std::uint64_t heartbeat_seq) {
   std::vector<Command> out;
   // Stops and forgets come before starts: they make the room that the starts were promised.
   for (std::size_t i = m.attempts.size(); i-- > 0;) {
@@ -305,7 +305,7 @@
 }
 
 // For a log line: where tasks are that have a say in where others may start.
-std::string Core::zones_known(const Job& job) {
+std::string Controller::zones_known(const Job& job) {
   if (!job.spec().one_zone && !job.spec().spread) return {};
   std::string zones;
   for (const auto& [zone, tasks] : job.per_zone)
@@ -313,7 +313,7 @@
   return zones;
 }
 
-void Core::machine_gone(Machine& m, const char* why) {
+void Controller::machine_gone(Machine& m, const char* why) {
   log(Log::Level::Info, "event=machine_gone machine=", m.name, " cause=\"", why, "\"");
   incarnation_lost(m, why);
   if (m.recorded || m.record_dirty) dirty_machine_shards_.insert(machine_shard(m.name));
--- a/src/federation/share_manager.cpp
+++ b/src/federation/share_manager.cpp
@@ -291,8 +291,8 @@
 Amounts ShareManager::grant(TeamView& view, std::size_t region, const DemandEntry& demand) {
   const std::string& team = demand.team;
   const Amounts spare = unused(team, view);
-  const Amounts ordinary = (spare - reserve(view)).positive().at_most(demand.wanted);
-  const Amounts granted = ordinary.at_least(spare.at_most(demand.urgent));
+  const Amounts on_demand = (spare - reserve(view)).positive().at_most(demand.wanted);
+  const Amounts granted = on_demand.at_least(spare.at_most(demand.urgent));
   const Amounts missing = (demand.urgent - granted).positive();
   const Amounts stoppable = limited(team, stoppable_of(view.load.running));
   // Not while urgent work of its own waits here.
--- a/src/protocol/cloud_codec.cpp
+++ b/src/protocol/cloud_codec.cpp
@@ -67,24 +67,24 @@
               "/machines?" + (call.after.empty() ? "" : "from=" + call.after + "&") +
                   "limit=" + std::to_string(call.limit),
               ""};
-    case CloudRequest::Kind::Rent: {
+    case CloudRequest::Kind::ScaleOut: {
       rapidjson::StringBuffer b;
       json::Writer w(b);
       w.StartObject();
       w.Key("charter");
-      json::put(w, call.rental.request);
+      json::put(w, call.scale_out.request);
       w.Key("hull");
-      json::put(w, call.rental.type);
+      json::put(w, call.scale_out.type);
       w.Key("harbor");
-      json::put(w, call.rental.zone);
+      json::put(w, call.scale_out.zone);
       w.Key("driftwood");
-      w.Bool(call.rental.spot);
+      w.Bool(call.scale_out.spot);
       w.Key("how_many");
-      w.Uint(call.rental.count);
+      w.Uint(call.scale_out.count);
       w.EndObject();
       return {"POST", "/machines", json::text(b)};
     }
-    case CloudRequest::Kind::Release: {
+    case CloudRequest::Kind::Terminate: {
       rapidjson::StringBuffer b;
       json::Writer w(b);
       w.StartObject();
@@ -102,18 +102,18 @@
 CloudResponse decode_cloud_response(const CloudRequest& call, int status, std::string_view body) {
   CloudResponse out;
   out.status = status;
-  if (status == 503 && call.kind == CloudRequest::Kind::Rent) {
+  if (status == 503 && call.kind == CloudRequest::Kind::ScaleOut) {
     json::Document error;
     std::string text;
     out.no_capacity =
         json::parse_object(body, error) && json::get(error, "error", text) && text == "no capacity";
   }
-  if (status != 200 || call.kind == CloudRequest::Kind::Release) return out;
+  if (status != 200 || call.kind == CloudRequest::Kind::Terminate) return out;
   json::Document doc;
   const bool ok = json::parse_object(body, doc) &&
-                  (call.kind == CloudRequest::Kind::Types  ? read_types(doc, out)
-                   : call.kind == CloudRequest::Kind::Rent ? read_names(doc, out)
-                                                           : read_machines(doc, out));
+                  (call.kind == CloudRequest::Kind::Types      ? read_types(doc, out)
+                   : call.kind == CloudRequest::Kind::ScaleOut ? read_names(doc, out)
+                                                               : read_machines(doc, out));
   if (!ok) out = CloudResponse{};
   return out;
 }
--- a/src/protocol/counterpart_codec.cpp
+++ b/src/protocol/fake_server_codec.cpp
@@ -1,4 +1,4 @@
-#include "protocol/counterpart_codec.hpp"
+#include "protocol/fake_server_codec.hpp"
 
 #include <array>
 #include <charconv>
@@ -162,24 +162,24 @@
   return json::text(buffer);
 }
 
-std::optional<CloudRequest> decode_rental(std::string_view body) {
+std::optional<CloudRequest> decode_scale_out(std::string_view body) {
   json::Document doc;
   CloudRequest call;
-  call.kind = CloudRequest::Kind::Rent;
+  call.kind = CloudRequest::Kind::ScaleOut;
   std::uint64_t count = 0;
-  if (!json::parse_object(body, doc) || !json::get(doc, "charter", call.rental.request) ||
-      !json::get(doc, "hull", call.rental.type) || !json::get(doc, "harbor", call.rental.zone) ||
-      !json::get(doc, "how_many", count))
+  if (!json::parse_object(body, doc) || !json::get(doc, "charter", call.scale_out.request) ||
+      !json::get(doc, "hull", call.scale_out.type) ||
+      !json::get(doc, "harbor", call.scale_out.zone) || !json::get(doc, "how_many", count))
     return {};
-  json::get(doc, "driftwood", call.rental.spot);
-  call.rental.count = static_cast<std::uint32_t>(count);
+  json::get(doc, "driftwood", call.scale_out.spot);
+  call.scale_out.count = static_cast<std::uint32_t>(count);
   return call;
 }
 
 std::optional<CloudRequest> decode_release(std::string_view body) {
   json::Document doc;
   CloudRequest call;
-  call.kind = CloudRequest::Kind::Release;
+  call.kind = CloudRequest::Kind::Terminate;
   if (!json::parse_object(body, doc)) return {};
   const json::Value* names = json::member(doc, "vessels");
   if (names == nullptr || !names->IsArray()) return {};
@@ -225,7 +225,7 @@
     case CloudRequest::Kind::Types:
       object.list("hulls", reply.types, [&](const MachineType& t) { write_type(writer, t); });
       break;
-    case CloudRequest::Kind::Rent:
+    case CloudRequest::Kind::ScaleOut:
       object.list("vessels", reply.names, [&](const std::string& n) { json::put(writer, n); });
       break;
     case CloudRequest::Kind::List:
@@ -233,7 +233,7 @@
                   [&](const ListedMachine& m) { write_machine(writer, m); });
       object.flag("has_next", reply.more);
       break;
-    case CloudRequest::Kind::Release:
+    case CloudRequest::Kind::Terminate:
       break;
   }
   object.end();
@@ -369,7 +369,7 @@
     parse_number(parameter(path, "limit"), call.limit);
     return call;
   }
-  if (method == "POST" && path == "/machines") return decode_rental(body);
+  if (method == "POST" && path == "/machines") return decode_scale_out(body);
   if (method == "POST" && path == "/machines/release") return decode_release(body);
   return {};
 }
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -114,7 +114,7 @@
   std::vector<std::string> zones;
 };
 
-struct RentalRequest {
+struct ScaleOutRequest {
   std::string request, type, zone;
   bool spot = false;
   std::uint32_t count = 0;
@@ -128,8 +128,8 @@
 };
 
 struct CloudRequest {
-  enum class Kind : std::uint8_t { Types, Rent, Release, List } kind = Kind::Types;
-  RentalRequest rental;
+  enum class Kind : std::uint8_t { Types, ScaleOut, Terminate, List } kind = Kind::Types;
+  ScaleOutRequest scale_out;
   std::vector<std::string> names;  // Release
   std::string after;               // List
   std::uint32_t limit = 500;
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -148,7 +148,7 @@
   if (const json::Value* l = list(p, "objectives", "settings.objectives"))
     for (rapidjson::SizeType i = 0; i < l->Size(); ++i) {
       const auto& v = (*l)[i];
-      Objective o;
+      ServiceLevelObjective o;
       o.kind = text(v, "kind", at("settings.objectives", i, "kind"));
       json::get(v, "class", o.job_class);
       json::get(v, "within_s", o.within_s);
@@ -174,8 +174,8 @@
     fail("settings.state.txn_ops", "missing or not a whole number of at least 4");
   lower_to_next_limits(st, s);
   const auto& c = object(p, "cloud", "settings.cloud");
-  s.market.rps = number(c, "rps", "settings.cloud.rps", true);
-  s.market.list_lag_s = number(c, "list_lag_s", "settings.cloud.list_lag_s", false);
+  s.cloud_limits.rps = number(c, "rps", "settings.cloud.rps", true);
+  s.cloud_limits.list_lag_s = number(c, "list_lag_s", "settings.cloud.list_lag_s", false);
   const auto& r = object(p, "resources", "settings.resources");
   s.limits.cpu = number(r, "cpu", "settings.resources.cpu", true);
   s.limits.memory_mb = number(r, "memory_mb", "settings.resources.memory_mb", true);
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -22,7 +22,7 @@
 };
 
 /// An aim on starting or finishing, as the settings state it.
-struct Objective {
+struct ServiceLevelObjective {
   std::string kind, job_class;
   double within_s = 0, share = 0;
 };
@@ -33,7 +33,7 @@
   std::string cloud, state;
   std::vector<std::string> zones;
   std::vector<Team> teams;
-  std::vector<Objective> objectives;
+  std::vector<ServiceLevelObjective> objectives;
   struct {
     double heartbeat_interval_s = 0, lease_s = 0, cancel_s = 0;
     /// How long a task of a gang waits for the others, and within what time the tasks of a running
@@ -48,7 +48,7 @@
   } store;
   struct {
     double rps = 0, list_lag_s = 0;
-  } market;
+  } cloud_limits;
   struct {
     double cpu = 1, memory_mb = 0;
     std::uint64_t sockets = 0;
--- a/src/storage/checkpoint.cpp
+++ b/src/storage/checkpoint.cpp
@@ -235,7 +235,7 @@
   rapidjson::StringBuffer b;
   json::Writer w(b);
   w.StartArray();
-  for (const auto& r : manifest.rentals) {
+  for (const auto& r : manifest.scale_outs) {
     w.StartArray();
     json::put(w, r.request);
     json::put(w, r.type);
@@ -342,12 +342,13 @@
   if (!json::get(doc, "q", manifest.seq) || !json::get(doc, "e", manifest.epoch))
     unreadable.insert(kManifestKey);
   manifest_version = version;
-  manifest.rentals.clear();
+  manifest.scale_outs.clear();
   in_manifest.clear();
-  if (const json::Value* rentals = json::member(doc, "r"); rentals != nullptr && rentals->IsArray())
-    for (const auto& v : rentals->GetArray())
+  if (const json::Value* scale_outs = json::member(doc, "r");
+      scale_outs != nullptr && scale_outs->IsArray())
+    for (const auto& v : scale_outs->GetArray())
       if (v.IsArray() && v.Size() == 5 && v[3].IsBool() && v[4].IsUint())
-        manifest.rentals.push_back(
+        manifest.scale_outs.push_back(
             {as_text(v[0]), as_text(v[1]), as_text(v[2]), v[3].GetBool(), v[4].GetUint()});
   apply_jobs(doc, kManifestKey);
 }
--- a/src/storage/checkpoint.hpp
+++ b/src/storage/checkpoint.hpp
@@ -40,7 +40,7 @@
 inline constexpr double kValueFill = 0.85;
 
 /// Share of a value's limit that open rentals may take of the head.
-inline constexpr double kRentalFill = 0.4;
+inline constexpr double kScaleOutFill = 0.4;
 /// A shard may grow to this share of a value's limit before its jobs go elsewhere.
 inline constexpr double kShardGrowthFill = 0.95;
 
@@ -145,7 +145,7 @@
 
 struct Manifest {
   std::uint64_t seq = 0, epoch = 0;
-  std::vector<RentalRequest> rentals;
+  std::vector<ScaleOutRequest> scale_outs;
 };
 std::string encode_manifest(const Manifest& manifest, const std::vector<std::string>& records);
 std::string encode_shard(const std::vector<std::string>& records);
--- a/src/storage/tables.cpp
+++ b/src/storage/tables.cpp
@@ -185,7 +185,7 @@
   if (!slot) {
     slot = std::make_unique<Machine>();
     slot->name = name;
-    slot->rented = now;
+    slot->launched = now;
     slot->idle_since = now;
     machines_by_shard_[machine_shard(name)].insert(name);
   }
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -154,16 +154,16 @@
   bool record_dirty = false;
   std::uint64_t incarnation = 0, seq = 0;
   IncarnationFence incarnation_fence;  // those that are over by our own proof
-  Time rented = 0;                     // or first heard of
+  Time launched = 0;                   // or first heard of
   Time last_heartbeat = 0;             // fresh, or a direct answer
   Time steady_since = 0;               // heard without a gap since then
   Time last_own_heartbeat = 0;         // last report that it sent by itself
   Time answered = 0;                   // last answer that may have renewed its lease
   Time idle_since = 0;
-  bool draining = false;  // takes no more work
-  std::string drain_cause;
-  bool retiring = false;   // takes no more work unless that has no other room
-  bool releasing = false;  // a release was or is to be sent
+  bool cordoned = false;  // takes no more work
+  std::string cordon_cause;
+  bool draining = false;     // takes no more work unless that has no other room
+  bool terminating = false;  // a release was or is to be sent
   bool silent = false;
   Time silent_since = 0;
   bool probing = false;
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -6,11 +6,11 @@
 namespace sailreel::sim {
 namespace {
 
-void ask_everywhere(World& world, std::size_t jobs, Time from, Time until, Time every) {
+void ask_everywhere(SimulatedRegion& region, std::size_t jobs, Time from, Time until, Time every) {
   for (Time t = from; t < until; t += every) {
-    world.run_until(t);
+    region.run_until(t);
     for (std::size_t n = 0; n < jobs; ++n)
-      for (std::size_t node = 0; node < 3; ++node) world.ask(job_id(n), node, UserOp::Query);
+      for (std::size_t node = 0; node < 3; ++node) region.ask(job_id(n), node, UserOp::Query);
   }
 }
 
@@ -20,22 +20,22 @@
 TEST(Answers, ARoundInDoubtIsNotAnsweredInItsOldForm) {
   constexpr std::size_t kJobs = 12;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    DayPlan plan = quiet(seed);
+    SimulationPlan plan = quiet(seed);
     plan.length = 70'000;
-    World world(plan);
-    world.run_until(1'000);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
     for (std::size_t n = 0; n < kJobs; ++n)
-      world.submit(n % 2 == 0 ? service(job_id(n), 1) : array(job_id(n), 1, 28));
-    world.run_until(40'000);
-    ASSERT_GE(world.leader(), 0);
-    world.cut_peers(leader_of(world), 12'000, false);
-    ask_everywhere(world, kJobs, 40'000, 42'000, 200);
-    world.late_writes(0.9, 9'000, true);
-    for (std::size_t n = 0; n < kJobs; n += 2) world.cancel(job_id(n));
-    ask_everywhere(world, kJobs, 42'000, 51'000, 60);
-    world.run();
-    EXPECT_TRUE(world.checker().violations().empty()) << seed << " " << world.checker().summary();
-    EXPECT_EQ(world.checker().jobs_over(), kJobs) << seed;
+      region.submit(n % 2 == 0 ? service(job_id(n), 1) : array(job_id(n), 1, 28));
+    region.run_until(40'000);
+    ASSERT_GE(region.leader(), 0);
+    region.cut_peers(leader_of(region), 12'000, false);
+    ask_everywhere(region, kJobs, 40'000, 42'000, 200);
+    region.late_writes(0.9, 9'000, true);
+    for (std::size_t n = 0; n < kJobs; n += 2) region.cancel(job_id(n));
+    ask_everywhere(region, kJobs, 42'000, 51'000, 60);
+    region.run();
+    EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
+    EXPECT_EQ(region.checker().jobs_over(), kJobs) << seed;
   }
 }
 
@@ -44,25 +44,25 @@
 TEST(Answers, AShardIsWrittenAsCommittedNotAsInMemory) {
   constexpr std::size_t kJobs = 90;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    DayPlan plan = quiet(seed + 20);
+    SimulationPlan plan = quiet(seed + 20);
     plan.length = 90'000;
-    World world(plan);
-    world.run_until(1'000);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
     for (std::size_t n = 0; n < kJobs; ++n) {
       JobSpec s = service(job_id(n), 1);
       s.need = {0.1, 0.05, 1};
-      world.submit(s);
+      region.submit(s);
     }
-    world.run_until(40'000);
-    world.cut_peers(leader_of(world), 20'000, false);
-    ask_everywhere(world, 1, 40'000, 42'000, 500);
+    region.run_until(40'000);
+    region.cut_peers(leader_of(region), 20'000, false);
+    ask_everywhere(region, 1, 40'000, 42'000, 500);
     // All at once, while most answers of the state service are lost: a round takes a second or two.
-    world.late_writes(0.7, 15'000, true);
-    for (std::size_t n = 0; n < kJobs; ++n) world.cancel(job_id(n));
-    ask_everywhere(world, kJobs, 42'000, 56'000, 350);
-    world.run();
-    EXPECT_TRUE(world.checker().violations().empty()) << seed << " " << world.checker().summary();
-    EXPECT_EQ(world.checker().jobs_over(), kJobs) << seed;
+    region.late_writes(0.7, 15'000, true);
+    for (std::size_t n = 0; n < kJobs; ++n) region.cancel(job_id(n));
+    ask_everywhere(region, kJobs, 42'000, 56'000, 350);
+    region.run();
+    EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
+    EXPECT_EQ(region.checker().jobs_over(), kJobs) << seed;
   }
 }
 
@@ -73,66 +73,68 @@
 // what is over already; some of what they send can't run.
 TEST_P(ConsistentAnswers, NoNodeSaysLessThanAnotherHasSaid) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    DayPlan plan = quiet(seed * 3 + 100);
+    SimulationPlan plan = quiet(seed * 3 + 100);
     plan.length = 260'000;
-    World world(plan);
-    world.run_until(1'000);
-    world.poll_closely(plan.length);
-    world.odd_requests(120'000);
-    world.cancel_at_end(0.4, 120'000);
-    submit_mixed_jobs(world, 0, 10, seed);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    region.poll_closely(plan.length);
+    region.odd_requests(120'000);
+    region.cancel_at_end(0.4, 120'000);
+    submit_mixed_jobs(region, 0, 10, seed);
     std::size_t next = 10;
     for (int round = 0; round < 5; ++round) {
       for (int k = 0; k < 10; ++k, ++next)
-        world.submit(array(job_id(next), 1 + static_cast<std::uint32_t>(k % 2), 2 + k % 4));
-      world.run_until(world.now() + 3'000);
-      GetParam().play(world, seed);
+        region.submit(array(job_id(next), 1 + static_cast<std::uint32_t>(k % 2), 2 + k % 4));
+      region.run_until(region.now() + 3'000);
+      GetParam().play(region, seed);
       // As tasks end, a few milliseconds apart.
       for (int k = 0; k < 60; ++k) {
-        world.run_until(world.now() + 100);
+        region.run_until(region.now() + 100);
         for (std::size_t n = next - 10; n < next; ++n)
-          world.ask(job_id(n), (n + static_cast<std::size_t>(k)) % 3,
-                    k % 9 == 0 ? UserOp::Submit : UserOp::Query);
+          region.ask(job_id(n), (n + static_cast<std::size_t>(k)) % 3,
+                     k % 9 == 0 ? UserOp::Submit : UserOp::Query);
       }
-      world.run_until(world.now() + 9'000);
+      region.run_until(region.now() + 9'000);
     }
-    world.run_until(150'000);
-    world.calm();
-    world.run();
-    expect_nothing_left(world, seed);
+    region.run_until(150'000);
+    region.calm();
+    region.run();
+    expect_nothing_left(region, seed);
   }
 }
 
 const Scenario kScenarios[] = {
-    {"WithNoOtherTrouble", [](World&, std::uint64_t) {}},
+    {"WithNoOtherTrouble", [](SimulatedRegion&, std::uint64_t) {}},
     {"WhileOnlyAnswersOfTheStateServiceAreLost",
-     [](World& w, std::uint64_t) { w.late_writes(0.5, 6'000, true); }},
+     [](SimulatedRegion& w, std::uint64_t) { w.late_writes(0.5, 6'000, true); }},
     {"WhileTheLeaderHasLostTheOthersAndItsWritesLag",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        w.cut_peers(leader_of(w), 6'000, seed % 2 == 0);
        w.late_writes(0.5, 6'000, seed % 3 == 0);
      }},
     {"WhileTheLeaderIsIsolatedWithItsWorkersAndUsers",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        w.isolate(leader_of(w), 8'000, seed % 2 == 0);
        w.cancel_now(3, 0);
      }},
     {"WhileTheStateServiceRefusesTheLeader",
-     [](World& w, std::uint64_t) {
+     [](SimulatedRegion& w, std::uint64_t) {
        w.reject_kv_requests(leader_of(w), 5'000);
        w.cancel_now(3, 0);
      }},
     {"WhileTheLeaderStandsStill",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        w.freeze(leader_of(w), 1'000 + static_cast<Time>(seed) * 500);
      }},
     {"WhileASiblingStandsStill",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        w.freeze((leader_of(w) + 1) % 3, 1'000 + static_cast<Time>(seed) * 500);
        w.reject_kv_requests(leader_of(w), 4'000);
      }},
     {"WhileTheLeaderEnds",
-     [](World& w, std::uint64_t seed) { w.kill(leader_of(w), seed % 2 == 0 ? 300 : 5'000); }},
+     [](SimulatedRegion& w, std::uint64_t seed) {
+       w.kill(leader_of(w), seed % 2 == 0 ? 300 : 5'000);
+     }},
 };
 
 INSTANTIATE_TEST_SUITE_P(Scenarios, ConsistentAnswers, ::testing::ValuesIn(kScenarios),
@@ -143,9 +145,9 @@
 // long the answer was on its way, or the sibling stood still with the answer in its buffer.
 TEST(Answers, AForwardedAnswerThatIsLateIsNotPassedOn) {
   const auto answered = [](Time after, std::optional<std::uint32_t> valid_ms) {
-    Core core(sample_settings(0), Options{}, 1);
+    Controller controller(sample_settings(0), Options{}, 1);
     Time now = 1'000'000;
-    const auto step = [&](Input input) { return core.step({now, 0}, std::move(input)); };
+    const auto step = [&](Input input) { return controller.step({now, 0}, std::move(input)); };
     step(Tick{});
     PeerMessageReceived heartbeat;
     heartbeat.message.kind = PeerMessage::Kind::Heartbeat;
@@ -178,54 +180,54 @@
 // What a value held that can't be read is unknown, never missing: its jobs get 503, and new ones
 // aren't taken, since they may be old ones; what could be read is served on.
 TEST(Answers, AnUnreadableValueIsUnknownNotMissing) {
-  DayPlan plan = quiet(31);
-  World world(plan);
-  world.run_until(1'000);
+  SimulationPlan plan = quiet(31);
+  SimulatedRegion region(plan);
+  region.run_until(1'000);
   constexpr std::size_t kJobs = 60;
   for (std::size_t n = 0; n < kJobs; ++n) {
     JobSpec s = service(job_id(n), 1);
     s.need = {0.1, 0.05, 1};
-    world.submit(s);
+    region.submit(s);
   }
-  world.run_until(40'000);
-  ASSERT_TRUE(world.state().spoil("sr/s/000000"));
-  world.kill(leader_of(world), 6'000);
-  world.run_until(50'000);
+  region.run_until(40'000);
+  ASSERT_TRUE(region.state().spoil("sr/s/000000"));
+  region.kill(leader_of(region), 6'000);
+  region.run_until(50'000);
   std::map<int, int> polls, submissions;
   for (std::size_t n = 0; n < kJobs; ++n)
     for (std::size_t node = 0; node < 3; ++node) {
-      world.ask_for(job_id(n), node, UserOp::Query, [&](int s) { ++polls[s]; });
-      world.ask_for(job_id(n), node, UserOp::Submit, [&](int s) { ++submissions[s]; });
+      region.ask_for(job_id(n), node, UserOp::Query, [&](int s) { ++polls[s]; });
+      region.ask_for(job_id(n), node, UserOp::Submit, [&](int s) { ++submissions[s]; });
     }
-  world.run_until(54'000);
+  region.run_until(54'000);
   EXPECT_EQ(polls[404], 0);
   EXPECT_GT(polls[503], 0);
   EXPECT_GT(polls[200], 0);
   EXPECT_EQ(submissions[201], 0);
-  EXPECT_EQ(world.state().value_of("sr/s/000000"), "gibberish") << "it was written over";
-  world.run();
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  EXPECT_EQ(region.state().value_of("sr/s/000000"), "gibberish") << "it was written over";
+  region.run();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // Two zones are apart: a node that can't reach the leader hands submissions and cancellations to
 // one that can, and users get their answers as ever.
 TEST(Answers, ANodeWithoutAPathToTheLeaderUsesAPeer) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    World world(quiet(seed));
-    world.run_until(20'000);
-    const std::size_t lead = leader_of(world);
+    SimulatedRegion region(quiet(seed));
+    region.run_until(20'000);
+    const std::size_t lead = leader_of(region);
     const std::size_t apart = (lead + 1 + seed % 2) % 3;
-    world.cut(node_name(lead), node_name(apart), 20'000, seed % 3 == 0);
-    world.run_until(23'000);
+    region.cut(node_name(lead), node_name(apart), 20'000, seed % 3 == 0);
+    region.run_until(23'000);
     int submitted = 0, cancelled = 0;
-    world.submit_at(service("job-1", 1), apart, [&submitted](int s) { submitted = s; });
-    world.run_until(24'000);
+    region.submit_at(service("job-1", 1), apart, [&submitted](int s) { submitted = s; });
+    region.run_until(24'000);
     EXPECT_EQ(submitted, 201) << seed;
-    world.ask_for("job-1", apart, UserOp::Cancel, [&cancelled](int s) { cancelled = s; });
-    world.run_until(25'000);
+    region.ask_for("job-1", apart, UserOp::Cancel, [&cancelled](int s) { cancelled = s; });
+    region.run_until(25'000);
     EXPECT_EQ(cancelled, 200) << seed;
-    EXPECT_EQ(leader_of(world), lead);
-    EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+    EXPECT_EQ(leader_of(region), lead);
+    EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   }
 }
 
--- a/tests/behaviour_digest.cpp
+++ b/tests/behaviour_digest.cpp
@@ -22,27 +22,27 @@
 
 using DigestPointer = std::shared_ptr<BehaviourDigest>;
 
-void record(DayPlan& plan, const DigestPointer& digest) {
+void record(SimulationPlan& plan, const DigestPointer& digest) {
   plan.controllers = [digest, options = plan.options](std::size_t, const Settings& settings,
                                                       std::uint64_t seed) {
     return std::make_unique<DigestedController>(settings, options, seed, digest);
   };
 }
 
-void play(DayPlan plan, const DigestPointer& digest) {
+void play(SimulationPlan plan, const DigestPointer& digest) {
   record(plan, digest);
-  World world(plan);
-  world.run();
+  SimulatedRegion region(plan);
+  region.run();
 }
 
 void play_plain(std::uint64_t seed, const DigestPointer& digest) {
-  DayPlan plan;
+  SimulationPlan plan;
   plan.seed = seed;
   play(plan, digest);
 }
 
 void play_gangs(std::uint64_t seed, const DigestPointer& digest) {
-  DayPlan plan;
+  SimulationPlan plan;
   plan.seed = seed;
   plan.gangs = true;
   plan.fault_pairs = true;
@@ -53,12 +53,12 @@
 }
 
 void play_large(std::uint64_t seed, const DigestPointer& digest) {
-  DayPlan plan;
+  SimulationPlan plan;
   plan.seed = seed;
   plan.scale = 17;
   plan.jobs = 700;
   plan.length = 200'000;
-  plan.troubles_until = 130'000;
+  plan.faults_until = 130'000;
   plan.fault_pairs = seed % 2 == 0;
   play(plan, digest);
 }
@@ -72,9 +72,9 @@
   plan.regions = regions;
   plan.first_gpus = {{"red", share(kRedLimit)}, {"blue", share(kBlueLimit)}};
   plan.length = 240'000;
-  plan.troubles = true;
-  plan.adjust = [&digest](std::size_t, DayPlan& day) {
-    day.troubles = true;
+  plan.faults = true;
+  plan.adjust = [&digest](std::size_t, SimulationPlan& day) {
+    day.faults = true;
     day.gangs = true;
     day.jobs = 30;
     record(day, digest);
@@ -85,8 +85,8 @@
     JobSpec spec = service(job_id(n), 1 + random(8));
     spec.priority = static_cast<Priority>(random(4));
     spec.spot = true;
-    World& world = day.region(random(static_cast<std::uint32_t>(day.regions())));
-    world.submit(spec, world.now() + 10'000 + random(40'000));
+    SimulatedRegion& region = day.region(random(static_cast<std::uint32_t>(day.regions())));
+    region.submit(spec, region.now() + 10'000 + random(40'000));
     day.run_until(day.now() + random(8'000));
   }
   day.run_until(230'000);
@@ -95,30 +95,30 @@
 // Controllers of the version in production are replaced one by one; what these say isn't recorded.
 #ifdef SAILREEL_HAS_PRODUCTION
 void play_upgrade(std::uint64_t seed, const DigestPointer& digest) {
-  DayPlan plan = quiet(seed);
+  SimulationPlan plan = quiet(seed);
   plan.length = 300'000;
   plan.next_value_kb = 2;
   plan.next_txn_ops = 5;
   plan.next_write_rps = 20;
   plan.production = make_production_controller;
   record(plan, digest);
-  World world(plan);
-  world.run_until(1'000);
-  submit_mixed_jobs(world, 0, 40, seed);
-  world.run_until(55'000);
-  world.poll_closely(200'000);
+  SimulatedRegion region(plan);
+  region.run_until(1'000);
+  submit_mixed_jobs(region, 0, 40, seed);
+  region.run_until(55'000);
+  region.poll_closely(200'000);
   for (std::size_t step = 0; step < 3; ++step) {
-    if (seed % 2 == 0) world.late_writes(0.5, 6'000, step % 2 == 0);
-    if (seed % 3 == 0) world.kill(leader_of(world), 500);
-    world.run_until(world.now() + 1'000);
-    world.upgrade((step + seed) % 3, 3'000);
-    world.run_until(world.now() + 12'000);
+    if (seed % 2 == 0) region.late_writes(0.5, 6'000, step % 2 == 0);
+    if (seed % 3 == 0) region.kill(leader_of(region), 500);
+    region.run_until(region.now() + 1'000);
+    region.upgrade((step + seed) % 3, 3'000);
+    region.run_until(region.now() + 12'000);
   }
-  world.lower_limits();
-  for (std::size_t n = 200; n < 206; ++n) world.submit(gang(job_id(n), 2 + n % 5, 3, 10));
-  world.run_until(world.now() + 5'000);
-  world.kill(leader_of(world), 4'000);
-  world.run();
+  region.lower_limits();
+  for (std::size_t n = 200; n < 206; ++n) region.submit(gang(job_id(n), 2 + n % 5, 3, 10));
+  region.run_until(region.now() + 5'000);
+  region.kill(leader_of(region), 4'000);
+  region.run();
 }
 #endif
 
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -27,22 +27,22 @@
 // confirms cancellations, and then the service is down for all, for longer than cancel_s, while
 // workers go on reporting to the old leader, or to a sibling that keeps their tasks alive.
 void play_gap(const Gap& gap, std::uint64_t seed) {
-  DayPlan plan = quiet(seed);
+  SimulationPlan plan = quiet(seed);
   plan.lease_s = gap.lease_s;
   plan.cancel_s = gap.cancel_s;
   plan.loss = 0;
   plan.length = 200'000;
-  World world(plan);
-  world.run_until(1'000);
+  SimulatedRegion region(plan);
+  region.run_until(1'000);
   for (std::size_t n = 0; n < kJobs; ++n) {
     JobSpec spec = service(job_id(n), 2);
     spec.spread = n % 2 == 0;
     spec.team = n % 3 == 0 ? "blue" : "red";
     spec.priority = static_cast<Priority>(n % 2);
-    world.submit(spec);
+    region.submit(spec);
   }
-  world.run_until(45'000);
-  const int old_leader = world.leader();
+  region.run_until(45'000);
+  const int old_leader = region.leader();
   ASSERT_GE(old_leader, 0);
   const auto lead = static_cast<std::size_t>(old_leader);
   const std::size_t friendly = (lead + 1) % 3, far = (lead + 2) % 3;
@@ -50,35 +50,35 @@
   const Time outage = ms(gap.cancel_s) + 2 * lease;
   const Time apart = gap.outage_after + outage / 2;
   if (gap.apart == Apart::Isolated)
-    world.isolate(lead, apart, true);
+    region.isolate(lead, apart, true);
   else
-    world.reject_kv_requests(lead, apart);
+    region.reject_kv_requests(lead, apart);
   if (gap.apart == Apart::RefusedNoPeers || gap.apart == Apart::RefusedUnreached)
     for (const std::size_t other : {friendly, far})
-      world.cut(node_name(lead), node_name(other), apart, false);
+      region.cut(node_name(lead), node_name(other), apart, false);
   if (gap.apart == Apart::RefusedUnreached) {
     // One sibling hears the machines and the old leader, and keeps tasks alive by itself when that
     // ends; the other, which hears neither, is the successor.
-    world.cut(node_name(lead), node_name(friendly), 0, false);
-    world.reject_kv_requests(friendly, apart);
-    if (seed % 3 == 0) world.kill(lead, apart);
-    world.cut(node_name(friendly), node_name(far), apart, false);
-    for (const auto& m : world.machines_up()) world.cut(node_name(far), m, apart, false);
+    region.cut(node_name(lead), node_name(friendly), 0, false);
+    region.reject_kv_requests(friendly, apart);
+    if (seed % 3 == 0) region.kill(lead, apart);
+    region.cut(node_name(friendly), node_name(far), apart, false);
+    for (const auto& m : region.machines_up()) region.cut(node_name(far), m, apart, false);
   }
   // Users call their jobs off from before the refusal's end of the old lease until well into the
   // outage.
-  const Time from = world.now();
+  const Time from = region.now();
   for (std::size_t n = 0; n < kJobs; ++n) {
     const Time when = from + gap.outage_after * static_cast<Time>(n) / static_cast<Time>(kJobs - 2);
-    world.run_until(when);
-    world.cancel(job_id(n));
-    if (when >= from + gap.outage_after && !world.state().outage) world.kv_store_outage(outage);
+    region.run_until(when);
+    region.cancel(job_id(n));
+    if (when >= from + gap.outage_after && !region.state().outage) region.kv_store_outage(outage);
   }
-  world.run_until(from + gap.outage_after + outage + 4 * lease);
-  world.run();
-  EXPECT_TRUE(world.checker().violations().empty()) << seed << " " << world.checker().summary();
-  EXPECT_EQ(world.checker().jobs_over(), kJobs) << seed;
-  EXPECT_EQ(world.unanswered_cancellations(), 0U) << seed;
+  region.run_until(from + gap.outage_after + outage + 4 * lease);
+  region.run();
+  EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
+  EXPECT_EQ(region.checker().jobs_over(), kJobs) << seed;
+  EXPECT_EQ(region.unanswered_cancellations(), 0U) << seed;
 }
 
 class GapTest : public ::testing::TestWithParam<std::tuple<Apart, Time, int>> {};
@@ -109,29 +109,29 @@
 // next one goes on stopping, starts nothing of it, and calls it cancelled when its tasks are gone.
 TEST(Cancellation, OutlivesTheLeaderThatWasAsked) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    World world(quiet(seed + 40));
-    world.run_until(1'000);
-    for (std::size_t n = 0; n < kJobs; ++n) world.submit(service(job_id(n), 2));
-    world.run_until(40'000);
-    const std::size_t lead = leader_of(world);
+    SimulatedRegion region(quiet(seed + 40));
+    region.run_until(1'000);
+    for (std::size_t n = 0; n < kJobs; ++n) region.submit(service(job_id(n), 2));
+    region.run_until(40'000);
+    const std::size_t lead = leader_of(region);
     // Out of reach, so that the tasks can't be stopped at once.
-    for (const auto& m : world.machines_up()) cut_off(world, m, 5'000, false);
-    for (std::size_t n = 0; n < kJobs; n += 2) world.ask(job_id(n), n % 3, UserOp::Cancel);
-    world.run_until(40'400);
-    world.kill(lead, 20'000);
+    for (const auto& m : region.machines_up()) cut_off(region, m, 5'000, false);
+    for (std::size_t n = 0; n < kJobs; n += 2) region.ask(job_id(n), n % 3, UserOp::Cancel);
+    region.run_until(40'400);
+    region.kill(lead, 20'000);
     std::set<std::string> started;
-    world.on_command = [&](const std::string&, const Command& c) {
+    region.on_command = [&](const std::string&, const Command& c) {
       if (c.op == Command::Op::Start) started.insert(c.key.job);
     };
-    world.run_until(75'000);
-    const Tables& tables = world.core(leader_of(world))->tables();
+    region.run_until(75'000);
+    const Tables& tables = region.controller(leader_of(region))->tables();
     for (std::size_t n = 0; n < kJobs; n += 2) {
       EXPECT_FALSE(started.contains(job_id(n))) << seed << " " << n;
       const auto it = tables.finished.find(job_id(n));
       ASSERT_NE(it, tables.finished.end()) << seed << " " << n;
       EXPECT_EQ(it->second.phase, Phase::Cancelled);
     }
-    EXPECT_TRUE(world.checker().violations().empty()) << seed << " " << world.checker().summary();
+    EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
   }
 }
 
@@ -139,32 +139,32 @@
 // told that the job is cancelled within a moment. Nobody is kept waiting until the patience is
 // over.
 TEST(Cancellation, IsAnsweredAtOnceEitherWay) {
-  DayPlan plan = quiet(51);
+  SimulationPlan plan = quiet(51);
   plan.loss = 0;
-  World world(plan);
-  world.run_until(1'000);
+  SimulatedRegion region(plan);
+  region.run_until(1'000);
   for (std::size_t n = 0; n < 4; ++n) {
     JobSpec spec = service(job_id(n), 2);
     spec.spread = n < 2;
     if (n >= 2) spec.zone = "za";
-    world.submit(spec);
+    region.submit(spec);
   }
-  world.run_until(40'000);
+  region.run_until(40'000);
   std::string away;
-  for (const auto& [name, m] : world.core(leader_of(world))->tables().machines)
+  for (const auto& [name, m] : region.controller(leader_of(region))->tables().machines)
     if (m->zone == "zb" && !m->empty()) away = name;
   ASSERT_FALSE(away.empty());
-  cut_off(world, away, 8'000, true);
-  world.run_until(40'500);
+  cut_off(region, away, 8'000, true);
+  region.run_until(40'500);
   const auto answered = [&](std::size_t n) {
-    const Time asked = world.now();
+    const Time asked = region.now();
     int status = 0;
     Time took = 0;
-    world.ask_for(job_id(n), leader_of(world), UserOp::Cancel, [&](int s) {
+    region.ask_for(job_id(n), leader_of(region), UserOp::Cancel, [&](int s) {
       status = s;
-      took = world.now() - asked;
+      took = region.now() - asked;
     });
-    world.run_until(asked + 2'000);
+    region.run_until(asked + 2'000);
     return std::pair(status, took);
   };
   const auto [away_status, away_took] = answered(0);
@@ -173,8 +173,8 @@
   const auto [near_status, near_took] = answered(2);
   EXPECT_EQ(near_status, 200);
   EXPECT_LE(near_took, 700);
-  world.run();
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  region.run();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // What is cancelled where its machines can't be asked, while every team is at its limit and the
@@ -183,31 +183,31 @@
 
 TEST_P(AtTheLimit, KeepsTheRules) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    DayPlan plan = quiet(seed * 5 + 2);
+    SimulationPlan plan = quiet(seed * 5 + 2);
     plan.length = 400'000;
-    World world(plan);
-    world.run_until(1'000);
-    world.poll_closely(plan.length);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    region.poll_closely(plan.length);
     for (std::size_t n = 0; n < 44; ++n) {
       JobSpec s = n % 2 == 0 ? service(job_id(n), 2) : array(job_id(n), 3, 40);
       s.team = n % 3 == 0 ? "blue" : "red";
       s.priority = s.kind == JobKind::Array ? Priority::Low : Priority::High;
       s.image = "img-" + std::to_string(n % 3);
-      world.submit(s, s.kind == JobKind::Service ? 130'000 + static_cast<Time>(n) * 900 : 0);
+      region.submit(s, s.kind == JobKind::Service ? 130'000 + static_cast<Time>(n) * 900 : 0);
     }
-    world.run_until(50'000);
-    GetParam().play(world, seed);
-    world.run_until(world.now() + 60'000);
-    world.calm();
-    world.run();
-    world.checker().end_served();
-    EXPECT_TRUE(world.checker().violations().empty()) << seed << " " << world.checker().summary();
+    region.run_until(50'000);
+    GetParam().play(region, seed);
+    region.run_until(region.now() + 60'000);
+    region.calm();
+    region.run();
+    region.checker().end_served();
+    EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
   }
 }
 
 const Scenario kLimitScenarios[] = {
     {"TheLeaderChangesAndSomeMachinesCantBeAsked",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        for (int round = 0; round < 3; ++round) {
          const auto busy = busy_machines(w);
          for (std::size_t k = seed % 2; k < busy.size(); k += 2)
@@ -220,7 +220,7 @@
        }
      }},
     {"CancelledJobsMachinesAreCutOffOrHang",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        for (int round = 0; round < 3; ++round) {
          w.cancel_now(6, 4'000 + static_cast<Time>(seed) * 1'200);
          const auto busy = busy_machines(w);
@@ -231,7 +231,7 @@
        }
      }},
     {"TwoChangesOfLeaderAreNotToldByTheMachines",
-     [](World& w, std::uint64_t) {
+     [](SimulatedRegion& w, std::uint64_t) {
        const auto busy = busy_machines(w);
        for (std::size_t k = 0; k < busy.size(); k += 2) cut_off(w, busy[k], 20'000, true);
        w.kill(leader_of(w), 2'000);
@@ -241,7 +241,7 @@
        w.run_until(w.now() + 30'000);
      }},
     {"OneControllersWorkChangesHands",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        for (int round = 0; round < 4; ++round) {
          const std::size_t lead = leader_of(w);
          if (round % 2 == 0)
@@ -256,7 +256,7 @@
        }
      }},
     {"CommandsAndTheirAnswersAreHeldUp",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        w.slow_commands(40'000);
        for (int round = 0; round < 4; ++round) {
          w.cancel_now(4, 0);
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -11,26 +11,26 @@
 // leader ends in the middle of it.
 TEST(Capacity, OneTaskJobsFourASecondForMinutes) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    DayPlan plan = quiet(seed + 200);
+    SimulationPlan plan = quiet(seed + 200);
     plan.length = 340'000;
-    World world(plan);
-    world.run_until(1'000);
-    world.poll_closely(200'000);
-    world.cancel_at_end(0.05, 200'000);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    region.poll_closely(200'000);
+    region.cancel_at_end(0.05, 200'000);
     pcg32 random(seed);
     for (std::size_t n = 0; n < 640; ++n) {
       JobSpec s = array(job_id(n), 1, 2 + random(12));
       s.team = n % 3 == 0 ? "blue" : "red";
       s.image = "img-" + std::to_string(random(3));
-      world.submit(s, random(4) == 0 ? world.now() + 500 + random(9'000) : 0);
-      world.run_until(world.now() + 250);
-      if (n == 200 || n == 420) world.kill(leader_of(world), n == 200 ? 400 : 6'000);
-      if (n == 300) world.late_writes(0.4, 8'000, seed % 2 == 0);
+      region.submit(s, random(4) == 0 ? region.now() + 500 + random(9'000) : 0);
+      region.run_until(region.now() + 250);
+      if (n == 200 || n == 420) region.kill(leader_of(region), n == 200 ? 400 : 6'000);
+      if (n == 300) region.late_writes(0.4, 8'000, seed % 2 == 0);
     }
-    world.run_until(200'000);
-    world.calm();
-    world.run();
-    expect_nothing_left(world, seed);
+    region.run_until(200'000);
+    region.calm();
+    region.run();
+    expect_nothing_left(region, seed);
   }
 }
 
@@ -38,27 +38,27 @@
 // begin all the same.
 TEST(Capacity, MoreWorkThanRoomOverSlowLinks) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    DayPlan plan = quiet(seed + 300);
+    SimulationPlan plan = quiet(seed + 300);
     plan.length = 620'000;
     plan.loss = 0.03;
     plan.late_copies = 0.05;
-    World world(plan);
-    world.run_until(1'000);
-    world.submit(array("job-9000", 60, 8));  // more than the fleet takes
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    region.submit(array("job-9000", 60, 8));  // more than the fleet takes
     for (std::size_t n = 0; n < 90; ++n) {
       JobSpec s = n % 3 == 0 ? service(job_id(n), 2)
                              : array(job_id(n), 1 + static_cast<std::uint32_t>(n % 8), 12);
       s.team = n % 4 == 0 ? "blue" : "red";
       s.priority = n % 3 == 0 ? static_cast<Priority>(n % 2) : Priority::Low;
       s.image = "img-" + std::to_string(n % 4);
-      world.submit(s, s.kind == JobKind::Service ? world.now() + 60'000 : 0);
-      world.run_until(world.now() + 1'200);
-      if (n % 30 == 20) world.slow_commands(10'000);
-      if (n == 50) world.kill(leader_of(world), 1'000);
+      region.submit(s, s.kind == JobKind::Service ? region.now() + 60'000 : 0);
+      region.run_until(region.now() + 1'200);
+      if (n % 30 == 20) region.slow_commands(10'000);
+      if (n == 50) region.kill(leader_of(region), 1'000);
     }
-    world.run_until(200'000);
-    world.run();
-    expect_nothing_left(world, seed);
+    region.run_until(200'000);
+    region.run();
+    expect_nothing_left(region, seed);
   }
 }
 
@@ -67,29 +67,29 @@
 // time.
 TEST(Capacity, WorkBeyondAGuaranteeWaitsForCheapMachines) {
   for (const bool cheap : {true, false}) {
-    DayPlan plan = quiet(800);
+    SimulationPlan plan = quiet(800);
     plan.length = 300'000;
-    World world(plan);
+    SimulatedRegion region(plan);
     if (!cheap)
-      for (const char* zone : {"za", "zb"}) world.cloud().capacity[{zone, true}] = 0;
-    world.run_until(1'000);
+      for (const char* zone : {"za", "zb"}) region.cloud().capacity[{zone, true}] = 0;
+    region.run_until(1'000);
     std::size_t done = 0;
-    world.on_completed = [&](const TaskKey&, const std::string&) { ++done; };
-    world.submit(array("job-1", 80, 4));
+    region.on_completed = [&](const TaskKey&, const std::string&) { ++done; };
+    region.submit(array("job-1", 80, 4));
     std::size_t most = 0;
     for (Time t = 2'000; t < 200'000; t += 1'000) {
-      world.run_until(t);
+      region.run_until(t);
       // Once what is left of it fits into the guarantee, it is owed machines of any kind.
       if (done >= 60) continue;
-      std::size_t ordinary = 0;
-      for (const auto& [name, m] : world.cloud().machines) ordinary += m.up && !m.spot ? 1 : 0;
-      most = std::max(most, ordinary);
+      std::size_t on_demand = 0;
+      for (const auto& [name, m] : region.cloud().machines) on_demand += m.up && !m.spot ? 1 : 0;
+      most = std::max(most, on_demand);
     }
     // One, and one instead of another that was late; what it asks for would take four.
     EXPECT_LE(most, 2U) << "cheap=" << cheap;
-    EXPECT_TRUE(world.checker().unfinished_arrays().empty()) << "cheap=" << cheap;
-    world.run();
-    EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+    EXPECT_TRUE(region.checker().unfinished_arrays().empty()) << "cheap=" << cheap;
+    region.run();
+    EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   }
 }
 
@@ -97,44 +97,44 @@
 // one-task jobs. Work within a guarantee starts as if they weren't there, and theirs is served too.
 TEST(Capacity, AGuestDoesNotHoldUpWorkWithinAGuarantee) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    DayPlan plan = quiet(seed + 1'000);
+    SimulationPlan plan = quiet(seed + 1'000);
     plan.length = 420'000;
-    World world(plan);
-    world.run_until(1'000);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
     JobSpec huge = array("job-9000", 300, 4);
     huge.team = "guest";
     huge.job_class = "huge";
     huge.priority = Priority::Low;
-    world.submit(huge);
+    region.submit(huge);
     for (std::size_t n = 300; n < 380; ++n) {
       JobSpec s = array(job_id(n), 1, 5);
       s.team = "guest";
       s.job_class = "swarm";
       s.priority = Priority::Low;
-      world.submit(s);
-      world.run_until(world.now() + 400);
+      region.submit(s);
+      region.run_until(region.now() + 400);
     }
     // Warm machines are up by now; what is asked for fits into red's guarantee.
     std::map<std::string, Time> asked, begun;
-    world.on_command = [&](const std::string&, const Command& c) {
-      if (c.op == Command::Op::Start) begun.try_emplace(c.key.job, world.now());
+    region.on_command = [&](const std::string&, const Command& c) {
+      if (c.op == Command::Op::Start) begun.try_emplace(c.key.job, region.now());
     };
     for (std::size_t n = 0; n < 6; ++n) {
-      asked[job_id(n)] = world.now();
+      asked[job_id(n)] = region.now();
       JobSpec s = service(job_id(n), 2);
       s.job_class = "serve";
-      world.submit(s);
-      world.run_until(world.now() + 5'000);
+      region.submit(s);
+      region.run_until(region.now() + 5'000);
     }
-    world.run_until(world.now() + 30'000);
+    region.run_until(region.now() + 30'000);
     // A start may have to wait for one machine to boot (12 s, at times half as long again), no
     // more.
     for (const auto& [id, when] : asked) {
       ASSERT_TRUE(begun.contains(id)) << seed << " " << id;
       EXPECT_LE(begun[id] - when, 25'000) << seed << " " << id;
     }
-    world.run();
-    expect_nothing_left(world, seed);
+    region.run();
+    expect_nothing_left(region, seed);
   }
 }
 
@@ -142,25 +142,25 @@
 // others are rented meanwhile, and what is paid for in vain stays bounded.
 TEST(Capacity, MachinesThatNeverComeUpAreReplaced) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    DayPlan plan = quiet(seed + 1'100);
+    SimulationPlan plan = quiet(seed + 1'100);
     plan.length = 200'000;
-    World world(plan);
-    world.cloud().one_in_never_up = 2;
-    world.run_until(1'000);
-    for (std::size_t n = 0; n < 10; ++n) world.submit(service(job_id(n), 2));
+    SimulatedRegion region(plan);
+    region.cloud().one_in_never_up = 2;
+    region.run_until(1'000);
+    for (std::size_t n = 0; n < 10; ++n) region.submit(service(job_id(n), 2));
     Time longest = 0;
     for (Time t = 2'000; t < 160'000; t += 1'000) {
-      world.run_until(t);
-      for (const auto& [name, m] : world.cloud().machines)
-        if (m.broken) longest = std::max(longest, t - m.rented);
+      region.run_until(t);
+      for (const auto& [name, m] : region.cloud().machines)
+        if (m.broken) longest = std::max(longest, t - m.launched);
     }
     // Three boot times of 12 s, and what a lease and a call take.
     EXPECT_GT(longest, 30'000) << seed << ": none was waited for";
     EXPECT_LE(longest, 60'000) << seed;
-    const Tables& tables = world.core(leader_of(world))->tables();
+    const Tables& tables = region.controller(leader_of(region))->tables();
     for (const auto& [id, job] : tables.jobs) EXPECT_EQ(job->queued, 0U) << seed << " " << id;
-    world.run();
-    expect_nothing_left(world, seed);
+    region.run();
+    expect_nothing_left(region, seed);
   }
 }
 
@@ -169,46 +169,46 @@
 // machine on which everything fails is returned all the same.
 TEST(Capacity, MistakenJobsAreToldFromFaultyMachines) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    DayPlan plan = quiet(seed + 700);
+    SimulationPlan plan = quiet(seed + 700);
     plan.length = 260'000;
-    World world(plan);
-    world.run_until(1'000);
-    submit_mixed_jobs(world, 0, 12, seed);
-    world.run_until(45'000);
-    const auto before = busy_machines(world);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    submit_mixed_jobs(region, 0, 12, seed);
+    region.run_until(45'000);
+    const auto before = busy_machines(region);
     const std::set<std::string> healthy(before.begin(), before.end());
     std::size_t starts = 0;
-    world.on_command = [&](const std::string&, const Command& c) {
+    region.on_command = [&](const std::string&, const Command& c) {
       const bool mistaken = c.key.job.starts_with("job-3") && c.key.job.size() == 6;
       starts += c.op == Command::Op::Start && mistaken ? 1 : 0;
     };
     for (std::size_t n = 30; n < 34; ++n)
-      world.submit_mistaken(n % 2 == 0 ? service(job_id(n), 2) : array(job_id(n), 8, 20), 125'000);
-    world.run_until(125'000);
-    const Tables& tables = world.core(leader_of(world))->tables();
+      region.submit_mistaken(n % 2 == 0 ? service(job_id(n), 2) : array(job_id(n), 8, 20), 125'000);
+    region.run_until(125'000);
+    const Tables& tables = region.controller(leader_of(region))->tables();
     for (const auto& name : healthy)
       if (const auto it = tables.machines.find(name); it != tables.machines.end()) {
-        EXPECT_FALSE(it->second->draining && it->second->drain_cause == "faulty")
+        EXPECT_FALSE(it->second->cordoned && it->second->cordon_cause == "faulty")
             << seed << " " << name;
       }
     // 20 tasks in 80 s: each fails once at first, and after that one of each job now and then.
     EXPECT_LE(starts, 70U) << seed;
     EXPECT_GT(starts, 20U) << seed;
-    world.run_until(140'000);
+    region.run_until(140'000);
     for (std::size_t n = 30; n < 34; ++n)
       EXPECT_TRUE(tables.finished.contains(job_id(n))) << seed << " " << n;
-    const auto busy = busy_machines(world);
+    const auto busy = busy_machines(region);
     ASSERT_FALSE(busy.empty());
     const std::string& bad = busy.front();
-    world.make_faulty(bad);
+    region.make_faulty(bad);
     for (std::size_t n = 40; n < 56; ++n) {
-      world.submit(array(job_id(n), 2, 6));
-      world.run_until(world.now() + 2'000);
+      region.submit(array(job_id(n), 2, 6));
+      region.run_until(region.now() + 2'000);
     }
-    world.run_until(215'000);
-    EXPECT_FALSE(world.core(leader_of(world))->tables().machines.contains(bad)) << seed;
-    EXPECT_TRUE(world.checker().unfinished_arrays().empty()) << seed;
-    EXPECT_TRUE(world.checker().violations().empty()) << seed << " " << world.checker().summary();
+    region.run_until(215'000);
+    EXPECT_FALSE(region.controller(leader_of(region))->tables().machines.contains(bad)) << seed;
+    EXPECT_TRUE(region.checker().unfinished_arrays().empty()) << seed;
+    EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
   }
 }
 
@@ -217,36 +217,36 @@
 // No seed has shown what that leads to.
 TEST(Capacity, AMachineFoundFaultyByAHeartbeatThatSaysMore) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    DayPlan plan = quiet(seed + 900);
+    SimulationPlan plan = quiet(seed + 900);
     plan.length = 300'000;
-    World world(plan);
-    world.run_until(1'000);
-    for (std::size_t n = 0; n < 14; ++n) world.submit(service(job_id(n), 2));
-    world.run_until(45'000);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    for (std::size_t n = 0; n < 14; ++n) region.submit(service(job_id(n), 2));
+    region.run_until(45'000);
     for (int round = 0; round < 2; ++round) {
-      const auto busy = busy_machines(world);
+      const auto busy = busy_machines(region);
       ASSERT_FALSE(busy.empty());
-      world.make_faulty(busy[seed % busy.size()]);
+      region.make_faulty(busy[seed % busy.size()]);
       for (std::size_t n = 0; n < 8; ++n) {
-        world.submit(array(job_id(100 + static_cast<std::size_t>(round) * 10 + n), 2, 6));
-        world.run_until(world.now() + 130);
+        region.submit(array(job_id(100 + static_cast<std::size_t>(round) * 10 + n), 2, 6));
+        region.run_until(region.now() + 130);
       }
-      world.run_until(world.now() + 12'000);
+      region.run_until(region.now() + 12'000);
     }
-    world.run();
-    EXPECT_TRUE(world.checker().violations().empty()) << seed << " " << world.checker().summary();
-    EXPECT_TRUE(world.checker().unfinished_arrays().empty()) << seed;
+    region.run();
+    EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
+    EXPECT_TRUE(region.checker().unfinished_arrays().empty()) << seed;
   }
 }
 
 // Combination: jobs bound to one zone, arrays and gangs of replicas too, lose machines of it.
 TEST(Capacity, JobsBoundToAZoneLoseMachines) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    DayPlan plan = quiet(seed + 400);
+    SimulationPlan plan = quiet(seed + 400);
     plan.length = 300'000;
-    World world(plan);
-    world.run_until(1'000);
-    world.poll_closely(plan.length);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    region.poll_closely(plan.length);
     for (std::size_t n = 0; n < 14; ++n) {
       JobSpec s = n % 2 == 0 ? service(job_id(n), 3) : array(job_id(n), 5, 25);
       s.team = n % 3 == 0 ? "blue" : "red";
@@ -255,23 +255,23 @@
       else
         s.zone = n % 8 < 4 ? "za" : "zb";
       if (n == 0) s.spread = !(s.one_zone = false);
-      world.submit(s);
+      region.submit(s);
     }
-    world.run_until(40'000);
-    const auto busy = busy_machines(world);
+    region.run_until(40'000);
+    const auto busy = busy_machines(region);
     for (std::size_t k = 0; k < busy.size(); k += 2) {
       if (k % 4 == 0)
-        world.kill_machine(busy[k]);
+        region.kill_machine(busy[k]);
       else
-        world.notice_machine(busy[k], 5'000);
-      world.run_until(world.now() + 1'000);
+        region.notice_machine(busy[k], 5'000);
+      region.run_until(region.now() + 1'000);
     }
-    if (seed % 2 == 0) world.kill(leader_of(world), 3'000);
-    world.run_until(120'000);
-    world.calm();
-    for (std::size_t n = 0; n < 14; n += 2) world.cancel(job_id(n));
-    world.run();
-    expect_nothing_left(world, seed);
+    if (seed % 2 == 0) region.kill(leader_of(region), 3'000);
+    region.run_until(120'000);
+    region.calm();
+    for (std::size_t n = 0; n < 14; n += 2) region.cancel(job_id(n));
+    region.run();
+    expect_nothing_left(region, seed);
   }
 }
 
@@ -279,25 +279,25 @@
 // are cancelled on both sides of the cut.
 TEST(Capacity, AZoneCutOffForLongerThanALease) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    DayPlan plan = quiet(seed + 500);
+    SimulationPlan plan = quiet(seed + 500);
     plan.length = 340'000;
     plan.cancel_s = seed % 2 == 0 ? 12 : 30;
-    World world(plan);
-    world.run_until(1'000);
-    world.poll_closely(plan.length);
-    submit_mixed_jobs(world, 0, 16, seed);
-    world.run_until(50'000);
-    world.cut_zone(seed % 2 == 0 ? "za" : "zb", 13'000 + static_cast<Time>(seed) * 4'000,
-                   seed % 3 == 0);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    region.poll_closely(plan.length);
+    submit_mixed_jobs(region, 0, 16, seed);
+    region.run_until(50'000);
+    region.cut_zone(seed % 2 == 0 ? "za" : "zb", 13'000 + static_cast<Time>(seed) * 4'000,
+                    seed % 3 == 0);
     for (int round = 0; round < 4; ++round) {
-      world.cancel_now(2, 0);
-      world.run_until(world.now() + 4'000);
-      if (round == 1 && seed > 3) world.kill(leader_of(world), 4'000);
+      region.cancel_now(2, 0);
+      region.run_until(region.now() + 4'000);
+      if (round == 1 && seed > 3) region.kill(leader_of(region), 4'000);
     }
-    world.run_until(150'000);
-    world.calm();
-    world.run();
-    expect_nothing_left(world, seed);
+    region.run_until(150'000);
+    region.calm();
+    region.run();
+    expect_nothing_left(region, seed);
   }
 }
 
@@ -306,24 +306,24 @@
 // that waited; a start only goes with the answer to a machine's own report.
 TEST(Capacity, AMachineThatReachesNoControllerDrawsNoWork) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    DayPlan plan = quiet(seed + 600);
+    SimulationPlan plan = quiet(seed + 600);
     plan.length = 260'000;
-    World world(plan);
-    world.run_until(1'000);
-    submit_mixed_jobs(world, 0, 8, seed);
-    world.run_until(50'000);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    submit_mixed_jobs(region, 0, 8, seed);
+    region.run_until(50'000);
     std::set<std::string> mute;
-    for (const auto& m : busy_machines(world))
+    for (const auto& m : busy_machines(region))
       if (mute.size() < 2) mute.insert(m);
-    for (const auto& m : mute) world.mute_machine(m, 70'000);
-    if (seed % 2 == 0) world.kill(leader_of(world), 3'000);
-    world.run_until(58'000);  // they have missed their reports by now
-    for (std::size_t n = 20; n < 28; ++n) world.submit(service(job_id(n), 1), 140'000);
+    for (const auto& m : mute) region.mute_machine(m, 70'000);
+    if (seed % 2 == 0) region.kill(leader_of(region), 3'000);
+    region.run_until(58'000);  // they have missed their reports by now
+    for (std::size_t n = 20; n < 28; ++n) region.submit(service(job_id(n), 1), 140'000);
     std::size_t kept = 0;
     for (Time t = 59'000; t < 100'000; t += 500) {
-      world.run_until(t);
-      if (world.leader() < 0) continue;
-      for (const auto& [name, m] : world.core(leader_of(world))->tables().machines)
+      region.run_until(t);
+      if (region.leader() < 0) continue;
+      for (const auto& [name, m] : region.controller(leader_of(region))->tables().machines)
         if (mute.contains(name))
           for (const TaskAttempt& p : m->attempts)
             kept += p.state == AttemptState::Reserved && p.key.job >= "job-20" &&
@@ -332,10 +332,10 @@
                         : 0;
     }
     EXPECT_EQ(kept, 0U) << "seed " << seed;
-    world.run_until(160'000);
-    world.calm();
-    world.run();
-    expect_nothing_left(world, seed);
+    region.run_until(160'000);
+    region.calm();
+    region.run();
+    expect_nothing_left(region, seed);
   }
 }
 
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -156,7 +156,7 @@
   EXPECT_TRUE(only("forgotten"));
 }
 
-TEST_F(CheckerTest, ForgottenOnceTroublesAreOver) {
+TEST_F(CheckerTest, ForgottenOnceFaultsAreOver) {
   checker_.told("job-1", "pending", 0);
   checker_.calm(100'000);
   checker_.unanswered("job-1", 170'000);
--- a/tests/commit_test.cpp
+++ b/tests/commit_test.cpp
@@ -15,28 +15,28 @@
 // these down spent writes ahead of time. Submissions waited up to 0.95 s for the limit to recover.
 TEST(Commit, SubmissionsDoNotWaitForBackgroundWrites) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    DayPlan plan = quiet(seed + 1'200);
+    SimulationPlan plan = quiet(seed + 1'200);
     plan.scale = 16;
     plan.loss = 0;  // an answer that is lost for good takes a second to be missed
-    World world(plan);
-    world.run_until(1'000);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
     pcg32 random(seed);
     for (std::size_t n = 0; n < 520; ++n) {
       JobSpec s = n % 2 == 0 ? service(job_id(n), 2) : array(job_id(n), 6, 8);
       s.team = n % 3 == 0 ? "blue" : "red";
       s.image = "img-" + std::to_string(random(12));
       s.image_gb = 5;
-      world.submit(s, s.kind == JobKind::Service ? world.now() + 20'000 : 0);
-      world.run_until(world.now() + random(200));
+      region.submit(s, s.kind == JobKind::Service ? region.now() + 20'000 : 0);
+      region.run_until(region.now() + random(200));
     }
-    const std::vector<Time>& delays = world.submission_delays();
+    const std::vector<Time>& delays = region.submission_delays();
     ASSERT_GT(delays.size(), 500U);
     // The answer takes some 10 ms; one message in 200 takes up to 400 ms.
     EXPECT_LE(quantile(delays, 0.9), 100) << "seed " << seed;
-    world.run();
-    EXPECT_TRUE(world.checker().violations().empty()) << seed << " " << world.checker().summary();
-    EXPECT_EQ(world.state().malformed, 0U);
-    EXPECT_EQ(world.state().refused_writes, 0U) << "seed " << seed;
+    region.run();
+    EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
+    EXPECT_EQ(region.state().malformed, 0U);
+    EXPECT_EQ(region.state().refused_writes, 0U) << "seed " << seed;
   }
 }
 
--- a/tests/core_test.cpp
+++ b/tests/controller_test.cpp
@@ -2,7 +2,7 @@
 // leader, and reports made to measure.
 #include <gtest/gtest.h>
 
-#include "support/core_driver.hpp"
+#include "support/controller_driver.hpp"
 #include "support/scenarios.hpp"
 
 namespace sailreel::sim {
@@ -26,15 +26,15 @@
 
 // Two machines report the same task after a take-over, and the settings no longer name its team:
 // the second is told to stop it. Counting it against its team once ended the process.
-TEST(Core, AnOrphanedAttemptOfATeamThatIsNoLongerNamedIsStopped) {
-  CoreDriver driver(settings_without_peers());
+TEST(Controller, AnOrphanedAttemptOfATeamThatIsNoLongerNamedIsStopped) {
+  ControllerDriver driver(settings_without_peers());
   JobRecord record = started_job("job-1", 2);
   record.spec.team = "gone";
   driver.write(kManifestKey, encode_manifest({1, 0, {}}, {encode_record(record)}));
   driver.write(machines_key(0),
                encode_machines({{"m-1", "10.1.0.1:9000", {}}, {"m-2", "10.1.0.2:9000", {}}}));
   driver.run_for(2'000);
-  ASSERT_TRUE(driver.core().leading());
+  ASSERT_TRUE(driver.controller().leading());
   EXPECT_EQ(driver.heartbeat(heartbeat_of("m-1", 1, {running("job-1", 0)})).find("kill"),
             std::string::npos);
   const std::string commands = driver.heartbeat(heartbeat_of("m-2", 1, {running("job-1", 0)}));
@@ -50,11 +50,11 @@
 // A job whose bitmap doesn't fit into a round waits for the next, while the round moves other jobs
 // of its shard there. The shard has to hold it as committed: written from memory, other nodes would
 // read that it is done before that is so.
-TEST(Core, AShardHoldsAPostponedJobAsCommitted) {
+TEST(Controller, AShardHoldsAPostponedJobAsCommitted) {
   constexpr std::uint32_t kLarge = 100'000;
   constexpr std::uint32_t kPieces = (kLarge + kPieceBits - 1) / kPieceBits;
   constexpr std::size_t kOthers = 80;
-  CoreDriver driver(settings_without_peers());
+  ControllerDriver driver(settings_without_peers());
   // All tasks of the large job are done but one in each piece of its bitmap.
   JobRecord large = started_job("job-1", kLarge);
   std::vector<TaskStatus> at_first, at_last;
@@ -82,12 +82,12 @@
   driver.write(kManifestKey, encode_manifest({1, 0, {}}, {}));
   driver.write(machines_key(0), encode_machines({{"m-1", "10.1.0.1:9000", {}}}));
   driver.run_for(2'000);
-  ASSERT_TRUE(driver.core().leading());
+  ASSERT_TRUE(driver.controller().leading());
   driver.heartbeat(heartbeat_of("m-1", 1, at_first));
   driver.run_for(2'000);
 
   driver.heartbeat(heartbeat_of("m-1", 2, at_last));
-  const auto& job = *driver.core().tables().jobs.at("job-1");
+  const auto& job = *driver.controller().tables().jobs.at("job-1");
   ASSERT_EQ(job.record.phase, Phase::Done) << "in memory";
   ASSERT_TRUE(job.dirty) << "the round took it all";
   Snapshot shard;
--- a/tests/day_test.cpp
+++ b/tests/day_test.cpp
@@ -3,31 +3,31 @@
 
 #include <cstdio>
 
-#include "sim/world.hpp"
+#include "sim/simulated_region.hpp"
 
 namespace sailreel::sim {
 namespace {
 
 // Plays the rest of the day. Troubles end well before it does: by then every array that was
 // accepted is over.
-void expect_kept(World& world, const DayPlan& plan) {
-  world.run();
-  world.checker().end();
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
-  EXPECT_EQ(world.state().malformed, 0U);
-  EXPECT_EQ(world.malformed_answers(), 0U);
-  EXPECT_TRUE(world.checker().unfinished_arrays().empty())
-      << world.checker().unfinished_arrays().front();
-  EXPECT_GT(world.checker().jobs_over(), plan.jobs / 2);
+void expect_kept(SimulatedRegion& region, const SimulationPlan& plan) {
+  region.run();
+  region.checker().end();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
+  EXPECT_EQ(region.state().malformed, 0U);
+  EXPECT_EQ(region.malformed_answers(), 0U);
+  EXPECT_TRUE(region.checker().unfinished_arrays().empty())
+      << region.checker().unfinished_arrays().front();
+  EXPECT_GT(region.checker().jobs_over(), plan.jobs / 2);
 }
 
 class SeededDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(SeededDay, KeepsTheRules) {
-  DayPlan plan;
+  SimulationPlan plan;
   plan.seed = GetParam();
-  World world(plan);
-  expect_kept(world, plan);
+  SimulatedRegion region(plan);
+  expect_kept(region, plan);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, SeededDay, ::testing::Range<std::uint64_t>(1, 81),
@@ -37,13 +37,13 @@
 class GangDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(GangDay, KeepsTheRules) {
-  DayPlan plan;
+  SimulationPlan plan;
   plan.seed = GetParam() * 7 + 1;
   plan.gangs = true;
   plan.fault_pairs = GetParam() % 2 == 0;
   plan.length = 300'000;
-  World world(plan);
-  expect_kept(world, plan);
+  SimulatedRegion region(plan);
+  expect_kept(region, plan);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, GangDay, ::testing::Range<std::uint64_t>(1, 61),
@@ -53,17 +53,17 @@
 class LargeDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(LargeDay, KeepsTheRules) {
-  DayPlan plan;
+  SimulationPlan plan;
   plan.seed = GetParam();
   plan.scale = 17;
   plan.jobs = 700;
   plan.length = 200'000;
-  plan.troubles_from = 40'000;
-  plan.troubles_until = 130'000;
-  World world(plan);
-  world.run_until(plan.troubles_from);
-  EXPECT_GT(world.machines_up().size(), 120U);
-  expect_kept(world, plan);
+  plan.faults_from = 40'000;
+  plan.faults_until = 130'000;
+  SimulatedRegion region(plan);
+  region.run_until(plan.faults_from);
+  EXPECT_GT(region.machines_up().size(), 120U);
+  expect_kept(region, plan);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, LargeDay, ::testing::Range<std::uint64_t>(1, 4),
@@ -72,23 +72,23 @@
 // Some 800 machines, under the same troubles: the rules hold, and what is looked at for a report
 // doesn't grow with the fleet.
 TEST(FleetDay, KeepsTheRules) {
-  DayPlan plan;
+  SimulationPlan plan;
   plan.seed = 6;
   plan.scale = 90;
   plan.jobs = 1'600;
   plan.length = 150'000;
-  plan.troubles_from = 45'000;
-  plan.troubles_until = 75'000;
-  World world(plan);
-  world.run_until(plan.troubles_from);
-  EXPECT_GT(world.machines_up().size(), 600U);
-  const int leader = world.leader();
+  plan.faults_from = 45'000;
+  plan.faults_until = 75'000;
+  SimulatedRegion region(plan);
+  region.run_until(plan.faults_from);
+  EXPECT_GT(region.machines_up().size(), 600U);
+  const int leader = region.leader();
   ASSERT_GE(leader, 0);
-  const std::uint64_t looked = world.core(static_cast<std::size_t>(leader))->examined();
-  std::printf("machines %zu, looked at per report %.1f\n", world.machines_up().size(),
-              static_cast<double>(looked) / static_cast<double>(world.heartbeats()));
-  EXPECT_LT(looked, 200 * world.heartbeats());
-  expect_kept(world, plan);
+  const std::uint64_t looked = region.controller(static_cast<std::size_t>(leader))->examined();
+  std::printf("machines %zu, looked at per report %.1f\n", region.machines_up().size(),
+              static_cast<double>(looked) / static_cast<double>(region.heartbeats()));
+  EXPECT_LT(looked, 200 * region.heartbeats());
+  expect_kept(region, plan);
 }
 
 }  // namespace
--- a/tests/delayed_heartbeats_test.cpp
+++ b/tests/delayed_heartbeats_test.cpp
@@ -17,8 +17,8 @@
 }
 
 /// The zones in which the leader knows tasks of the job.
-std::size_t zones_known(const World& world, const std::string& job) {
-  const auto& jobs = world.core(leader_of(world))->tables().jobs;
+std::size_t zones_known(const SimulatedRegion& region, const std::string& job) {
+  const auto& jobs = region.controller(leader_of(region))->tables().jobs;
   const auto found = jobs.find(job);
   return found == jobs.end() ? 0 : found->second->per_zone.size();
 }
@@ -27,39 +27,39 @@
 // of its tasks were placed in another zone, the others waited. At the end of the cut the machines'
 // reports of before arrived, and the array was taken to be in both zones.
 TEST(DelayedHeartbeats, AnArrayBoundToAZoneIsNotTakenToBeInTwo) {
-  DayPlan plan = quiet(3);
+  SimulationPlan plan = quiet(3);
   plan.scale = 2;
-  World world(plan);
-  world.run_until(1'000);
+  SimulatedRegion region(plan);
+  region.run_until(1'000);
   // All of one zone but a few places is taken; the array goes to the other.
   for (std::size_t n = 0; n < 43; ++n) {
     JobSpec s = service(job_id(n), 2);
     s.zone = "zb";
     s.spot = true;
     s.team = n % 5 < 3 ? "red" : "blue";
-    world.submit(s);
+    region.submit(s);
   }
-  world.submit(one_zone_array("job-900", 40, 150));
-  world.run_until(50'000);
-  const int leader = world.leader();
+  region.submit(one_zone_array("job-900", 40, 150));
+  region.run_until(50'000);
+  const int leader = region.leader();
   ASSERT_GE(leader, 0);
-  const Core* core = world.core(static_cast<std::size_t>(leader));
-  const Job& job = *core->tables().jobs.at("job-900");
+  const Controller* controller = region.controller(static_cast<std::size_t>(leader));
+  const Job& job = *controller->tables().jobs.at("job-900");
   ASSERT_GT(job.running, 20U);
   ASSERT_TRUE(job.per_zone.contains("za"));
   const Time span = 22'000;
-  for (const auto& [name, m] : core->tables().machines)
-    if (m->zone == "za") cut_off(world, name, span, true);
-  world.run_until(world.now() + span);
-  ASSERT_EQ(world.leader(), leader);
+  for (const auto& [name, m] : controller->tables().machines)
+    if (m->zone == "za") cut_off(region, name, span, true);
+  region.run_until(region.now() + span);
+  ASSERT_EQ(region.leader(), leader);
   ASSERT_TRUE(job.per_zone.contains("zb")) << "none of it was placed anew";
   ASSERT_GT(job.queued, 0U) << "none of it waits";
-  for (const Time until = world.now() + 8'000; world.now() < until;) {
-    world.run_until(world.now() + 1);
-    ASSERT_LE(zones_known(world, "job-900"), 1U) << "at " << world.now();
+  for (const Time until = region.now() + 8'000; region.now() < until;) {
+    region.run_until(region.now() + 1);
+    ASSERT_LE(zones_known(region, "job-900"), 1U) << "at " << region.now();
   }
-  world.run();
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  region.run();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 /// What a seeded day of machine cuts has beside them.
@@ -67,7 +67,7 @@
   /// Jobs of all kinds: arrays bound to a zone, spread services, gangs.
   bool mixed_jobs = false;
   /// A second trouble in each round: of reports, machines, zones, controllers or the state service.
-  bool more_troubles = false;
+  bool more_faults = false;
 };
 
 JobSpec drawn_job(const std::string& id, bool mixed, pcg32& random) {
@@ -84,31 +84,31 @@
   return s;
 }
 
-void second_trouble(World& world, pcg32& random, Time span) {
-  const std::size_t lead = leader_of(world);
+void second_fault(SimulatedRegion& region, pcg32& random, Time span) {
+  const std::size_t lead = leader_of(region);
   const auto some_machines = [&](const std::function<void(const std::string&)>& meet) {
-    for (const std::string& machine : world.machines_up())
+    for (const std::string& machine : region.machines_up())
       if (random(4) == 0) meet(machine);
   };
   switch (random(9)) {
     case 0:
-      return world.delay_heartbeats(0.4, span);
+      return region.delay_heartbeats(0.4, span);
     case 1:
-      return world.keep_heartbeats_for_next_leader(0.4, span);
+      return region.keep_heartbeats_for_next_leader(0.4, span);
     case 2:
-      return some_machines([&](const auto& m) { world.deafen_machine(m, span); });
+      return some_machines([&](const auto& m) { region.deafen_machine(m, span); });
     case 3:
-      return some_machines([&](const auto& m) { world.mute_machine(m, span); });
+      return some_machines([&](const auto& m) { region.mute_machine(m, span); });
     case 4:
-      return some_machines([&](const auto& m) { world.hang_machine(m, span); });
+      return some_machines([&](const auto& m) { region.hang_machine(m, span); });
     case 5:
-      return world.cut_zone(random(2) == 0 ? "za" : "zb", span, true);
+      return region.cut_zone(random(2) == 0 ? "za" : "zb", span, true);
     case 6:
-      return world.isolate(lead, span, true);
+      return region.isolate(lead, span, true);
     case 7:
-      return world.slow_commands(span);
+      return region.slow_commands(span);
     default:
-      return world.reject_kv_requests(lead, span);
+      return region.reject_kv_requests(lead, span);
   }
 }
 
@@ -116,11 +116,11 @@
 // arrives when they are back; meanwhile leaders end. Arrays that are bound to one zone are placed
 // anew all the time.
 void play_machine_cuts(std::uint64_t seed, const CutDay& day) {
-  DayPlan plan = quiet(seed * 31);
+  SimulationPlan plan = quiet(seed * 31);
   plan.length = 480'000;
   plan.scale = 2;
-  World world(plan);
-  world.run_until(1'000);
+  SimulatedRegion region(plan);
+  region.run_until(1'000);
   pcg32 random(seed);
   std::size_t next = 0;
   std::vector<std::string> services;
@@ -128,26 +128,27 @@
     for (std::size_t n = 0; n < count; ++n) {
       const JobSpec s = drawn_job(job_id(next++), day.mixed_jobs, random);
       if (s.kind == JobKind::Service) services.push_back(s.id);
-      world.submit(s);
+      region.submit(s);
     }
   };
   submit_jobs(12);
-  world.run_until(40'000);
+  region.run_until(40'000);
   for (int round = 0; round < 5; ++round) {
     submit_jobs(3);
     const Time span = ms(plan.lease_s) * (13 + random(9)) / 10;
-    const auto some_time = [&] { return world.now() + random(static_cast<std::uint32_t>(span)); };
-    world.cut_machines(0.3 + 0.1 * random(5), span, true);
-    if (random(2) == 0) world.at(some_time(), [&world] { world.kill(leader_of(world), 4'000); });
-    if (day.more_troubles)
-      world.at(some_time(), [&world, &random, span] { second_trouble(world, random, span); });
-    world.run_until(world.now() + span + 4'000 + random(12'000));
+    const auto some_time = [&] { return region.now() + random(static_cast<std::uint32_t>(span)); };
+    region.cut_machines(0.3 + 0.1 * random(5), span, true);
+    if (random(2) == 0)
+      region.at(some_time(), [&region] { region.kill(leader_of(region), 4'000); });
+    if (day.more_faults)
+      region.at(some_time(), [&region, &random, span] { second_fault(region, random, span); });
+    region.run_until(region.now() + span + 4'000 + random(12'000));
   }
-  world.run_until(world.now() + 3 * ms(plan.lease_s));
-  world.calm();
-  for (const std::string& id : services) world.cancel(id);
-  world.run();
-  expect_nothing_left(world, seed);
+  region.run_until(region.now() + 3 * ms(plan.lease_s));
+  region.calm();
+  for (const std::string& id : services) region.cancel(id);
+  region.run();
+  expect_nothing_left(region, seed);
 }
 
 // In CI a few days; a long run by hand takes more of them.
@@ -160,9 +161,9 @@
   for (std::uint64_t seed = 1; seed <= days_to_play(12); ++seed) play_machine_cuts(seed, {});
 }
 
-TEST(DelayedHeartbeats, DaysOfMachineCutsAndOtherTroubles) {
+TEST(DelayedHeartbeats, DaysOfMachineCutsAndOtherFaults) {
   for (std::uint64_t seed = 1; seed <= days_to_play(24); ++seed)
-    play_machine_cuts(seed, {.mixed_jobs = true, .more_troubles = true});
+    play_machine_cuts(seed, {.mixed_jobs = true, .more_faults = true});
 }
 
 }  // namespace
--- a/tests/election_history_test.cpp
+++ b/tests/election_history_test.cpp
@@ -1,5 +1,5 @@
 // Leases are short as long as leaders change seldom, and double with each change too many.
-#include "coordination/election_history.hpp"
+#include "controller/election_history.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -17,25 +17,25 @@
 TEST_P(Failover, KeepsTheRules) {
   const Scenario& scene = GetParam();
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    DayPlan plan = quiet(seed * 13);
+    SimulationPlan plan = quiet(seed * 13);
     plan.length = 500'000;
     plan.boots_ms = scene.boots_ms;
-    World world(plan);
-    world.run_until(1'000);
-    world.poll_closely(plan.length);
-    submit_mixed_jobs(world, 0, kJobs, seed);
-    world.run_until(kBegin);
-    scene.play(world, seed % 8);
-    world.run_until(world.now() + 60'000);
-    expect_all_served(world, kJobs, seed);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    region.poll_closely(plan.length);
+    submit_mixed_jobs(region, 0, kJobs, seed);
+    region.run_until(kBegin);
+    scene.play(region, seed % 8);
+    region.run_until(region.now() + 60'000);
+    expect_all_served(region, kJobs, seed);
   }
 }
 
-void end_leader(World& world, Time for_ms) { world.kill(leader_of(world), for_ms); }
+void end_leader(SimulatedRegion& region, Time for_ms) { region.kill(leader_of(region), for_ms); }
 
 const Scenario kScenarios[] = {
     {"OldReportsReachEveryControllerAsALeaderBegins",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        for (int round = 0; round < 4; ++round) {
          w.keep_heartbeats_for_next_leader(0.5, 9'000);
          w.run_until(w.now() + 8'000);
@@ -47,7 +47,7 @@
        }
      }},
     {"AReportIsHeldUntilANewLeaderHasActed",
-     [](World& w, std::uint64_t) {
+     [](SimulatedRegion& w, std::uint64_t) {
        for (int round = 0; round < 3; ++round) {
          // What the machines send to the leader arrives there when it has long been followed.
          const std::size_t old_leader = leader_of(w);
@@ -59,7 +59,7 @@
        }
      }},
     {"HandOversAndBackAndAllEnd",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        for (int round = 0; round < 4; ++round) {
          end_leader(w, 400);
          w.run_until(w.now() + 3'000 + static_cast<Time>(seed) * 300);
@@ -70,7 +70,7 @@
        w.run_until(w.now() + 12'000);
      }},
     {"LongTasksOutOfReachAsTheLeaderEnds",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        const auto busy = busy_machines(w);
        for (std::size_t k = 0; k < busy.size(); ++k) {
          if (k % 3 == 0) cut_off(w, busy[k], 14'000, seed % 2 == 0);
@@ -82,7 +82,7 @@
        w.run_until(w.now() + 40'000);
      }},
     {"TasksEndFarApartAcrossLeaders",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        for (std::size_t n = 100; n < 112; ++n)
          w.submit(array(job_id(n), 2 + static_cast<std::uint32_t>(n % 2), 25));
        for (int round = 0; round < 4; ++round) {
@@ -92,7 +92,7 @@
        w.run_until(w.now() + 10'000);
      }},
     {"LateWritesAfterNewerOnes",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        w.late_writes(0.4, 40'000, false);
        for (int round = 0; round < 3; ++round) {
          submit_mixed_jobs(w, 100 + static_cast<std::size_t>(round) * 8, 8, seed);
@@ -102,7 +102,7 @@
        }
      }},
     {"OldReportsAfterNewerOnes",
-     [](World& w, std::uint64_t) {
+     [](SimulatedRegion& w, std::uint64_t) {
        w.delay_heartbeats(0.4, 60'000);
        for (int round = 0; round < 3; ++round) {
          // Sessions change as leases run out, attempts as tasks move.
@@ -115,7 +115,7 @@
        }
      }},
     {"NewMachinesGetWorkWhileWritesLagAndTheLeaderEnds",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        for (int round = 0; round < 4; ++round) {
          for (std::size_t n = 0; n < 8; ++n) {
            JobSpec s = service(job_id(100 + static_cast<std::size_t>(round) * 10 + n), 1);
@@ -130,13 +130,13 @@
      },
      1'300},
     {"AllControllersAwayForLongerThanALease",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        for (std::size_t i = 0; i < 3; ++i) w.kill(i, 11'000 + static_cast<Time>(seed * i) * 400);
        w.cancel_now(4, seed % 2 == 0 ? 9'000 : 0);
        w.run_until(w.now() + 30'000);
      }},
     {"TenLeadersInTwoMinutesAlsoInAnOutage",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        for (int round = 0; round < 10; ++round) {
          if (round == 4) w.kv_store_outage(9'000);
          if (w.leader() >= 0) end_leader(w, round % 3 == 0 ? 6'000 : 600);
@@ -145,7 +145,7 @@
        }
      }},
     {"AFrozenLeaderWakesUnderItsSuccessor",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        for (int round = 0; round < 3; ++round) {
          const std::size_t old_leader = leader_of(w);
          w.freeze(old_leader, 5'000 + static_cast<Time>(seed) * 900);
--- a/tests/counterpart_codec_test.cpp
+++ b/tests/fake_server_codec_test.cpp
@@ -1,5 +1,5 @@
 // What stand-ins write is read by the daemon's own codecs as it was meant, and the other way round.
-#include "protocol/counterpart_codec.hpp"
+#include "protocol/fake_server_codec.hpp"
 
 #include <gtest/gtest.h>
 
@@ -11,7 +11,7 @@
 namespace sailreel {
 namespace {
 
-TEST(CounterpartCodec, AHeartbeatIsReadAsItWasWritten) {
+TEST(FakeServerCodec, AHeartbeatIsReadAsItWasWritten) {
   Heartbeat heartbeat;
   heartbeat.machine = "m-000231";
   heartbeat.address = "127.10.0.2:9000";
@@ -43,7 +43,7 @@
   EXPECT_TRUE(read->tasks[1].saved);
 }
 
-TEST(CounterpartCodec, CommandsAreReadAsTheyWereWritten) {
+TEST(FakeServerCodec, CommandsAreReadAsTheyWereWritten) {
   const std::vector<Command> commands{{Command::Op::Start, {"job-1", 4}, 9, 0},
                                       {Command::Op::Stop, {"job-2", 0}, 1, 2.5},
                                       {Command::Op::Forget, {"job-3", 1}, 7, 0}};
@@ -64,7 +64,7 @@
   EXPECT_EQ(direct->incarnation, 5U);
 }
 
-TEST(CounterpartCodec, CommandsWithoutAFencingTokenOrWithAnUnreadableTaskAreRejected) {
+TEST(FakeServerCodec, CommandsWithoutAFencingTokenOrWithAnUnreadableTaskAreRejected) {
   EXPECT_FALSE(decode_commands(R"({"orders":[]})"));
   EXPECT_FALSE(
       decode_commands(R"({"helm":1,"orders":[{"signal":"start","hand":"job-1","launch":1}]})"));
@@ -73,12 +73,12 @@
   EXPECT_FALSE(decode_commands("not JSON"));
 }
 
-TEST(CounterpartCodec, ARedirectNamesItsNode) {
+TEST(FakeServerCodec, ARedirectNamesItsNode) {
   EXPECT_EQ(decode_redirect(encode_redirect("node-2")), "node-2");
   EXPECT_EQ(decode_redirect(encode_redirect("")), "");
 }
 
-TEST(CounterpartCodec, ASubmissionIsReadAsItWasWritten) {
+TEST(FakeServerCodec, ASubmissionIsReadAsItWasWritten) {
   JobSpec spec;
   spec.id = "job-17";
   spec.job_class = "batch";
@@ -113,7 +113,7 @@
   return decode_state_call(request.method, request.path, request.body);
 }
 
-TEST(CounterpartCodec, EachKindOfStateCallIsReadAsItWasWritten) {
+TEST(FakeServerCodec, EachKindOfStateCallIsReadAsItWasWritten) {
   using Kind = KvRequest::Kind;
   for (const Kind kind :
        {Kind::Get, Kind::List, Kind::Txn, Kind::Grant, Kind::Renew, Kind::Revoke, Kind::Watch}) {
@@ -159,7 +159,7 @@
   }
 }
 
-TEST(CounterpartCodec, StateRepliesAreReadAsTheyWereWritten) {
+TEST(FakeServerCodec, StateRepliesAreReadAsTheyWereWritten) {
   KvRequest list;
   list.kind = KvRequest::Kind::List;
   KvResponse reply;
@@ -189,21 +189,21 @@
   EXPECT_EQ(decode_kv_response(transaction, response.status, response.body).status, 409);
 }
 
-TEST(CounterpartCodec, CloudCallsAndRepliesAreReadAsTheyWereWritten) {
-  CloudRequest rent;
-  rent.kind = CloudRequest::Kind::Rent;
-  rent.rental = {"r-17", "g8", "a", true, 12};
-  HttpRequest request = encode_cloud_request(rent);
+TEST(FakeServerCodec, CloudCallsAndRepliesAreReadAsTheyWereWritten) {
+  CloudRequest scale_out;
+  scale_out.kind = CloudRequest::Kind::ScaleOut;
+  scale_out.scale_out = {"r-17", "g8", "a", true, 12};
+  HttpRequest request = encode_cloud_request(scale_out);
   auto read = decode_cloud_call(request.method, request.path, request.body);
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->rental.request, "r-17");
-  EXPECT_EQ(read->rental.count, 12U);
-  EXPECT_TRUE(read->rental.spot);
+  EXPECT_EQ(read->scale_out.request, "r-17");
+  EXPECT_EQ(read->scale_out.count, 12U);
+  EXPECT_TRUE(read->scale_out.spot);
   CloudResponse refusal;
   refusal.status = 503;
   refusal.no_capacity = true;
-  ServiceResponse response = encode_cloud_reply(rent, refusal);
-  EXPECT_TRUE(decode_cloud_response(rent, response.status, response.body).no_capacity);
+  ServiceResponse response = encode_cloud_reply(scale_out, refusal);
+  EXPECT_TRUE(decode_cloud_response(scale_out, response.status, response.body).no_capacity);
 
   CloudRequest list;
   list.kind = CloudRequest::Kind::List;
@@ -223,7 +223,7 @@
   EXPECT_EQ(listed.machines[0].age_s, 61.5);
 }
 
-TEST(CounterpartCodec, MalformedRequestsAreRefused) {
+TEST(FakeServerCodec, MalformedRequestsAreRefused) {
   EXPECT_FALSE(decode_state_call("POST", "/multi", "[]"));
   EXPECT_FALSE(decode_state_call("POST", "/multi", R"({"then":[{"put":"a"}]})"));
   EXPECT_FALSE(decode_state_call("POST", "/leases", "{}"));
--- a/tests/fault_pairs_test.cpp
+++ b/tests/fault_pairs_test.cpp
@@ -2,7 +2,7 @@
 // look closely and call jobs off.
 #include <gtest/gtest.h>
 
-#include "sim/world.hpp"
+#include "sim/simulated_region.hpp"
 
 namespace sailreel::sim {
 namespace {
@@ -10,11 +10,11 @@
 class FaultPairDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(FaultPairDay, KeepsTheRules) {
-  DayPlan plan;
+  SimulationPlan plan;
   plan.seed = GetParam();
   plan.fault_pairs = true;
   plan.length = 330'000;
-  plan.troubles_until = 190'000;
+  plan.faults_until = 190'000;
   // Other ratios of lease, cancellation and report.
   if (plan.seed % 3 == 1) plan.cancel_s = 14;
   if (plan.seed % 3 == 2) {
@@ -23,13 +23,13 @@
     plan.cancel_s = 20;
   }
   if (plan.seed % 4 == 0) plan.boots_ms = 1'500;
-  World world(plan);
-  world.run();
-  world.checker().end_served();
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
-  EXPECT_EQ(world.state().malformed, 0U);
-  EXPECT_EQ(world.malformed_answers(), 0U);
-  EXPECT_GT(world.checker().jobs_over(), plan.jobs / 2);
+  SimulatedRegion region(plan);
+  region.run();
+  region.checker().end_served();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
+  EXPECT_EQ(region.state().malformed, 0U);
+  EXPECT_EQ(region.malformed_answers(), 0U);
+  EXPECT_GT(region.checker().jobs_over(), plan.jobs / 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FaultPairDay, ::testing::Range<std::uint64_t>(1, 61),
--- a/tests/federation_test.cpp
+++ b/tests/federation_test.cpp
@@ -29,7 +29,7 @@
 }
 
 // So much of one region's machines are for the team that its limit is what binds.
-void add_machines(DayPlan& day) {
+void add_machines(SimulationPlan& day) {
   Deployment deployment = sample_deployment(day);
   for (const char* zone : {"za", "zb"}) deployment.capacity[{zone, false}] = 12;
   day.deployment = deployment;
@@ -38,7 +38,7 @@
 double use_under_skew(bool fixed_division) {
   FederationPlan plan = even_plan(3, 2);
   plan.fixed_division = fixed_division;
-  plan.adjust = [&](std::size_t, DayPlan& day) {
+  plan.adjust = [&](std::size_t, SimulationPlan& day) {
     add_machines(day);
     if (!fixed_division) return;
     for (Settings& settings : day.deployment->controllers)
@@ -68,7 +68,7 @@
   plan.seed = seed;
   plan.first_gpus = {{"red", 1}, {"blue", 0}};
   plan.loss = 0;
-  plan.adjust = [](std::size_t, DayPlan& day) {
+  plan.adjust = [](std::size_t, SimulationPlan& day) {
     add_machines(day);
     day.options.headroom_ratio = 1;
     day.loss = 0;
@@ -77,7 +77,7 @@
   FederatedDay day(plan);
   std::vector<Time> waits;
   std::map<std::string, Time> since;
-  World& asking = day.region(1);
+  SimulatedRegion& asking = day.region(1);
   asking.on_started = [&](const TaskKey& key) {
     if (const auto it = since.find(key.job); it != since.end()) {
       waits.push_back(asking.now() - it->second);
@@ -118,7 +118,7 @@
 
 TEST(Federation, LessImportantWorkElsewhereGivesWayToUrgentWork) {
   FederationPlan plan = even_plan(5, 2);
-  plan.adjust = [](std::size_t, DayPlan& day) { add_machines(day); };
+  plan.adjust = [](std::size_t, SimulationPlan& day) { add_machines(day); };
   FederatedDay day(plan);
   day.region(0).submit(replicas("job-1", 30, Priority::Low));
   day.run_until(40'000);
@@ -141,7 +141,7 @@
 
 TEST(Federation, EqualsDoNotTakeShareFromEachOther) {
   FederationPlan plan = even_plan(6, 2);
-  plan.adjust = [](std::size_t, DayPlan& day) { add_machines(day); };
+  plan.adjust = [](std::size_t, SimulationPlan& day) { add_machines(day); };
   FederatedDay day(plan);
   for (std::size_t n = 0; n < 2; ++n) day.region(n).submit(replicas("job-1", 30, Priority::High));
   day.run_until(40'000);
@@ -157,7 +157,7 @@
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     FederationPlan plan = even_plan(seed, 2);
     plan.length = 240'000;
-    plan.adjust = [](std::size_t, DayPlan& day) {
+    plan.adjust = [](std::size_t, SimulationPlan& day) {
       add_machines(day);
       day.length = 240'000;
     };
@@ -198,7 +198,7 @@
 TEST(Federation, ALimitThatIsLoweredIsInForceOnceTheExcessIsPaid) {
   FederationPlan plan = even_plan(9, 2);
   plan.length = 200'000;
-  plan.adjust = [](std::size_t, DayPlan& day) {
+  plan.adjust = [](std::size_t, SimulationPlan& day) {
     add_machines(day);
     day.length = 200'000;
   };
@@ -225,7 +225,7 @@
 
 TEST(Federation, ALimitThatIsRaisedIsTheFirstRegionsToGive) {
   FederationPlan plan = even_plan(10, 2);
-  plan.adjust = [](std::size_t, DayPlan& day) { add_machines(day); };
+  plan.adjust = [](std::size_t, SimulationPlan& day) { add_machines(day); };
   FederatedDay day(plan);
   day.run_until(15'000);
   day.expect_limit("red", 40);
@@ -254,14 +254,14 @@
 // A controller whose operator forgot the options keeps to what its region holds.
 TEST(Federation, WithoutItsOptionsAControllerKeepsToTheShareThatIsWritten) {
   FederationPlan plan = even_plan(12, 2);
-  plan.adjust = [](std::size_t n, DayPlan& day) {
+  plan.adjust = [](std::size_t n, SimulationPlan& day) {
     add_machines(day);
     if (n == 1)
       day.controllers = [options = day.options](std::size_t node, const Settings& settings,
                                                 std::uint64_t seed) {
         static int started = 0;
         const bool forgotten = ++started > 3 && node != 3;
-        return std::make_unique<PresentController>(settings, forgotten ? Options{} : options, seed);
+        return std::make_unique<CurrentController>(settings, forgotten ? Options{} : options, seed);
       };
   };
   FederatedDay day(plan);
@@ -275,16 +275,16 @@
   EXPECT_EQ(day.broken(), "");
 }
 
-class FederatedTroubles : public ::testing::TestWithParam<int> {};
+class FederatedFaults : public ::testing::TestWithParam<int> {};
 
-TEST_P(FederatedTroubles, BreakNoRuleAndLoseNoShare) {
+TEST_P(FederatedFaults, BreakNoRuleAndLoseNoShare) {
   const auto seed = static_cast<std::uint64_t>(GetParam());
   FederationPlan plan = even_plan(seed, 2 + seed % 2);
   plan.length = 240'000;
-  plan.troubles = true;
-  plan.adjust = [](std::size_t, DayPlan& day) {
+  plan.faults = true;
+  plan.adjust = [](std::size_t, SimulationPlan& day) {
     day.length = 240'000;
-    day.troubles = true;
+    day.faults = true;
     day.gangs = true;
     day.jobs = 30;
   };
@@ -292,10 +292,10 @@
   // Bursts of one team now here, now there, of which some is cancelled.
   pcg32 random(seed * 31);
   for (std::size_t n = 0; n < 24; ++n) {
-    World& world = day.region(random(static_cast<std::uint32_t>(day.regions())));
+    SimulatedRegion& region = day.region(random(static_cast<std::uint32_t>(day.regions())));
     const auto priority = static_cast<Priority>(random(4));
-    world.submit(replicas(job_id(n), 1 + random(8), priority),
-                 world.now() + 10'000 + random(40'000));
+    region.submit(replicas(job_id(n), 1 + random(8), priority),
+                  region.now() + 10'000 + random(40'000));
     day.run_until(day.now() + random(8'000));
   }
   day.run_until(230'000);
@@ -304,7 +304,7 @@
   EXPECT_EQ(day.held("red").gpus + day.in_transit("red").gpus, 30'000);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, FederatedTroubles, ::testing::Range(1, 25));
+INSTANTIATE_TEST_SUITE_P(Seeds, FederatedFaults, ::testing::Range(1, 25));
 
 }  // namespace
 }  // namespace sailreel::sim
--- a/tests/federation_upgrade_test.cpp
+++ b/tests/federation_upgrade_test.cpp
@@ -12,14 +12,14 @@
 TEST(FederationUpgrade, SharesAreInForceOnceAllControllersKnowOfThem) {
   FederationPlan plan;
   plan.first_gpus = {{"red", 15}, {"blue", 6}};
-  plan.adjust = [](std::size_t n, DayPlan& day) {
+  plan.adjust = [](std::size_t n, SimulationPlan& day) {
     if (n == 1)
       day.production = [](const Settings& settings, std::uint64_t seed) {
         return make_production_controller(settings, seed);
       };
   };
   FederatedDay day(plan);
-  World& upgraded = day.region(1);
+  SimulatedRegion& upgraded = day.region(1);
   day.run_until(15'000);
   EXPECT_TRUE(day.ledger(0).teams.contains("red"));
   EXPECT_FALSE(day.ledger(1).teams.contains("red"));
--- a/tests/fixed_limits_test.cpp
+++ b/tests/fixed_limits_test.cpp
@@ -2,9 +2,9 @@
 // the settings' limits can't carry the deployment that they describe.
 #include <gtest/gtest.h>
 
-#include "coordination/capacity_check.hpp"
-#include "protocol/counterpart_codec.hpp"
-#include "support/core_driver.hpp"
+#include "controller/capacity_check.hpp"
+#include "protocol/fake_server_codec.hpp"
+#include "support/controller_driver.hpp"
 #include "support/scenarios.hpp"
 
 namespace sailreel::sim {
@@ -14,11 +14,11 @@
 // begun anew after each page that the rate didn't allow, and its end was never read.
 TEST(FixedLimits, AListOfManyPagesIsReadToItsEnd) {
   constexpr std::size_t kUnexpected = 1'200;
-  DayPlan plan = quiet(31);
+  SimulationPlan plan = quiet(31);
   Deployment deployment = sample_deployment(plan);
-  for (Settings& settings : deployment.controllers) settings.market.rps = 2;
+  for (Settings& settings : deployment.controllers) settings.cloud_limits.rps = 2;
   plan.deployment = deployment;
-  World world(plan);
+  SimulatedRegion region(plan);
   // As a rental that is carried out late leaves them; none of them ever comes up.
   for (std::size_t n = 0; n < kUnexpected; ++n) {
     CloudMachine m;
@@ -26,20 +26,20 @@
     m.type = "box";
     m.zone = n % 2 == 0 ? "za" : "zb";
     m.broken = true;
-    world.cloud().machines[m.name] = m;
+    region.cloud().machines[m.name] = m;
   }
-  world.run_until(30'000);
-  const Tables& tables = world.core(leader_of(world))->tables();
+  region.run_until(30'000);
+  const Tables& tables = region.controller(leader_of(region))->tables();
   EXPECT_EQ(tables.machines.size(), kUnexpected);
-  world.run();
-  EXPECT_TRUE(world.cloud().machines.empty()) << world.cloud().machines.size() << " are paid for";
+  region.run();
+  EXPECT_TRUE(region.cloud().machines.empty()) << region.cloud().machines.size() << " are paid for";
 }
 
 // More machines are out of reach than inquiries have sockets. One that dies elsewhere is still
 // asked in its turn, and returned well before its lease has run out.
 TEST(FixedLimits, ADeadMachineIsFoundBesideManyOutOfReach) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    DayPlan plan = quiet(seed + 40);
+    SimulationPlan plan = quiet(seed + 40);
     plan.scale = 4;
     plan.lease_s = 20;
     plan.cancel_s = 50;
@@ -47,29 +47,29 @@
     deployment.one_in_never_up = 0;
     for (Settings& settings : deployment.controllers) settings.limits.sockets = 30;
     plan.deployment = deployment;
-    World world(plan);
-    world.run_until(1'000);
-    for (std::size_t n = 0; n < 40; ++n) world.submit(service(job_id(n), 3));
-    world.run_until(45'000);
-    world.cut_zone("za", 60'000, false);
-    world.run_until(56'000);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    for (std::size_t n = 0; n < 40; ++n) region.submit(service(job_id(n), 3));
+    region.run_until(45'000);
+    region.cut_zone("za", 60'000, false);
+    region.run_until(56'000);
     std::size_t out_of_reach = 0;
     std::string last;
-    for (const std::string& name : world.machines_up()) {
-      const bool cut = world.cloud().machines.at(name).zone == "za";
+    for (const std::string& name : region.machines_up()) {
+      const bool cut = region.cloud().machines.at(name).zone == "za";
       out_of_reach += cut ? 1 : 0;
       if (!cut) last = name;
     }
     ASSERT_GT(out_of_reach, 6U) << "a fifth of the sockets";
     ASSERT_FALSE(last.empty());
-    world.kill_machine(last);
+    region.kill_machine(last);
     // Two inquiries that fail, each after two rounds of the others, and a call to the cloud.
-    world.run_until(world.now() + 14'000);
-    const Core* leader = world.core(leader_of(world));
+    region.run_until(region.now() + 14'000);
+    const Controller* leader = region.controller(leader_of(region));
     ASSERT_NE(leader, nullptr);
     EXPECT_EQ(leader->tables().machines.count(last), 0U) << "seed " << seed << " " << last;
-    world.run();
-    EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+    region.run();
+    EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   }
 }
 
@@ -77,10 +77,10 @@
 TEST(FixedLimits, AsManySubmissionsWaitAsThereAreSockets) {
   Settings settings = settings_without_peers();
   settings.limits.sockets = 3'000;
-  CoreDriver driver(settings);
+  ControllerDriver driver(settings);
   driver.set_types({sample_type()});
   driver.run_for(2'000);
-  ASSERT_TRUE(driver.core().leading());
+  ASSERT_TRUE(driver.controller().leading());
   // All at one moment: once the burst of writes is spent, they wait for the next round.
   const auto body = [](std::size_t n) { return encode_submission(array(job_id(n), 1, 5)); };
   std::size_t refused = 0;
@@ -93,18 +93,18 @@
 // Attempt numbers of an epoch would run into those of the next. The leader makes room for another
 // before, and the work goes on under that one.
 TEST(FixedLimits, UsedUpAttemptNumbersChangeTheLeader) {
-  DayPlan plan = quiet(51);
+  SimulationPlan plan = quiet(51);
   plan.options.attempts_per_epoch = 60;
-  World world(plan);
-  world.run_until(1'000);
+  SimulatedRegion region(plan);
+  region.run_until(1'000);
   for (std::size_t n = 0; n < 30; ++n) {
-    world.submit(array(job_id(n), 6, 5));
-    world.run_until(world.now() + 2'000);
+    region.submit(array(job_id(n), 6, 5));
+    region.run_until(region.now() + 2'000);
   }
-  world.run();
-  EXPECT_GE(world.core(leader_of(world))->epoch(), 3U) << "180 tasks";
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
-  EXPECT_TRUE(world.checker().unfinished_arrays().empty());
+  region.run();
+  EXPECT_GE(region.controller(leader_of(region))->epoch(), 3U) << "180 tasks";
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
+  EXPECT_TRUE(region.checker().unfinished_arrays().empty());
 }
 
 TEST(FixedLimits, SocketsAreSharedOutWithinTheLimit) {
@@ -154,17 +154,17 @@
 TEST(FixedLimits, TooLowALimitIsOneWarningLine) {
   Settings settings = settings_without_peers();
   settings.teams = {{"red", 0, 0, 32'000, 40'000}};
-  CoreDriver driver(settings);
+  ControllerDriver driver(settings);
   driver.set_types({sample_type()});
   driver.run_for(120'000);
-  EXPECT_TRUE(driver.core().leading());
+  EXPECT_TRUE(driver.controller().leading());
   ASSERT_EQ(driver.warnings().size(), 1U);
   EXPECT_NE(driver.warnings().front().find("event=capacity_limit limit=sockets machines="),
             std::string::npos)
       << driver.warnings().front();
   EXPECT_NE(driver.warnings().front().find("described=4000"), std::string::npos);
 
-  CoreDriver carried(settings_without_peers());
+  ControllerDriver carried(settings_without_peers());
   carried.set_types({sample_type()});
   carried.run_for(120'000);
   EXPECT_TRUE(carried.warnings().empty());
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -1,10 +1,10 @@
 // Gangs: the state machine and the distribution of tasks by themselves, and scenes of the simulated
 // world in which a gang is lost, stopped, taken over or cancelled in each of its phases.
-#include "coordination/gang.hpp"
+#include "controller/gang.hpp"
 
 #include <gtest/gtest.h>
 
-#include "support/core_driver.hpp"
+#include "support/controller_driver.hpp"
 #include "support/scenarios.hpp"
 
 namespace sailreel::sim {
@@ -127,59 +127,60 @@
 TEST_P(GangScene, KeepsTheRules) {
   const Scenario& scene = GetParam();
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    DayPlan plan = quiet(seed * 17);
+    SimulationPlan plan = quiet(seed * 17);
     plan.length = 400'000;
-    World world(plan);
-    world.run_until(1'000);
-    submit_mixed_jobs(world, 100, 8, seed);
-    world.run_until(45'000);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    submit_mixed_jobs(region, 100, 8, seed);
+    region.run_until(45'000);
     // Two that need several machines, one of them in one zone, and one that fits on a machine.
     JobSpec together = gang("job-1", 4, 6, 12);
     together.one_zone = true;
-    world.submit(together);
-    world.submit(gang("job-2", 5, 6, 15));
-    world.submit(gang("job-3", 4, 2, 10));
-    world.run_until(world.now() + 50);
+    region.submit(together);
+    region.submit(gang("job-2", 5, 6, 15));
+    region.submit(gang("job-3", 4, 2, 10));
+    region.run_until(region.now() + 50);
     // From now on their users look closely, and call some jobs off as these end.
-    world.poll_closely(plan.length);
-    scene.play(world, seed);
-    world.run_until(world.now() + 60'000);
-    world.calm();
-    world.run_until(world.now() + 150'000);
-    expect_nothing_left(world, seed);
+    region.poll_closely(plan.length);
+    scene.play(region, seed);
+    region.run_until(region.now() + 60'000);
+    region.calm();
+    region.run_until(region.now() + 150'000);
+    expect_nothing_left(region, seed);
   }
 }
 
 /// Lets the world go on until a task of the job is somewhere, and returns where.
-std::string wait_for_task(World& world, const std::string& job) {
-  for (const Time until = world.now() + 60'000; world.now() < until;) {
-    const std::vector<std::string> machines = world.machines_of(job);
+std::string wait_for_task(SimulatedRegion& region, const std::string& job) {
+  for (const Time until = region.now() + 60'000; region.now() < until;) {
+    const std::vector<std::string> machines = region.machines_of(job);
     if (!machines.empty()) return machines.front();
-    world.run_until(world.now() + 10);
+    region.run_until(region.now() + 10);
   }
   return {};
 }
 
-void wait_for_start(World& world, const std::string& job) {
-  for (const Time until = world.now() + 60'000; world.now() < until && world.gang_starts(job) == 0;)
-    world.run_until(world.now() + 10);
+void wait_for_start(SimulatedRegion& region, const std::string& job) {
+  for (const Time until = region.now() + 60'000;
+       region.now() < until && region.gang_starts(job) == 0;)
+    region.run_until(region.now() + 10);
 }
 
 const Scenario kScenes[] = {
     {"UndisturbedTheyAreDone",
-     [](World& w, std::uint64_t) {
+     [](SimulatedRegion& w, std::uint64_t) {
        wait_for_start(w, "job-1");
        EXPECT_EQ(w.gang_starts("job-1"), 1U);
      }},
     {"AMachineEndsWhileTheGangGathers",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        const std::string job = seed % 2 == 0 ? "job-1" : "job-2";
        const std::string machine = wait_for_task(w, job);
        w.cloud().machines.erase(machine);
        w.kill_machine(machine);
      }},
     {"AMachineEndsWhileTheGangRuns",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        const std::string job = seed % 2 == 0 ? "job-1" : "job-2";
        wait_for_start(w, job);
        w.run_until(w.now() + 3'000);
@@ -188,31 +189,31 @@
        w.kill_machine(machine);
      }},
     {"AMachineHangsWhileTheGangRuns",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        wait_for_start(w, "job-2");
        w.hang_machine(wait_for_task(w, "job-2"), seed % 2 == 0 ? 5'000 : 30'000);
      }},
     {"AMachineIsCutOffWhileTheGangGathersOrRuns",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        if (seed % 2 == 0) wait_for_start(w, "job-1");
        cut_off(w, wait_for_task(w, "job-1"), 25'000, seed % 3 == 0);
      }},
     {"OneMachineGetsANotice",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        const std::string job = seed % 2 == 0 ? "job-1" : "job-2";
        wait_for_start(w, job);
        w.run_until(w.now() + 5'000);
        w.notice_machine(wait_for_task(w, job), 6'000);
      }},
     {"StopsArriveLate",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        wait_for_start(w, "job-2");
        w.slow_commands(20'000);
        w.run_until(w.now() + 3'000 + 500 * static_cast<Time>(seed));
        w.notice_machine(wait_for_task(w, "job-2"), 8'000);
      }},
     {"AStopDoesNotReachOneMachine",
-     [](World& w, std::uint64_t) {
+     [](SimulatedRegion& w, std::uint64_t) {
        wait_for_start(w, "job-2");
        const auto machines = w.machines_of("job-2");
        ASSERT_FALSE(machines.empty());
@@ -220,7 +221,7 @@
        w.notice_machine(machines.front(), 8'000);
      }},
     {"TheLeaderEndsInEachPhase",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        w.run_until(w.now() + 200 * static_cast<Time>(seed));
        w.kill(leader_of(w), 4'000);
        wait_for_task(w, "job-2");
@@ -233,7 +234,7 @@
        w.kill(leader_of(w), 4'000);
      }},
     {"TheLeaderEndsAsAGangIsDone",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        bool ended = false;
        w.on_completed = [&w, &ended, seed](const TaskKey& key, const std::string&) {
          if (key.job != "job-2" || std::exchange(ended, true)) return;
@@ -244,7 +245,7 @@
        EXPECT_TRUE(ended);
      }},
     {"OneTaskIsDoneAndTheOtherMachinesAreSilent",
-     [](World& w, std::uint64_t) {
+     [](SimulatedRegion& w, std::uint64_t) {
        bool cut = false;
        w.on_completed = [&w, &cut](const TaskKey& key, const std::string& machine) {
          if (key.job != "job-2" || std::exchange(cut, true)) return;
@@ -256,12 +257,12 @@
        EXPECT_TRUE(cut);
      }},
     {"ZonesArePartedWhileGangsRun",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        if (seed % 2 == 0) wait_for_start(w, "job-2");
        w.cut_zone("za", 15'000, seed % 3 == 0);
      }},
     {"CancelledInEachPhase",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        w.run_until(w.now() + 300);
        if (seed % 3 == 0) w.cancel("job-2");
        wait_for_task(w, "job-1");
@@ -276,7 +277,7 @@
        w.cancel(other);
      }},
     {"ReportsComeLateWhileGangsStartAgain",
-     [](World& w, std::uint64_t) {
+     [](SimulatedRegion& w, std::uint64_t) {
        w.delay_heartbeats(0.4, 40'000);
        w.keep_heartbeats_for_next_leader(0.4, 20'000);
        wait_for_start(w, "job-1");
@@ -285,7 +286,7 @@
        const std::string machine = wait_for_task(w, "job-2");
        if (!machine.empty()) w.kill_machine(machine);
      }},
-    {"MoreImportantWorkTakesTheirRoom", [](World& w, std::uint64_t) {
+    {"MoreImportantWorkTakesTheirRoom", [](SimulatedRegion& w, std::uint64_t) {
        wait_for_start(w, "job-2");
        for (std::size_t n = 50; n < 58; ++n) {
          JobSpec s = service(job_id(n), 2);
@@ -298,51 +299,51 @@
 
 // An orderly stop keeps what was reached: the next attempt goes on from there.
 TEST(GangStops, ANoticeOnOneMachineSavesTheProgressOfAll) {
-  World world(quiet(3));
-  world.run_until(1'000);
+  SimulatedRegion region(quiet(3));
+  region.run_until(1'000);
   JobSpec spec = gang("job-1", 5, 6, 60);
   spec.checkpoint_s = 1'000;  // never by itself
-  world.submit(spec);
-  wait_for_start(world, "job-1");
-  world.run_until(world.now() + 10'000);
-  world.notice_machine(world.machines_of("job-1").front(), 8'000);
-  world.run_until(world.now() + 6'000);
-  EXPECT_GT(world.gang_saved_ms("job-1"), 8'000);
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  region.submit(spec);
+  wait_for_start(region, "job-1");
+  region.run_until(region.now() + 10'000);
+  region.notice_machine(region.machines_of("job-1").front(), 8'000);
+  region.run_until(region.now() + 6'000);
+  EXPECT_GT(region.gang_saved_ms("job-1"), 8'000);
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // A gang that needs exactly its team's limit runs, and one that needs more is refused.
 TEST(GangLimits, ATeamExactlyAtItsLimit) {
-  World world(quiet(4));
-  world.run_until(1'000);
+  SimulatedRegion region(quiet(4));
+  region.run_until(1'000);
   JobSpec spec = gang("job-1", 6, 2, 10);
   spec.team = "blue";
   spec.need.gpus = 2;  // 12 in all, as the team may use
-  world.submit(spec);
+  region.submit(spec);
   JobSpec single = array("job-2", 1, 5);
   single.team = "blue";
-  world.submit(single);
-  world.run_until(70'000);
-  EXPECT_TRUE(world.checker().unfinished_arrays().empty());
+  region.submit(single);
+  region.run_until(70'000);
+  EXPECT_TRUE(region.checker().unfinished_arrays().empty());
   spec.id = "job-3";
   spec.tasks = 7;
   int status = 0;
-  world.submit(spec);
-  world.ask_for("job-3", leader_of(world), UserOp::Submit, [&status](int s) { status = s; });
-  world.run_until(72'000);
+  region.submit(spec);
+  region.ask_for("job-3", leader_of(region), UserOp::Submit, [&status](int s) { status = s; });
+  region.run_until(72'000);
   EXPECT_EQ(status, 422);
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // All at the same time, and at most half of them in a zone: in one zone that can't be.
 TEST(GangLimits, AGangThatCanNeverRunIsRefused) {
-  World world(quiet(5));
-  world.run_until(3'000);
-  const auto status_of = [&world](const JobSpec& spec) {
+  SimulatedRegion region(quiet(5));
+  region.run_until(3'000);
+  const auto status_of = [&region](const JobSpec& spec) {
     int status = 0;
-    world.submit(spec);
-    world.ask_for(spec.id, leader_of(world), UserOp::Submit, [&status](int s) { status = s; });
-    world.run_until(world.now() + 1'000);
+    region.submit(spec);
+    region.ask_for(spec.id, leader_of(region), UserOp::Submit, [&status](int s) { status = s; });
+    region.run_until(region.now() + 1'000);
     return status;
   };
   JobSpec spec = gang("job-1", 4, 2, 10);
@@ -361,8 +362,8 @@
 }
 
 /// A leader that has just taken over a gang of two, which runs on two machines.
-std::unique_ptr<CoreDriver> with_gang_of_two() {
-  auto driver = std::make_unique<CoreDriver>(settings_without_peers());
+std::unique_ptr<ControllerDriver> with_gang_of_two() {
+  auto driver = std::make_unique<ControllerDriver>(settings_without_peers());
   JobRecord record;
   record.spec = gang("job-1", 2, 6, 30);
   record.started = 2;
@@ -412,10 +413,10 @@
 // A gang that needs whole machines doesn't wait for as long as single tasks come that take any room
 // which is left.
 TEST(GangRoom, AGangDoesNotStarveBehindSingleTasks) {
-  DayPlan plan = quiet(6);
+  SimulationPlan plan = quiet(6);
   plan.length = 600'000;
-  World world(plan);
-  world.run_until(1'000);
+  SimulatedRegion region(plan);
+  region.run_until(1'000);
   // A little more than the machines can do.
   constexpr std::size_t kFirst = 10, kLast = 150, kGangAfter = 60;
   for (std::size_t n = kFirst; n < kLast; ++n) {
@@ -424,35 +425,35 @@
     single.team = "guest";
     single.spot = false;
     single.priority = Priority::Normal;
-    world.submit(single);
-    world.run_until(world.now() + 1'600);
+    region.submit(single);
+    region.run_until(region.now() + 1'600);
     if (n != kGangAfter) continue;
     JobSpec spec = gang("job-1", 3, 16, 10);
     spec.team = "guest";
     spec.one_zone = true;
-    world.submit(spec);
+    region.submit(spec);
   }
-  EXPECT_GT(world.gang_starts("job-1"), 0U);
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  EXPECT_GT(region.gang_starts("job-1"), 0U);
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // Machines for a gang that has to be in one zone are rented in that zone alone.
-TEST(GangRoom, MachinesAreRentedInTheGangsZone) {
-  World world(quiet(7));
-  world.run_until(1'000);
+TEST(GangRoom, MachinesAreLaunchedInTheGangsZone) {
+  SimulatedRegion region(quiet(7));
+  region.run_until(1'000);
   JobSpec spec = gang("job-1", 3, 16, 10);
   spec.one_zone = true;
-  world.submit(spec);
-  world.run_until(3'000);
+  region.submit(spec);
+  region.run_until(3'000);
   std::map<std::string, std::size_t> zones;
-  for (const auto& [name, m] : world.cloud().machines) ++zones[m.zone];
+  for (const auto& [name, m] : region.cloud().machines) ++zones[m.zone];
   EXPECT_GE(std::max(zones["za"], zones["zb"]), 3U);
   std::size_t most = 0;
-  while (world.now() < 60'000) {
-    world.run_until(world.now() + 100);
-    most = std::max(most, world.cloud().machines.size());
+  while (region.now() < 60'000) {
+    region.run_until(region.now() + 100);
+    most = std::max(most, region.cloud().machines.size());
   }
-  EXPECT_EQ(world.gang_starts("job-1"), 1U);
+  EXPECT_EQ(region.gang_starts("job-1"), 1U);
   EXPECT_LE(most, 5U);
 }
 
@@ -460,31 +461,31 @@
 // none holds room that another waits for.
 TEST(GangRoom, SwarmsOfGangsAndSingleTasksAllGetOn) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    DayPlan plan = quiet(seed);
+    SimulationPlan plan = quiet(seed);
     plan.length = 900'000;
-    World world(plan);
-    world.run_until(1'000);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
     pcg32 random(seed);
     for (std::size_t n = 0; n < 60; ++n) {
       JobSpec single = array(job_id(n), 2, 8);
       single.spot = false;
       single.priority = Priority::Normal;
       if (n % 4 != 0) {
-        world.submit(single);
+        region.submit(single);
       } else {
         JobSpec spec = gang(job_id(n), 4 + random(5), 5, 8);
         spec.team = "guest";
         spec.one_zone = random(2) == 0;
         spec.need.gpus = 2;
-        world.submit(spec);
+        region.submit(spec);
       }
-      world.run_until(world.now() + 500 + random(2'000));
+      region.run_until(region.now() + 500 + random(2'000));
     }
-    world.run_until(600'000);
-    EXPECT_TRUE(world.checker().violations().empty())
-        << "seed " << seed << " " << world.checker().summary();
-    EXPECT_TRUE(world.checker().unfinished_arrays().empty())
-        << "seed " << seed << " " << world.checker().unfinished_arrays().front();
+    region.run_until(600'000);
+    EXPECT_TRUE(region.checker().violations().empty())
+        << "seed " << seed << " " << region.checker().summary();
+    EXPECT_TRUE(region.checker().unfinished_arrays().empty())
+        << "seed " << seed << " " << region.checker().unfinished_arrays().front();
   }
 }
 
--- a/tests/incarnation_fence_test.cpp
+++ b/tests/incarnation_fence_test.cpp
@@ -2,7 +2,7 @@
 // that was returned, and places that what is known by now forbids.
 #include <gtest/gtest.h>
 
-#include "support/core_driver.hpp"
+#include "support/controller_driver.hpp"
 #include "support/scenarios.hpp"
 
 namespace sailreel::sim {
@@ -80,7 +80,7 @@
     for (const auto& [shard, machines] : shards)
       driver_.write(machines_key(shard), encode_machines(machines));
     driver_.run_for(2'000);
-    ASSERT_TRUE(driver_.core().leading());
+    ASSERT_TRUE(driver_.controller().leading());
   }
   /// The last machine reports every second.
   void run_with_heartbeats_of_the_last(Time span, const std::vector<TaskStatus>& tasks = {}) {
@@ -90,13 +90,13 @@
     }
   }
   [[nodiscard]] const Machine& machine(const std::string& name) const {
-    return *driver_.core().tables().machines.at(name);
+    return *driver_.controller().tables().machines.at(name);
   }
   [[nodiscard]] const Job& job(const std::string& id) const {
-    return *driver_.core().tables().jobs.at(id);
+    return *driver_.controller().tables().jobs.at(id);
   }
 
-  CoreDriver driver_;
+  ControllerDriver driver_;
   std::vector<std::string> records_;
   std::uint64_t last_seq_ = 0;
   std::string last_commands_;
@@ -135,7 +135,7 @@
   // Nor does it while the leader's own lease may have lapsed.
   driver_.state().outage = true;
   driver_.run_for(3'000);
-  ASSERT_TRUE(driver_.core().leading());
+  ASSERT_TRUE(driver_.controller().leading());
   EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 1, 10, of_before())).status, 503);
   EXPECT_EQ(machine("m-1").last_heartbeat, heard);
   EXPECT_EQ(machine("m-1").answered, answered);
@@ -174,7 +174,7 @@
   add_job("job-1", 1, {});
   failover();
   run_with_heartbeats_of_the_last(33'000);
-  ASSERT_FALSE(driver_.core().reconciling());
+  ASSERT_FALSE(driver_.controller().reconciling());
   ASSERT_FALSE(machine("m-1").heard_in_epoch);
   EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 5, 9, {running("job-1", 0)})).status,
             503);
@@ -190,10 +190,10 @@
   for (const char* name : {"m-1", "m-2", "m-3"})
     driver_.heartbeat(incarnation_heartbeat(name, 1, 1, {}));
   run_with_heartbeats_of_the_last(2'000);
-  ASSERT_FALSE(driver_.core().reconciling());
+  ASSERT_FALSE(driver_.controller().reconciling());
   EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-9", 1, 9, {running("job-1", 0)})).status,
             503);
-  EXPECT_FALSE(driver_.core().tables().machines.contains("m-9"));
+  EXPECT_FALSE(driver_.controller().tables().machines.contains("m-9"));
   EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-9", 1, 10, {})).status, 200) << "a new one";
 }
 
@@ -249,7 +249,7 @@
   EXPECT_NE(commands.find("kill"), std::string::npos);
   driver_.heartbeat(incarnation_heartbeat("m-3", 1, 1, {}));
   run_with_heartbeats_of_the_last(1'000);
-  ASSERT_FALSE(driver_.core().reconciling());
+  ASSERT_FALSE(driver_.controller().reconciling());
   EXPECT_EQ(job("job-1").orphans.size(), 1U);
   driver_.heartbeat(incarnation_heartbeat("m-1", 2, 2, {}));  // and loses its own place
   EXPECT_EQ(job("job-1").tasks[0].state, TaskState::Queued);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -2,8 +2,8 @@
 // the settings say.
 #include <gtest/gtest.h>
 
-#include "protocol/counterpart_codec.hpp"
-#include "support/core_driver.hpp"
+#include "protocol/fake_server_codec.hpp"
+#include "support/controller_driver.hpp"
 #include "support/scenarios.hpp"
 
 namespace sailreel::sim {
@@ -19,7 +19,7 @@
   return settings;
 }
 
-void lower_limits(CoreDriver& driver) {
+void lower_limits(ControllerDriver& driver) {
   driver.state().value_limit = static_cast<std::size_t>(kLowKb * 1024);
   driver.state().ops_limit = kLowOperations;
 }
@@ -37,7 +37,7 @@
   constexpr std::uint64_t kLeastOperations = 3;
   Settings settings = low_limits();
   settings.store.txn_ops = kLeastOperations;
-  CoreDriver driver(settings);
+  ControllerDriver driver(settings);
   std::vector<std::string> records;
   for (std::size_t n = 0; n < 60; ++n) records.push_back(encode_record(record_of(n, 8)));
   const std::string manifest = encode_manifest({1, 0, {}}, records);
@@ -46,7 +46,7 @@
   lower_limits(driver);
   driver.state().ops_limit = kLeastOperations;
   driver.run_for(4'000);
-  EXPECT_TRUE(driver.core().leading());
+  EXPECT_TRUE(driver.controller().leading());
   EXPECT_EQ(driver.state().malformed, 0U);
   EXPECT_LT(driver.state().value_of(kManifestKey).size(), std::size_t{2} * 1024);
   const Snapshot checkpoint = driver.checkpoint();
@@ -57,7 +57,7 @@
 // A stored shard that is too large is left as it is, and a job of it that changes goes to a shard
 // with a higher number: there older versions look for the latest record too.
 TEST(LowerLimits, AJobOfALargeShardMovesToAHigherOneWhenItChanges) {
-  CoreDriver driver(low_limits());
+  ControllerDriver driver(low_limits());
   std::vector<std::string> records;
   for (std::size_t n = 0; n < 40; ++n) {
     // Its tasks may be on the machine below, which doesn't answer: a cancellation lasts.
@@ -89,7 +89,7 @@
 
 // A piece of a bitmap in its older form is larger than a value may be.
 TEST(LowerLimits, LargeBitmapsAreWrittenInSmallPieces) {
-  CoreDriver driver(low_limits());
+  ControllerDriver driver(low_limits());
   constexpr std::uint32_t kTasks = 9'000;
   JobRecord record = record_of(1, kTasks);
   record.started = kTasks;
@@ -118,7 +118,7 @@
 
 // The settings don't say how low the limits are: a refused round is followed by smaller ones.
 TEST(LowerLimits, ARejectedCommitIsFollowedBySmallerOnes) {
-  CoreDriver driver(settings_without_peers());
+  ControllerDriver driver(settings_without_peers());
   lower_limits(driver);
   driver.run_for(500);
   driver.set_types({sample_type()});
@@ -140,7 +140,7 @@
 }
 
 TEST(LowerLimits, ADescriptionThatFitsNoValueIsRefusedAtOnce) {
-  CoreDriver driver(low_limits());
+  ControllerDriver driver(low_limits());
   driver.set_types({sample_type()});
   driver.run_for(3'000);
   JobSpec spec = array("job-1", 1, 30);
@@ -155,7 +155,7 @@
 
 // Names as long as they may be: more than the head has room for beside the rest.
 TEST(LowerLimits, ALargeDescriptionThatFitsAValueIsTaken) {
-  CoreDriver driver(low_limits());
+  ControllerDriver driver(low_limits());
   driver.set_types({sample_type()});
   driver.run_for(500);
   lower_limits(driver);
@@ -177,25 +177,25 @@
 
 // While the cloud doesn't answer, requests to rent pile up; they lie in the head.
 TEST(LowerLimits, OpenRentalsNeverOutgrowTheHead) {
-  DayPlan plan = quiet(8);
+  SimulationPlan plan = quiet(8);
   plan.next_value_kb = 1;
   plan.next_txn_ops = 3;
   plan.next_write_rps = 20;
   plan.scale = 4;
-  World world(plan);
-  world.run_until(2'000);
-  world.lower_limits();
-  world.cloud().outage = true;
+  SimulatedRegion region(plan);
+  region.run_until(2'000);
+  region.lower_limits();
+  region.cloud().outage = true;
   for (std::size_t n = 0; n < 60; ++n) {
-    world.submit(array(job_id(n), 4, 10));
-    world.run_until(world.now() + 600);
+    region.submit(array(job_id(n), 4, 10));
+    region.run_until(region.now() + 600);
   }
-  world.cloud().outage = false;
+  region.cloud().outage = false;
   // All are taken in all the time, although nothing can be rented.
-  EXPECT_GE(world.submission_delays().size(), 58U);
-  world.run_until(110'000);
-  EXPECT_EQ(world.state().malformed, 0U);
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  EXPECT_GE(region.submission_delays().size(), 58U);
+  region.run_until(110'000);
+  EXPECT_EQ(region.state().malformed, 0U);
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 TEST(JobShards, NothingIsPlacedBelowAClosedShard) {
--- a/tests/machine_ranking_test.cpp
+++ b/tests/machine_ranking_test.cpp
@@ -1,5 +1,5 @@
 // Property tests: a ranking that is kept up to date gives what a look at all machines would.
-#include "coordination/machine_ranking.hpp"
+#include "controller/machine_ranking.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
--- a/tests/peer_table_test.cpp
+++ b/tests/peer_table_test.cpp
@@ -1,5 +1,5 @@
 // What is known of the other controllers, by itself.
-#include "coordination/peer_table.hpp"
+#include "controller/peer_table.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/production/production_controller.cpp
+++ b/tests/production/production_controller.cpp
@@ -27,7 +27,7 @@
   out.zones = s.zones;
   for (const Team& t : s.teams)
     out.teams.push_back({t.name, t.cpus, t.cpus_max, t.gpus, t.gpus_max});
-  for (const Objective& o : s.objectives)
+  for (const ServiceLevelObjective& o : s.objectives)
     out.objectives.push_back({o.kind, o.job_class, o.within_s, o.share});
   out.workers.report_s = s.workers.heartbeat_interval_s;
   out.workers.lease_s = s.workers.lease_s;
@@ -36,8 +36,8 @@
   out.store.write_rps = s.store.write_rps;
   out.store.value_kb = s.store.value_kb;
   out.store.txn_ops = s.store.txn_ops;
-  out.market.rps = s.market.rps;
-  out.market.list_lag_s = s.market.list_lag_s;
+  out.market.rps = s.cloud_limits.rps;
+  out.market.list_lag_s = s.cloud_limits.list_lag_s;
   out.limits.cpu = s.limits.cpu;
   out.limits.memory_mb = s.limits.memory_mb;
   out.limits.sockets = s.limits.sockets;
@@ -165,7 +165,7 @@
 CloudRequest translate(const old::CloudCall& c) {
   CloudRequest out;
   out.kind = static_cast<CloudRequest::Kind>(c.kind);
-  out.rental = {c.rental.request, c.rental.type, c.rental.zone, c.rental.spot, c.rental.count};
+  out.scale_out = {c.rental.request, c.rental.type, c.rental.zone, c.rental.spot, c.rental.count};
   out.names = c.names;
   out.after = c.after;
   out.limit = c.limit;
@@ -194,7 +194,7 @@
       action);
 }
 
-class ProductionController : public Controller {
+class ProductionController : public SimulatedController {
  public:
   ProductionController(const Settings& settings, std::uint64_t seed)
       : core_(translate(settings), old::Options{}, seed) {}
@@ -215,8 +215,8 @@
 
 }  // namespace
 
-std::unique_ptr<Controller> make_production_controller(const Settings& settings,
-                                                       std::uint64_t seed) {
+std::unique_ptr<SimulatedController> make_production_controller(const Settings& settings,
+                                                                std::uint64_t seed) {
   return std::make_unique<ProductionController>(settings, seed);
 }
 
--- a/tests/production/production_controller.hpp
+++ b/tests/production/production_controller.hpp
@@ -4,11 +4,11 @@
 
 #include <memory>
 
-#include "sim/controller.hpp"
+#include "sim/simulated_controller.hpp"
 
 namespace sailreel::sim {
 
-std::unique_ptr<Controller> make_production_controller(const Settings& settings,
-                                                       std::uint64_t seed);
+std::unique_ptr<SimulatedController> make_production_controller(const Settings& settings,
+                                                                std::uint64_t seed);
 
 }  // namespace sailreel::sim
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -153,15 +153,15 @@
   EXPECT_TRUE(w.items[1].deleted);
 }
 
-TEST(FakeCloud, ARefusalForWantOfMachinesDiffersFromTrouble) {
-  CloudRequest rent;
-  rent.kind = CloudRequest::Kind::Rent;
-  rent.rental = {"r-1-1", "g8", "a", true, 12};
-  EXPECT_EQ(encode_cloud_request(rent).body,
+TEST(FakeCloud, ARefusalForWantOfMachinesDiffersFromAFault) {
+  CloudRequest scale_out;
+  scale_out.kind = CloudRequest::Kind::ScaleOut;
+  scale_out.scale_out = {"r-1-1", "g8", "a", true, 12};
+  EXPECT_EQ(encode_cloud_request(scale_out).body,
             R"({"charter":"r-1-1","hull":"g8","harbor":"a","driftwood":true,"how_many":12})");
-  EXPECT_TRUE(decode_cloud_response(rent, 503, R"({"error":"no capacity"})").no_capacity);
-  EXPECT_FALSE(decode_cloud_response(rent, 503, R"({"error":"trouble"})").no_capacity);
-  EXPECT_EQ(decode_cloud_response(rent, 200, "gibberish").status, 0);
+  EXPECT_TRUE(decode_cloud_response(scale_out, 503, R"({"error":"no capacity"})").no_capacity);
+  EXPECT_FALSE(decode_cloud_response(scale_out, 503, R"({"error":"trouble"})").no_capacity);
+  EXPECT_EQ(decode_cloud_response(scale_out, 200, "gibberish").status, 0);
 }
 
 TEST(PeerFrames, RoundTripInAnyPieces) {
--- a/tests/rate_limiter_test.cpp
+++ b/tests/rate_limiter_test.cpp
@@ -1,5 +1,5 @@
 // The token bucket that keeps within the limits of outside services.
-#include "coordination/rate_limiter.hpp"
+#include "controller/rate_limiter.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -8,8 +8,8 @@
 namespace sailreel::sim {
 namespace {
 
-void count_starts(World& world, int& starts) {
-  world.on_command = [&starts](const std::string&, const Command& c) {
+void count_starts(SimulatedRegion& region, int& starts) {
+  region.on_command = [&starts](const std::string&, const Command& c) {
     starts += c.op == Command::Op::Start ? 1 : 0;
   };
 }
@@ -20,22 +20,22 @@
   constexpr int kInjections = 200;
   int injected = 0, violations = 0, unfinished = 0;
   for (int i = 0; i < kInjections; ++i) {
-    DayPlan plan = quiet(1000 + static_cast<std::uint64_t>(i));
+    SimulationPlan plan = quiet(1000 + static_cast<std::uint64_t>(i));
     plan.late_copies = 1.0;
-    World world(plan);
+    SimulatedRegion region(plan);
     int completions = 0;
-    world.on_completed = [&](const TaskKey&, const std::string&) {
+    region.on_completed = [&](const TaskKey&, const std::string&) {
       if (completions++ != i % 4) return;
-      const int leader = world.leader();
+      const int leader = region.leader();
       if (leader < 0) return;
       ++injected;
-      world.kill(static_cast<std::size_t>(leader), i % 2 == 0 ? 200 : 6'000);
+      region.kill(static_cast<std::size_t>(leader), i % 2 == 0 ? 200 : 6'000);
     };
-    world.run_until(1'000);
-    world.submit(array("job-1", 4, 8));
-    world.run();
-    violations += world.checker().violations().empty() ? 0 : 1;
-    unfinished += world.checker().unfinished_arrays().empty() ? 0 : 1;
+    region.run_until(1'000);
+    region.submit(array("job-1", 4, 8));
+    region.run();
+    violations += region.checker().violations().empty() ? 0 : 1;
+    unfinished += region.checker().unfinished_arrays().empty() ? 0 : 1;
   }
   std::printf("violations: %d of %d injected interleavings; unfinished: %d\n", violations, injected,
               unfinished);
@@ -47,61 +47,61 @@
 // Hunted on simulated machines: finished jobs were rewritten in the long form with their shard, and
 // counted as unfinished after a take-over.
 TEST(Incident, FinishedJobsStayFinishedAcrossFailovers) {
-  DayPlan plan = quiet(7);
+  SimulationPlan plan = quiet(7);
   plan.jobs = 60;
   plan.length = 400'000;
-  World world(plan);
-  world.run_until(250'000);
+  SimulatedRegion region(plan);
+  region.run_until(250'000);
   std::size_t unfinished = 0;
   for (int round = 0; round < 3; ++round) {
-    const int leader = world.leader();
+    const int leader = region.leader();
     ASSERT_GE(leader, 0);
-    unfinished = world.core(static_cast<std::size_t>(leader))->tables().jobs.size();
-    world.kill(static_cast<std::size_t>(leader), 6'000);
+    unfinished = region.controller(static_cast<std::size_t>(leader))->tables().jobs.size();
+    region.kill(static_cast<std::size_t>(leader), 6'000);
     // Seen at the moment of the take-over, before the new leader tidies up.
-    while (world.leader() < 0) world.run_until(world.now() + 5);
-    const int next = world.leader();
-    EXPECT_LE(world.core(static_cast<std::size_t>(next))->tables().jobs.size(), unfinished);
-    EXPECT_GT(world.core(static_cast<std::size_t>(next))->tables().finished.size(), 20U);
-    world.run_until(world.now() + 15'000);
+    while (region.leader() < 0) region.run_until(region.now() + 5);
+    const int next = region.leader();
+    EXPECT_LE(region.controller(static_cast<std::size_t>(next))->tables().jobs.size(), unfinished);
+    EXPECT_GT(region.controller(static_cast<std::size_t>(next))->tables().finished.size(), 20U);
+    region.run_until(region.now() + 15'000);
   }
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // Hunted on simulated machines: a look-up begun by a candidate was answered 404 from the picture
 // that winning had just emptied. Every poll here goes to nodes in the middle of an election.
 TEST(Incident, PollsDuringAnElectionNeverFindNothing) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    World world(quiet(seed));
-    world.run_until(1'000);
-    for (int n = 0; n < 60; ++n) world.submit(service("job-" + std::to_string(n), 1));
-    world.run_until(20'000);
+    SimulatedRegion region(quiet(seed));
+    region.run_until(1'000);
+    for (int n = 0; n < 60; ++n) region.submit(service("job-" + std::to_string(n), 1));
+    region.run_until(20'000);
     for (int round = 0; round < 6; ++round) {
-      if (const int leader = world.leader(); leader >= 0)
-        world.kill(static_cast<std::size_t>(leader), 300);
-      world.run_until(world.now() + 8'000);
+      if (const int leader = region.leader(); leader >= 0)
+        region.kill(static_cast<std::size_t>(leader), 300);
+      region.run_until(region.now() + 8'000);
     }
-    EXPECT_TRUE(world.checker().violations().empty()) << seed << " " << world.checker().summary();
+    EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
   }
 }
 
 // A controller that has lost the state service and the others, but not its workers, must not keep
 // them: once the new leader has reached them, they turn to it within their lease.
 TEST(Incident, AnIsolatedLeaderLetsItsWorkersGo) {
-  World world(quiet(3));
-  world.run_until(1'000);
-  world.submit(service("job-1", 4));
-  world.run_until(40'000);
-  const int old_leader = world.leader();
+  SimulatedRegion region(quiet(3));
+  region.run_until(1'000);
+  region.submit(service("job-1", 4));
+  region.run_until(40'000);
+  const int old_leader = region.leader();
   ASSERT_GE(old_leader, 0);
   const auto name = "node-" + std::to_string(old_leader);
-  world.cut(name, "state", 60'000, true);
+  region.cut(name, "state", 60'000, true);
   for (int i = 0; i < 3; ++i)
-    if (i != old_leader) world.cut(name, "node-" + std::to_string(i), 60'000, true);
+    if (i != old_leader) region.cut(name, "node-" + std::to_string(i), 60'000, true);
   int starts = 0;
-  count_starts(world, starts);
-  world.run_until(95'000);
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  count_starts(region, starts);
+  region.run_until(95'000);
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   EXPECT_EQ(starts, 0) << "replicas were lost and had to be started again";
 }
 
@@ -114,242 +114,243 @@
     const std::uint64_t seed = 10 + scene / 4;
     const char* zone = scene % 2 == 0 ? "za" : "zb";
     const bool hold = scene % 4 < 2;
-    DayPlan plan = quiet(seed);
+    SimulationPlan plan = quiet(seed);
     plan.loss = 0;
-    World world(plan);
-    world.run_until(1'000);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
     for (int n = 0; n < 12; ++n) {
       JobSpec spec = service("job-" + std::to_string(n), 2);
       spec.spread = true;
       spec.team = n % 2 == 0 ? "red" : "blue";
-      world.submit(spec);
+      region.submit(spec);
     }
-    world.run_until(50'000);
+    region.run_until(50'000);
     std::size_t lost = 0, running = 0;
-    world.on_ended = [&](const TaskKey&, const std::string&) { ++lost; };
-    const Core* core = world.core(static_cast<std::size_t>(world.leader()));
-    for (const auto& [name, m] : core->tables().machines)
+    region.on_ended = [&](const TaskKey&, const std::string&) { ++lost; };
+    const Controller* controller = region.controller(static_cast<std::size_t>(region.leader()));
+    for (const auto& [name, m] : controller->tables().machines)
       if (m->zone == zone) running += m->attempts.size();
     ASSERT_GE(running, 6U);
-    world.cut_zone(zone, 24'000, hold);
-    world.run_until(73'000);
+    region.cut_zone(zone, 24'000, hold);
+    region.run_until(73'000);
     EXPECT_EQ(lost, 0U) << zone << " hold=" << hold << " seed " << seed;
-    world.run_until(110'000);
-    EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+    region.run_until(110'000);
+    EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   }
 }
 
 // The bound of the above: a zone that stays away is replaced, once nothing can run there any more.
 // The checker would see a task that runs twice.
 TEST(Incident, AZoneThatStaysAwayIsReplaced) {
-  DayPlan plan = quiet(19);
+  SimulationPlan plan = quiet(19);
   plan.length = 160'000;
   // Two messages lost for good end the lease of a machine within reach as well, as its worker goes
   // by way of the node that is cut off; TCP would send them again.
   plan.loss = 0;
-  World world(plan);
-  world.run_until(1'000);
+  SimulatedRegion region(plan);
+  region.run_until(1'000);
   for (int n = 0; n < 12; ++n) {
     JobSpec spec = service("job-" + std::to_string(n), 1 + static_cast<std::uint32_t>(n) % 2);
     spec.image = "img-" + std::to_string(n);  // so that they don't all go to one machine
-    world.submit(spec);
+    region.submit(spec);
   }
-  world.run_until(50'000);
-  const Core* core = world.core(static_cast<std::size_t>(world.leader()));
+  region.run_until(50'000);
+  const Controller* controller = region.controller(static_cast<std::size_t>(region.leader()));
   const std::string away =
-      sample_settings(static_cast<std::size_t>(world.leader())).zone == "za" ? "zb" : "za";
+      sample_settings(static_cast<std::size_t>(region.leader())).zone == "za" ? "zb" : "za";
   std::size_t there = 0;
-  for (const auto& [name, m] : core->tables().machines)
+  for (const auto& [name, m] : controller->tables().machines)
     if (m->zone == away) there += m->attempts.size();
   ASSERT_GE(there, 1U);
   std::size_t started = 0;
-  world.on_command = [&](const std::string&, const Command& c) {
+  region.on_command = [&](const std::string&, const Command& c) {
     started += c.op == Command::Op::Start ? 1 : 0;
   };
   std::size_t lost_within_reach = 0;
-  world.on_ended = [&](const TaskKey&, const std::string& machine) {
-    const auto& machines = world.cloud().machines;
+  region.on_ended = [&](const TaskKey&, const std::string& machine) {
+    const auto& machines = region.cloud().machines;
     const auto it = machines.find(machine);
     lost_within_reach += it != machines.end() && it->second.zone != away ? 1 : 0;
   };
-  world.cut_zone(away, 100'000, false);
-  world.run_until(78'000);
+  region.cut_zone(away, 100'000, false);
+  region.run_until(78'000);
   EXPECT_EQ(started, 0U) << "before the zone's leases can have run out";
-  world.run_until(140'000);
+  region.run_until(140'000);
   EXPECT_EQ(lost_within_reach, 0U);
-  for (const auto& [id, job] : core->tables().jobs) EXPECT_EQ(job->placed, job->spec().tasks) << id;
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  for (const auto& [id, job] : controller->tables().jobs)
+    EXPECT_EQ(job->placed, job->spec().tasks) << id;
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // A cancellation is confirmed once its tasks are gone, not before: a machine that can't be reached
 // may be kept alive by others for longer than cancel_s.
 TEST(Incident, ACancellationWaitsForAMachineThatIsNotReached) {
   constexpr std::size_t kJobs = 12;
-  World world(quiet(18));
-  world.run_until(1'000);
+  SimulatedRegion region(quiet(18));
+  region.run_until(1'000);
   for (std::size_t n = 0; n < kJobs; ++n) {
     JobSpec spec = service("job-" + std::to_string(n), 2);
     spec.spread = true;  // so that one of its tasks is in each zone
     spec.team = n % 2 == 0 ? "red" : "blue";
-    world.submit(spec, 52'000);
+    region.submit(spec, 52'000);
   }
-  world.run_until(50'000);
-  world.cut_zone("zb", 18'000, true);
-  world.run_until(67'000);
-  EXPECT_EQ(world.checker().jobs_over(), 0U);
-  world.run_until(90'000);
-  EXPECT_EQ(world.checker().jobs_over(), kJobs);
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  region.run_until(50'000);
+  region.cut_zone("zb", 18'000, true);
+  region.run_until(67'000);
+  EXPECT_EQ(region.checker().jobs_over(), 0U);
+  region.run_until(90'000);
+  EXPECT_EQ(region.checker().jobs_over(), kJobs);
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // Recorded incident: the leader lost workers and siblings, but not the state service, so it kept
 // its lease while every worker's ran out.
 TEST(Incident, ALeaderThatHearsNoWorkerGivesWay) {
-  World world(quiet(8));
-  world.run_until(1'000);
+  SimulatedRegion region(quiet(8));
+  region.run_until(1'000);
   JobSpec spec = service("job-1", 4);
   spec.spread = true;  // so that there are two machines
-  world.submit(spec);
-  world.run_until(40'000);
-  const int old_leader = world.leader();
+  region.submit(spec);
+  region.run_until(40'000);
+  const int old_leader = region.leader();
   ASSERT_GE(old_leader, 0);
   const auto name = "node-" + std::to_string(old_leader);
   for (int i = 0; i < 3; ++i)
-    if (i != old_leader) world.cut(name, "node-" + std::to_string(i), 60'000, true);
+    if (i != old_leader) region.cut(name, "node-" + std::to_string(i), 60'000, true);
   // Also from machines that come up later: one that the leader heard made it stay.
-  for (std::size_t m = 1; m < 30; ++m) world.cut(name, machine_name(m), 60'000, true);
+  for (std::size_t m = 1; m < 30; ++m) region.cut(name, machine_name(m), 60'000, true);
   int starts = 0;
-  count_starts(world, starts);
-  world.run_until(95'000);
+  count_starts(region, starts);
+  region.run_until(95'000);
   EXPECT_EQ(starts, 0) << "replicas were lost and had to be started again";
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // An outage of the state service that outlasts a worker's lease takes no task with it.
 TEST(Incident, AnOutageOfTheStateServiceKeepsTasksAlive) {
-  World world(quiet(4));
-  world.run_until(1'000);
-  world.submit(service("job-1", 4));
-  world.run_until(40'000);
+  SimulatedRegion region(quiet(4));
+  region.run_until(1'000);
+  region.submit(service("job-1", 4));
+  region.run_until(40'000);
   int starts = 0;
-  count_starts(world, starts);
-  world.kv_store_outage(16'000);
-  world.run_until(90'000);
+  count_starts(region, starts);
+  region.kv_store_outage(16'000);
+  region.run_until(90'000);
   EXPECT_EQ(starts, 0);
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // In an outage no node is better off than another, and all stay on the balancer's list: off it,
 // users found no node for seconds after the outage was over. A node that alone has lost everything
 // leaves.
 TEST(Incident, NodesStayHealthyInAnOutageNotWhenCutOff) {
-  const auto healthy = [](const World& world, std::size_t node) {
-    return world.core(node)->healthy(world.now() + 1'000'000);
+  const auto healthy = [](const SimulatedRegion& region, std::size_t node) {
+    return region.controller(node)->healthy(region.now() + 1'000'000);
   };
-  World world(quiet(21));
-  world.run_until(30'000);
-  world.kv_store_outage(20'000);
-  world.run_until(48'000);
-  for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(healthy(world, i)) << i;
-  world.run_until(60'000);
-  world.cut("node-0", "state", 30'000, true);
-  for (const char* other : {"node-1", "node-2"}) world.cut("node-0", other, 30'000, true);
-  world.run_until(85'000);
-  EXPECT_FALSE(healthy(world, 0));
-  EXPECT_TRUE(healthy(world, 1));
+  SimulatedRegion region(quiet(21));
+  region.run_until(30'000);
+  region.kv_store_outage(20'000);
+  region.run_until(48'000);
+  for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(healthy(region, i)) << i;
+  region.run_until(60'000);
+  region.cut("node-0", "state", 30'000, true);
+  for (const char* other : {"node-1", "node-2"}) region.cut("node-0", other, 30'000, true);
+  region.run_until(85'000);
+  EXPECT_FALSE(healthy(region, 0));
+  EXPECT_TRUE(healthy(region, 1));
 }
 
 // Submissions in an outage of the state service are answered at once, and taken after it.
 TEST(Incident, SubmissionsInAnOutageAreAnsweredAtOnce) {
-  World world(quiet(9));
-  world.run_until(5'000);
-  const int leader = world.leader();
+  SimulatedRegion region(quiet(9));
+  region.run_until(5'000);
+  const int leader = region.leader();
   ASSERT_GE(leader, 0);
-  world.kv_store_outage(8'000);
-  for (int n = 0; n < 5; ++n) world.submit(array("job-" + std::to_string(n), 1, 2));
-  world.run_until(12'900);
-  EXPECT_EQ(world.unanswered_submissions(), 0U);
-  world.run();
-  EXPECT_TRUE(world.checker().unfinished_arrays().empty());
-  EXPECT_EQ(world.checker().jobs_over(), 5U);
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  region.kv_store_outage(8'000);
+  for (int n = 0; n < 5; ++n) region.submit(array("job-" + std::to_string(n), 1, 2));
+  region.run_until(12'900);
+  EXPECT_EQ(region.unanswered_submissions(), 0U);
+  region.run();
+  EXPECT_TRUE(region.checker().unfinished_arrays().empty());
+  EXPECT_EQ(region.checker().jobs_over(), 5U);
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // A machine that hears nothing loses its tasks at its lease's end, although its reports still
 // arrive. They run elsewhere afterwards, and never at the same time.
 TEST(Incident, ADeafMachineIsNotCountedOn) {
-  World world(quiet(5));
-  world.run_until(1'000);
-  world.submit(service("job-1", 2));
-  world.run_until(30'000);
+  SimulatedRegion region(quiet(5));
+  region.run_until(1'000);
+  region.submit(service("job-1", 2));
+  region.run_until(30'000);
   std::string deaf;
-  world.on_command = [&](const std::string& machine, const Command& c) {
+  region.on_command = [&](const std::string& machine, const Command& c) {
     if (c.op == Command::Op::Start) deaf = machine;
   };
-  world.submit(service("job-2", 1));
-  world.run_until(40'000);
+  region.submit(service("job-2", 1));
+  region.run_until(40'000);
   ASSERT_FALSE(deaf.empty());
-  world.deafen_machine(deaf, 80'000);
+  region.deafen_machine(deaf, 80'000);
   std::set<std::string> elsewhere;
-  world.on_command = [&](const std::string& machine, const Command& c) {
+  region.on_command = [&](const std::string& machine, const Command& c) {
     if (c.op == Command::Op::Start && machine != deaf) elsewhere.insert(c.key.job);
   };
-  world.run();
+  region.run();
   EXPECT_TRUE(elsewhere.contains("job-2"));
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // Only the first 64 waiting jobs used to be counted: most of a cold start was hidden from the
 // sizing of the fleet, and work of the lowest priority had no machines rented until all else ran.
-TEST(Size, AColdStartRentsForAllThatWaits) {
-  World world(quiet(10));
+TEST(Size, AColdStartScalesOutForAllThatWaits) {
+  SimulatedRegion region(quiet(10));
   for (int n = 0; n < 90; ++n) {
     JobSpec spec = service("job-" + std::to_string(100 + n), 1);
     spec.need = {1, 0.2, 5};
-    world.submit(spec);
+    region.submit(spec);
   }
-  world.run_until(3'000);
-  world.submit(array("job-1", 8, 20));
+  region.run_until(3'000);
+  region.submit(array("job-1", 8, 20));
   // Before any machine is up: 90 x 0.2 GPUs of services need three machines of 8, with headroom;
   // the array, which comes last, needs a cheap one.
-  world.run_until(6'000);
-  std::size_t ordinary = 0, cheap = 0;
-  for (const auto& [name, m] : world.cloud().machines) ++(m.spot ? cheap : ordinary);
-  EXPECT_GE(ordinary, 3U);
+  region.run_until(6'000);
+  std::size_t on_demand = 0, cheap = 0;
+  for (const auto& [name, m] : region.cloud().machines) ++(m.spot ? cheap : on_demand);
+  EXPECT_GE(on_demand, 3U);
   EXPECT_GE(cheap, 1U);
 }
 
 // Replicas end here and there, and no machine empties by itself: half the cost of a day's end.
 // Surplus machines are emptied, and a replica on its way is away for about a report's interval.
 TEST(Fleet, SurplusMachinesAreEmptied) {
-  World world(quiet(15));
-  world.run_until(1'000);
+  SimulatedRegion region(quiet(15));
+  region.run_until(1'000);
   for (int n = 0; n < 36; ++n) {
     JobSpec spec = service("job-" + std::to_string(n), 1);
     if (n % 4 == 0) spec.team = "blue";
-    world.submit(spec, n % 4 == 1 ? 0 : 60'000);
+    region.submit(spec, n % 4 == 1 ? 0 : 60'000);
   }
-  world.run_until(59'000);
-  const std::size_t before = world.machines_up().size();
+  region.run_until(59'000);
+  const std::size_t before = region.machines_up().size();
   std::map<std::string, Time> stopped;
   std::size_t moves = 0;
   Time longest = 0;
-  world.on_command = [&](const std::string&, const Command& c) {
+  region.on_command = [&](const std::string&, const Command& c) {
     const auto task = task_name(c.key);
-    if (c.op == Command::Op::Stop) stopped.try_emplace(task, world.now());
+    if (c.op == Command::Op::Stop) stopped.try_emplace(task, region.now());
     if (c.op != Command::Op::Start) return;
     const auto it = stopped.find(task);
     if (it == stopped.end()) return;
     ++moves;
-    longest = std::max(longest, world.now() - it->second);
+    longest = std::max(longest, region.now() - it->second);
     stopped.erase(it);
   };
-  world.run();
+  region.run();
   EXPECT_GE(before, 5U);
-  EXPECT_LE(world.machines_up().size(), 2U);
+  EXPECT_LE(region.machines_up().size(), 2U);
   EXPECT_GT(moves, 0U);
   EXPECT_LE(longest, 1'500);
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // The leader has a small share of a core, and a report comes from each machine every second: what
@@ -357,10 +358,10 @@
 // against each machine, in every pass.
 TEST(Size, WorkPerHeartbeatDoesNotGrowWithTheJobs) {
   const auto per_heartbeat = [](int jobs) {
-    DayPlan plan = quiet(11);
+    SimulationPlan plan = quiet(11);
     plan.scale = 17;
-    World world(plan);
-    world.run_until(1'000);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
     // Enough to fill every machine, and more that wait.
     for (int n = 0; n < jobs; ++n) {
       JobSpec spec = array("job-" + std::to_string(1'000 + n), 20, 30);
@@ -368,16 +369,16 @@
       spec.team = n % 2 == 0 ? "red" : "blue";
       spec.need.cpus = 1.8 + n % 7 * 0.05;
       spec.spot = n % 3 == 0;  // beyond their guarantee, all would wait for cheap machines
-      world.submit(spec);
+      region.submit(spec);
     }
-    world.run_until(60'000);
-    const int leader = world.leader();
-    if (leader < 0 || world.machines_up().size() < 150) return 0.0;
-    const Core* core = world.core(static_cast<std::size_t>(leader));
-    const std::uint64_t examined = core->examined(), heartbeats = world.heartbeats();
-    world.run_until(80'000);
-    return static_cast<double>(core->examined() - examined) /
-           static_cast<double>(world.heartbeats() - heartbeats);
+    region.run_until(60'000);
+    const int leader = region.leader();
+    if (leader < 0 || region.machines_up().size() < 150) return 0.0;
+    const Controller* controller = region.controller(static_cast<std::size_t>(leader));
+    const std::uint64_t examined = controller->examined(), heartbeats = region.heartbeats();
+    region.run_until(80'000);
+    return static_cast<double>(controller->examined() - examined) /
+           static_cast<double>(region.heartbeats() - heartbeats);
   };
   const double few = per_heartbeat(120), many = per_heartbeat(960);
   std::printf("looked at per report: %.1f with 120 jobs, %.1f with 960\n", few, many);
@@ -389,156 +390,160 @@
 // Recorded incident: a machine that the former leader had returned, or that died with it, held up
 // the rebuild for its lease and the former leader's grace, 22 s.
 TEST(Incident, AMachineThatDiedWithTheLeaderDoesNotHoldUpReconciliation) {
-  World world(quiet(12));
-  world.run_until(1'000);
-  for (int n = 0; n < 20; ++n) world.submit(service("job-" + std::to_string(n), 1));
-  world.run_until(40'000);
-  const int old_leader = world.leader();
+  SimulatedRegion region(quiet(12));
+  region.run_until(1'000);
+  for (int n = 0; n < 20; ++n) region.submit(service("job-" + std::to_string(n), 1));
+  region.run_until(40'000);
+  const int old_leader = region.leader();
   ASSERT_GE(old_leader, 0);
-  ASSERT_GE(world.machines_up().size(), 3U);
-  world.kill_machine(world.machines_up().front());
-  world.kill(static_cast<std::size_t>(old_leader), 6'000);
-  world.run_until(48'000);
-  const int next = world.leader();
+  ASSERT_GE(region.machines_up().size(), 3U);
+  region.kill_machine(region.machines_up().front());
+  region.kill(static_cast<std::size_t>(old_leader), 6'000);
+  region.run_until(48'000);
+  const int next = region.leader();
   ASSERT_GE(next, 0);
-  EXPECT_FALSE(world.core(static_cast<std::size_t>(next))->reconciling());
-  world.run();
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  EXPECT_FALSE(region.controller(static_cast<std::size_t>(next))->reconciling());
+  region.run();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // Recorded incident: reports that a cut had held back arrived at its end, just before those of the
 // machines' new sessions. The machines were taken for deaf, and got no work for two leases.
 TEST(Incident, HeartbeatsThatACutHeldBackDoNotMakeAMachineDeaf) {
-  World world(quiet(13));
-  world.run_until(1'000);
+  SimulatedRegion region(quiet(13));
+  region.run_until(1'000);
   for (int n = 0; n < 36; ++n) {
     JobSpec spec = service("job-" + std::to_string(n), 1);
     if (n % 4 == 0) spec.team = "blue";
-    world.submit(spec);
+    region.submit(spec);
   }
-  world.run_until(50'000);
-  int leader = world.leader();
+  region.run_until(50'000);
+  int leader = region.leader();
   ASSERT_GE(leader, 0);
-  const Core* core = world.core(static_cast<std::size_t>(leader));
+  const Controller* controller = region.controller(static_cast<std::size_t>(leader));
   // All of one zone: with no other of it answering, they aren't taken for dead.
   std::vector<std::string> cut;
-  for (const auto& [name, m] : core->tables().machines)
+  for (const auto& [name, m] : controller->tables().machines)
     if (m->heard_in_epoch && !m->empty() && m->zone == "za") cut.push_back(name);
   ASSERT_GE(cut.size(), 2U);
   for (const auto& name : cut)
-    for (int i = 0; i < 3; ++i) world.cut("node-" + std::to_string(i), name, 16'000, true);
-  world.run_until(70'000);
-  ASSERT_EQ(world.leader(), leader);
+    for (int i = 0; i < 3; ++i) region.cut("node-" + std::to_string(i), name, 16'000, true);
+  region.run_until(70'000);
+  ASSERT_EQ(region.leader(), leader);
   for (const auto& name : cut) {
-    const auto m = core->tables().machines.find(name);
-    ASSERT_NE(m, core->tables().machines.end()) << name;
+    const auto m = controller->tables().machines.find(name);
+    ASSERT_NE(m, controller->tables().machines.end()) << name;
     EXPECT_GT(m->second->incarnation, 1U);
     EXPECT_EQ(m->second->quarantined_until, 0) << name;
   }
-  world.run();
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  region.run();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // When zones are apart, a leader can't reach the machines of the other: a rule by the share of
 // silent machines alone returned healthy ones. Where others of the zone answer, the silent are
 // dead.
 TEST(Incident, TheDeadAreToldFromTheUnreached) {
-  DayPlan plan = quiet(16);
+  SimulationPlan plan = quiet(16);
   plan.scale = 6;
-  World world(plan);
-  world.run_until(1'000);
-  for (int n = 0; n < 120; ++n) world.submit(service("job-" + std::to_string(n), 1));
-  world.run_until(50'000);
-  const int leader = world.leader();
+  SimulatedRegion region(plan);
+  region.run_until(1'000);
+  for (int n = 0; n < 120; ++n) region.submit(service("job-" + std::to_string(n), 1));
+  region.run_until(50'000);
+  const int leader = region.leader();
   ASSERT_GE(leader, 0);
-  const Core* core = world.core(static_cast<std::size_t>(leader));
+  const Controller* controller = region.controller(static_cast<std::size_t>(leader));
   std::vector<std::string> here, there;
-  for (const auto& [name, m] : core->tables().machines)
+  for (const auto& [name, m] : controller->tables().machines)
     if (!m->empty()) (m->zone == "za" ? here : there).push_back(name);
   ASSERT_GE(here.size(), 6U);
   ASSERT_GE(there.size(), 6U);
   // Two die, while one zone can't be reached for less than a lease.
   for (const auto& name : there)
-    for (int i = 0; i < 3; ++i) world.cut("node-" + std::to_string(i), name, 8'000, true);
-  world.kill_machine(here[0]);
-  world.kill_machine(here[1]);
-  world.run_until(58'000);
-  EXPECT_FALSE(core->tables().machines.contains(here[0]));
-  EXPECT_FALSE(core->tables().machines.contains(here[1]));
-  for (const auto& name : there) EXPECT_TRUE(core->tables().machines.contains(name)) << name;
-  world.run();
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+    for (int i = 0; i < 3; ++i) region.cut("node-" + std::to_string(i), name, 8'000, true);
+  region.kill_machine(here[0]);
+  region.kill_machine(here[1]);
+  region.run_until(58'000);
+  EXPECT_FALSE(controller->tables().machines.contains(here[0]));
+  EXPECT_FALSE(controller->tables().machines.contains(here[1]));
+  for (const auto& name : there) EXPECT_TRUE(controller->tables().machines.contains(name)) << name;
+  region.run();
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // With more machines than sockets for inquiries, those that found none counted as failed: a
 // take-over took a second longer, and machines came a step nearer to being taken for dead.
 TEST(Size, AFailoverWithManyMachinesIsReconciledAtOnce) {
-  DayPlan plan = quiet(17);
+  SimulationPlan plan = quiet(17);
   plan.scale = 17;
   plan.loss = 0;
-  World world(plan);
-  world.run_until(1'000);
+  SimulatedRegion region(plan);
+  region.run_until(1'000);
   for (int n = 0; n < 140; ++n) {
     JobSpec spec = array("job-" + std::to_string(1'000 + n), 10, 60);
     spec.team = n % 2 == 0 ? "red" : "blue";
     spec.spot = false;  // beyond its guarantee, it would wait for cheap machines
-    world.submit(spec);
+    region.submit(spec);
   }
-  world.run_until(45'000);
-  const int old_leader = world.leader();
+  region.run_until(45'000);
+  const int old_leader = region.leader();
   ASSERT_GE(old_leader, 0);
-  ASSERT_GT(world.machines_up().size(), sample_settings(0).limits.sockets / 4);
-  world.kill(static_cast<std::size_t>(old_leader), 6'000);
-  while (world.leader() < 0 && world.now() < 60'000) world.run_until(world.now() + 5);
-  ASSERT_GE(world.leader(), 0);
-  world.run_until(world.now() + 700);
-  EXPECT_FALSE(world.core(static_cast<std::size_t>(world.leader()))->reconciling());
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  ASSERT_GT(region.machines_up().size(), sample_settings(0).limits.sockets / 4);
+  region.kill(static_cast<std::size_t>(old_leader), 6'000);
+  while (region.leader() < 0 && region.now() < 60'000) region.run_until(region.now() + 5);
+  ASSERT_GE(region.leader(), 0);
+  region.run_until(region.now() + 700);
+  EXPECT_FALSE(region.controller(static_cast<std::size_t>(region.leader()))->reconciling());
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // Seen on simulated machines: 19 MB in a node that had not looked at the checkpoint for minutes and
 // then asked for all changes since. What it asks for must not grow with the time.
 TEST(Incident, ALookUpAfterALongTimeReadsTheKeysNotTheChanges) {
-  DayPlan plan = quiet(14);
+  SimulationPlan plan = quiet(14);
   plan.scale = 17;
   plan.jobs = 1'000;
   plan.length = 200'000;
-  World world(plan);
+  SimulatedRegion region(plan);
   const auto kill_leader = [&] {
-    if (const int leader = world.leader(); leader >= 0)
-      world.kill(static_cast<std::size_t>(leader), 6'000);
+    if (const int leader = region.leader(); leader >= 0)
+      region.kill(static_cast<std::size_t>(leader), 6'000);
   };
   for (const Time when : {20'000, 60'000, 120'000}) {
-    world.run_until(when);
+    region.run_until(when);
     kill_leader();
   }
-  world.run();
-  std::printf("largest answer to a watch: %zu bytes\n", world.state().largest_watch);
-  EXPECT_LT(world.state().largest_watch, 512U * 1024);
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  region.run();
+  std::printf("largest answer to a watch: %zu bytes\n", region.state().largest_watch);
+  EXPECT_LT(region.state().largest_watch, 512U * 1024);
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // A job of the largest size goes through the checkpoint and a take-over.
 TEST(Size, AJobOfAHundredThousandTasks) {
-  World world(quiet(6));
-  world.run_until(1'000);
-  world.submit(array("job-1", 100'000, 4));
-  world.run_until(60'000);
-  const int leader = world.leader();
+  SimulatedRegion region(quiet(6));
+  region.run_until(1'000);
+  region.submit(array("job-1", 100'000, 4));
+  region.run_until(60'000);
+  const int leader = region.leader();
   ASSERT_GE(leader, 0);
-  const std::size_t done =
-      world.core(static_cast<std::size_t>(leader))->tables().jobs.at("job-1")->record.done.count();
+  const std::size_t done = region.controller(static_cast<std::size_t>(leader))
+                               ->tables()
+                               .jobs.at("job-1")
+                               ->record.done.count();
   EXPECT_GT(done, 20U);
-  world.run_until(62'000);  // what was done has been written by now
-  world.kill(static_cast<std::size_t>(leader), 6'000);
-  world.run_until(75'000);
-  const int next = world.leader();
+  region.run_until(62'000);  // what was done has been written by now
+  region.kill(static_cast<std::size_t>(leader), 6'000);
+  region.run_until(75'000);
+  const int next = region.leader();
   ASSERT_GE(next, 0);
-  EXPECT_GE(
-      world.core(static_cast<std::size_t>(next))->tables().jobs.at("job-1")->record.done.count(),
-      done);
-  EXPECT_EQ(world.state().malformed, 0U);
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  EXPECT_GE(region.controller(static_cast<std::size_t>(next))
+                ->tables()
+                .jobs.at("job-1")
+                ->record.done.count(),
+            done);
+  EXPECT_EQ(region.state().malformed, 0U);
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 }  // namespace
--- a/tests/slow_processor_test.cpp
+++ b/tests/slow_processor_test.cpp
@@ -21,62 +21,62 @@
 /// So many times slower, a controller's leases of the usual length run out.
 constexpr double kSlowFactor = 6;
 
-DayPlan slow_day(std::uint64_t seed) {
-  DayPlan plan = quiet(seed * 17);
+SimulationPlan slow_day(std::uint64_t seed) {
+  SimulationPlan plan = quiet(seed * 17);
   plan.length = 500'000;
   plan.processor = {12, 0.1};
   return plan;
 }
 
 /// The jobs of a day, all at once.
-void submit_burst(World& world, std::uint64_t seed) {
+void submit_burst(SimulatedRegion& region, std::uint64_t seed) {
   pcg32 random(seed * 31);
   for (std::size_t n = 0; n < kJobs; ++n) {
     JobSpec spec =
         n % 2 == 0 ? service(job_id(n), 1 + random(2)) : array(job_id(n), 1 + random(3), 20);
     spec.team = n % 3 == 0 ? "blue" : "red";
     spec.image = "img-" + std::to_string(random(3));
-    world.submit(spec);
+    region.submit(spec);
   }
 }
 
 /// All controllers are so many times slower for a while.
-void slow_all(World& world, double factor, Time for_ms) {
-  for (std::size_t node = 0; node < 3; ++node) world.slow_down(node, factor, for_ms);
+void slow_all(SimulatedRegion& region, double factor, Time for_ms) {
+  for (std::size_t node = 0; node < 3; ++node) region.slow_down(node, factor, for_ms);
 }
 
-std::uint64_t elections(const World& world) {
-  return world.leader() < 0 ? 0 : world.core(leader_of(world))->epoch();
+std::uint64_t elections(const SimulatedRegion& region) {
+  return region.leader() < 0 ? 0 : region.controller(leader_of(region))->epoch();
 }
 
 class SlowProcessor : public ::testing::TestWithParam<Scenario> {};
 
 TEST_P(SlowProcessor, KeepsTheRules) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    World world(slow_day(seed));
+    SimulatedRegion region(slow_day(seed));
     // All controllers start at this moment, and all users come with them.
-    world.poll_closely(500'000);
-    submit_burst(world, seed);
-    world.run_until(kBegin);
-    const Time at_begin = world.longest_input_wait();
-    world.forget_input_waits();
-    if (GetParam().play) GetParam().play(world, seed);
-    world.run_until(world.now() + 60'000);
+    region.poll_closely(500'000);
+    submit_burst(region, seed);
+    region.run_until(kBegin);
+    const Time at_begin = region.longest_input_wait();
+    region.forget_input_waits();
+    if (GetParam().play) GetParam().play(region, seed);
+    region.run_until(region.now() + 60'000);
     std::printf("an input waited for %lld ms at most as the fleet came up, then for %lld\n",
                 static_cast<long long>(at_begin),
-                static_cast<long long>(world.longest_input_wait()));
+                static_cast<long long>(region.longest_input_wait()));
     EXPECT_GT(at_begin, kLeastWait);
     if (GetParam().play) {
-      EXPECT_GT(world.longest_input_wait(), kLeastWait);
+      EXPECT_GT(region.longest_input_wait(), kLeastWait);
     }
-    expect_all_served(world, kJobs, seed);
+    expect_all_served(region, kJobs, seed);
   }
 }
 
 const Scenario kScenarios[] = {
     {"ColdStartAndFirstBurst", {}},
     {"RestartsInTheMiddleOfElections",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        slow_all(w, kSlowFactor, 30'000);
        for (int round = 0; round < 6; ++round) {
          w.kill(leader_of(w), 100 + 50 * static_cast<Time>(seed));
@@ -86,37 +86,37 @@
        }
      }},
     {"AllControllersStartAtOnce",
-     [](World& w, std::uint64_t) {
+     [](SimulatedRegion& w, std::uint64_t) {
        slow_all(w, kSlowFactor, 30'000);
        for (std::size_t node = 0; node < 3; ++node) w.kill(node, 400);
      }},
     {"AllWorkersComeBackAfterAZoneCut",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        slow_all(w, kSlowFactor, 30'000);
        w.cut_zone("za", 16'000, seed % 2 == 0);
      }},
     {"UsersRepeatThemselvesWhileTheStateServiceIsOut",
-     [](World& w, std::uint64_t) {
+     [](SimulatedRegion& w, std::uint64_t) {
        w.kv_store_outage(25'000);
        submit_mixed_jobs(w, kJobs, 8, 3);
      }},
     {"TheLeaderIsSeveralTimesSlower",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        w.slow_down(leader_of(w), 3.0 + static_cast<double>(seed), 20'000);
      }},
     // A step takes longer than the leader's lease, and ends after that is over.
     {"StepsOutlastTheLeadersLease",
-     [](World& w, std::uint64_t seed) {
+     [](SimulatedRegion& w, std::uint64_t seed) {
        w.slow_down(leader_of(w), 60.0 + 20.0 * static_cast<double>(seed), 15'000);
        w.cancel_now(4, 0);
      }},
     {"StepsOutlastTheWorkersLease",
-     [](World& w, std::uint64_t) {
+     [](SimulatedRegion& w, std::uint64_t) {
        w.slow_down(leader_of(w), 1'800, 30'000);
        w.cancel_now(4, 0);
      }},
     {"CancellationsAtFullLoad",
-     [](World& w, std::uint64_t) {
+     [](SimulatedRegion& w, std::uint64_t) {
        w.slow_down(leader_of(w), 2.0, 40'000);
        w.cancel_now(6, 0);
      }},
@@ -128,17 +128,17 @@
 // comes too late, and no other is elected.
 TEST(SlowLeader, IsNotDeposed) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    World world(slow_day(seed));
-    submit_burst(world, seed);
-    world.run_until(kBegin);
-    const std::uint64_t before = elections(world);
+    SimulatedRegion region(slow_day(seed));
+    submit_burst(region, seed);
+    region.run_until(kBegin);
+    const std::uint64_t before = elections(region);
     ASSERT_GT(before, 0U);
-    world.slow_down(leader_of(world), 5.0, 20'000);
-    world.run_until(world.now() + 30'000);
+    region.slow_down(leader_of(region), 5.0, 20'000);
+    region.run_until(region.now() + 30'000);
     std::printf("epoch %llu before, %llu after\n", static_cast<unsigned long long>(before),
-                static_cast<unsigned long long>(elections(world)));
-    EXPECT_EQ(elections(world), before) << "seed " << seed;
-    EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+                static_cast<unsigned long long>(elections(region)));
+    EXPECT_EQ(elections(region), before) << "seed " << seed;
+    EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   }
 }
 
@@ -149,33 +149,33 @@
   constexpr Time kSlowFor = 130'000;
   constexpr std::uint64_t kMostElections = 8;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    World world(slow_day(seed));
-    submit_burst(world, seed);
-    world.run_until(kBegin);
-    slow_all(world, kSlowFactor, kSlowFor);
-    world.kill(leader_of(world), 1'000);
-    world.run_until(world.now() + 60'000);
-    const std::uint64_t before = elections(world);
-    world.run_until(world.now() + 60'000);
+    SimulatedRegion region(slow_day(seed));
+    submit_burst(region, seed);
+    region.run_until(kBegin);
+    slow_all(region, kSlowFactor, kSlowFor);
+    region.kill(leader_of(region), 1'000);
+    region.run_until(region.now() + 60'000);
+    const std::uint64_t before = elections(region);
+    region.run_until(region.now() + 60'000);
     std::printf("epoch %llu a minute later, %llu after two\n",
                 static_cast<unsigned long long>(before),
-                static_cast<unsigned long long>(elections(world)));
+                static_cast<unsigned long long>(elections(region)));
     EXPECT_GT(before, 0U);
     EXPECT_LE(before, kMostElections);
-    EXPECT_EQ(elections(world), before) << "seed " << seed;
-    expect_all_served(world, kJobs, seed);
+    EXPECT_EQ(elections(region), before) << "seed " << seed;
+    expect_all_served(region, kJobs, seed);
   }
 }
 
 /// Keeps what its controllers warn of.
-class WarningController : public PresentController {
+class WarningController : public CurrentController {
  public:
   WarningController(const Settings& settings, std::uint64_t seed,
                     std::vector<std::string>& warnings)
-      : PresentController(settings, Options{}, seed), warnings_(warnings) {}
+      : CurrentController(settings, Options{}, seed), warnings_(warnings) {}
 
   std::vector<Action> step(Clock clock, Input input) override {
-    std::vector<Action> actions = PresentController::step(clock, std::move(input));
+    std::vector<Action> actions = CurrentController::step(clock, std::move(input));
     for (const Action& action : actions)
       if (const auto* log = std::get_if<Log>(&action); log && log->level == Log::Level::Warning)
         warnings_.push_back(log->text);
@@ -188,14 +188,14 @@
 
 std::size_t processor_warnings(double slowness) {
   std::vector<std::string> warnings;
-  DayPlan plan = slow_day(1);
+  SimulationPlan plan = slow_day(1);
   plan.controllers = [&](std::size_t, const Settings& settings, std::uint64_t seed) {
     return std::make_unique<WarningController>(settings, seed, warnings);
   };
-  World world(plan);
-  slow_all(world, slowness, kBegin);
-  submit_burst(world, 1);
-  world.run_until(kBegin);
+  SimulatedRegion region(plan);
+  slow_all(region, slowness, kBegin);
+  submit_burst(region, 1);
+  region.run_until(kBegin);
   return static_cast<std::size_t>(
       std::count_if(warnings.begin(), warnings.end(), [](const std::string& text) {
         return text.find("event=processor_limit limit=cpu late_ms=") != std::string::npos;
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -78,9 +78,9 @@
   image.apply(item(kManifestKey, encode_manifest({9, 4, {{"r-4-1", "box", "za", true, 3}}}, {})));
   EXPECT_EQ(image.manifest.seq, 9U);
   EXPECT_EQ(image.manifest.epoch, 4U);
-  ASSERT_EQ(image.manifest.rentals.size(), 1U);
-  EXPECT_EQ(image.manifest.rentals[0].request, "r-4-1");
-  EXPECT_EQ(image.manifest.rentals[0].count, 3U);
+  ASSERT_EQ(image.manifest.scale_outs.size(), 1U);
+  EXPECT_EQ(image.manifest.scale_outs[0].request, "r-4-1");
+  EXPECT_EQ(image.manifest.scale_outs[0].count, 3U);
   image.apply(item(kManifestKey, "[]"));
   EXPECT_EQ(image.unreadable.size(), 1U);
 }
--- a/tests/support/behaviour_digest.hpp
+++ b/tests/support/behaviour_digest.hpp
@@ -11,7 +11,7 @@
 #include <type_traits>
 #include <vector>
 
-#include "sim/controller.hpp"
+#include "sim/simulated_controller.hpp"
 
 namespace sailreel::sim {
 
@@ -51,14 +51,14 @@
 };
 
 /// A controller of the present version whose actions are added to a digest.
-class DigestedController : public PresentController {
+class DigestedController : public CurrentController {
  public:
   DigestedController(const Settings& settings, const Options& options, std::uint64_t seed,
                      std::shared_ptr<BehaviourDigest> digest)
-      : PresentController(settings, options, seed), seed_(seed), digest_(std::move(digest)) {}
+      : CurrentController(settings, options, seed), seed_(seed), digest_(std::move(digest)) {}
 
   std::vector<Action> step(Clock clock, Input input) override {
-    std::vector<Action> actions = PresentController::step(clock, std::move(input));
+    std::vector<Action> actions = CurrentController::step(clock, std::move(input));
     digest_->add(seed_, actions);
     return actions;
   }
--- a/tests/support/core_driver.hpp
+++ b/tests/support/controller_driver.hpp
@@ -9,10 +9,10 @@
 #include <variant>
 #include <vector>
 
-#include "coordination/core.hpp"
+#include "controller/controller.hpp"
 #include "protocol/worker_codec.hpp"
-#include "sim/stand_ins.hpp"
-#include "sim/world.hpp"
+#include "sim/fakes.hpp"
+#include "sim/simulated_region.hpp"
 
 namespace sailreel::sim {
 
@@ -36,13 +36,13 @@
   return heartbeat;
 }
 
-class CoreDriver {
+class ControllerDriver {
  public:
-  explicit CoreDriver(Settings settings) : core_(std::move(settings), Options{}, 7) {}
+  explicit ControllerDriver(Settings settings) : controller_(std::move(settings), Options{}, 7) {}
 
   FakeKvStore& state() { return state_; }
   [[nodiscard]] const std::vector<std::string>& warnings() const { return warnings_; }
-  const Core& core() const { return core_; }
+  const Controller& controller() const { return controller_; }
 
   /// Writes a key of the checkpoint, as a former leader would have.
   void write(const std::string& key, std::string value) {
@@ -65,14 +65,14 @@
     while (!inputs_.empty()) {
       Input next = std::move(inputs_.back());
       inputs_.pop_back();
-      for (const Action& action : core_.step(Clock{now_, now_}, std::move(next))) act(action);
+      for (const Action& action : controller_.step(Clock{now_, now_}, std::move(next))) act(action);
     }
   }
 
   /// Sends a report and returns its answer.
   const Response& answer_to(Heartbeat heartbeat) {
     const std::uint64_t call = ++next_origin_;
-    heartbeat.fencing_token = core_.epoch();
+    heartbeat.fencing_token = controller_.epoch();
     step(HeartbeatReceived{{RequestSource::Kind::Local, call, 0}, std::move(heartbeat), {}});
     return answers_[call];
   }
@@ -129,7 +129,7 @@
     } else if (const auto* worker = std::get_if<CallWorker>(&action)) {
       std::optional<Heartbeat> heartbeat;
       if (on_direct) heartbeat = on_direct(worker->address);
-      if (heartbeat) heartbeat->fencing_token = core_.epoch();
+      if (heartbeat) heartbeat->fencing_token = controller_.epoch();
       inputs_.push_back(
           WorkerResponseReceived{worker->call, heartbeat ? 200 : 0, std::move(heartbeat)});
     } else if (const auto* line = std::get_if<Log>(&action)) {
@@ -137,7 +137,7 @@
     }
   }
 
-  Core core_;
+  Controller controller_;
   FakeKvStore state_;
   std::vector<MachineType> types_;
   /// What is still to be fed. A watch may be answered long after the step that opened it.
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -3,15 +3,15 @@
 
 #include <gtest/gtest.h>
 
-#include "sim/world.hpp"
+#include "sim/simulated_region.hpp"
 
 namespace sailreel::sim {
 
-inline DayPlan quiet(std::uint64_t seed) {
-  DayPlan p;
+inline SimulationPlan quiet(std::uint64_t seed) {
+  SimulationPlan p;
   p.seed = seed;
   p.jobs = 0;
-  p.troubles = false;
+  p.faults = false;
   p.length = 120'000;
   return p;
 }
@@ -55,7 +55,7 @@
 /// What happens in the middle of such a day; a case of a test by its name.
 struct Scenario {
   const char* name;
-  std::function<void(World&, std::uint64_t seed)> play;
+  std::function<void(SimulatedRegion&, std::uint64_t seed)> play;
   Time boots_ms = 0;
 };
 // NOLINTNEXTLINE(readability-identifier-naming): GoogleTest looks for this name
@@ -68,7 +68,7 @@
 
 /// Jobs of both kinds and teams from `first` on, within half a minute: replicas that stay, arrays
 /// of one to three tasks that end far apart, some bound to a zone or spread over them.
-inline void submit_mixed_jobs(World& world, std::size_t first, std::size_t count,
+inline void submit_mixed_jobs(SimulatedRegion& region, std::size_t first, std::size_t count,
                               std::uint64_t seed) {
   pcg32 random(seed * 77 + first);
   for (std::size_t n = first; n < first + count; ++n) {
@@ -80,47 +80,47 @@
     s.spread = s.kind == JobKind::Service && random(2) == 0;
     s.one_zone = !s.spread && random(4) == 0;
     if (!s.spread && random(6) == 0) s.zone = random(2) == 0 ? "za" : "zb";
-    world.submit(s);
-    world.run_until(world.now() + random(static_cast<std::uint32_t>(30'000 / count)));
+    region.submit(s);
+    region.run_until(region.now() + random(static_cast<std::uint32_t>(30'000 / count)));
   }
 }
 
-inline std::size_t leader_of(const World& world) {
-  return static_cast<std::size_t>(std::max(0, world.leader()));
+inline std::size_t leader_of(const SimulatedRegion& region) {
+  return static_cast<std::size_t>(std::max(0, region.leader()));
 }
 
 /// The end of a day: no rule was broken, and nothing is left waiting or unanswered.
-inline void expect_nothing_left(World& world, std::uint64_t seed) {
-  world.checker().end_served();
-  EXPECT_TRUE(world.checker().violations().empty())
-      << "seed " << seed << " " << world.checker().summary();
-  EXPECT_TRUE(world.checker().unfinished_arrays().empty())
-      << "seed " << seed << " " << world.checker().unfinished_arrays().front();
-  EXPECT_EQ(world.malformed_answers(), 0U);
-  EXPECT_EQ(world.state().malformed, 0U);
+inline void expect_nothing_left(SimulatedRegion& region, std::uint64_t seed) {
+  region.checker().end_served();
+  EXPECT_TRUE(region.checker().violations().empty())
+      << "seed " << seed << " " << region.checker().summary();
+  EXPECT_TRUE(region.checker().unfinished_arrays().empty())
+      << "seed " << seed << " " << region.checker().unfinished_arrays().front();
+  EXPECT_EQ(region.malformed_answers(), 0U);
+  EXPECT_EQ(region.state().malformed, 0U);
 }
 
 /// The end of a day of `submit_mixed_jobs`: some are called off, and nothing is left waiting or
 /// unanswered.
-inline void expect_all_served(World& world, std::size_t jobs, std::uint64_t seed) {
-  world.calm();
-  for (std::size_t n = 0; n < jobs; n += 4) world.cancel(job_id(n));
-  world.run_until(world.now() + 160'000);
-  expect_nothing_left(world, seed);
+inline void expect_all_served(SimulatedRegion& region, std::size_t jobs, std::uint64_t seed) {
+  region.calm();
+  for (std::size_t n = 0; n < jobs; n += 4) region.cancel(job_id(n));
+  region.run_until(region.now() + 160'000);
+  expect_nothing_left(region, seed);
 }
 
 /// The machines that the present leader knows to hold tasks.
-inline std::vector<std::string> busy_machines(const World& world) {
+inline std::vector<std::string> busy_machines(const SimulatedRegion& region) {
   std::vector<std::string> out;
-  if (world.leader() < 0) return out;
-  for (const auto& [name, m] : world.core(leader_of(world))->tables().machines)
+  if (region.leader() < 0) return out;
+  for (const auto& [name, m] : region.controller(leader_of(region))->tables().machines)
     if (m->heard_in_epoch && !m->empty()) out.push_back(name);
   return out;
 }
 
 /// Cuts a machine off from every controller.
-inline void cut_off(World& world, const std::string& machine, Time for_ms, bool hold) {
-  for (std::size_t i = 0; i < 3; ++i) world.cut(node_name(i), machine, for_ms, hold);
+inline void cut_off(SimulatedRegion& region, const std::string& machine, Time for_ms, bool hold) {
+  for (std::size_t i = 0; i < 3; ++i) region.cut(node_name(i), machine, for_ms, hold);
 }
 
 }  // namespace sailreel::sim
--- a/tests/support/work_meter.hpp
+++ b/tests/support/work_meter.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "sim/controller.hpp"
+#include "sim/simulated_controller.hpp"
 
 namespace sailreel::sim {
 
@@ -91,21 +91,21 @@
 };
 
 /// A controller of the present version whose steps are counted.
-class MeteredController : public PresentController {
+class MeteredController : public CurrentController {
  public:
   MeteredController(const Settings& settings, const Options& options, std::uint64_t seed,
                     std::shared_ptr<WorkMeter> meter)
-      : PresentController(settings, options, seed), meter_(std::move(meter)) {}
+      : CurrentController(settings, options, seed), meter_(std::move(meter)) {}
 
   std::vector<Action> step(Clock clock, Input input) override {
     const bool led = leading();
     const InputKind kind = kind_of(input);
     const Allocations before = allocations;
-    const std::uint64_t looks_before = core()->examined();
-    std::vector<Action> actions = PresentController::step(clock, std::move(input));
+    const std::uint64_t looks_before = controller()->examined();
+    std::vector<Action> actions = CurrentController::step(clock, std::move(input));
     meter_->add(led, kind,
                 {1, allocations.count - before.count, allocations.bytes - before.bytes,
-                 core()->examined() - looks_before});
+                 controller()->examined() - looks_before});
     return actions;
   }
 
