--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -13,8 +13,8 @@
 
 constexpr Time kBegin = 55'000, kApart = 12'000, kDown = 3'000;
 
-DayPlan upgrade_day(std::uint64_t seed) {
-  DayPlan plan = quiet(seed);
+SimulationPlan upgrade_day(std::uint64_t seed) {
+  SimulationPlan plan = quiet(seed);
   plan.length = 600'000;
   plan.next_value_kb = 2;
   plan.next_txn_ops = 5;
@@ -24,184 +24,184 @@
 }
 
 /// What meets the roll between its steps; a case of a test by its name.
-struct RollTrouble {
+struct RollFault {
   const char* name;
-  std::function<void(World&, int step)> play;
+  std::function<void(SimulatedRegion&, int step)> play;
 };
 // NOLINTNEXTLINE(readability-identifier-naming): GoogleTest looks for this name
-void PrintTo(const RollTrouble& trouble, std::ostream* out) { *out << trouble.name; }
+void PrintTo(const RollFault& fault, std::ostream* out) { *out << fault.name; }
 
-class Upgrade : public ::testing::TestWithParam<RollTrouble> {};
+class Upgrade : public ::testing::TestWithParam<RollFault> {};
 
 TEST_P(Upgrade, KeepsTheRulesInEveryOrder) {
   std::vector<std::size_t> order{0, 1, 2};
   std::uint64_t seed = 1;
   do {
-    World world(upgrade_day(seed * 11));
-    world.run_until(1'000);
-    submit_mixed_jobs(world, 0, 40, seed);
-    world.run_until(kBegin);
-    world.poll_closely(300'000);
+    SimulatedRegion region(upgrade_day(seed * 11));
+    region.run_until(1'000);
+    submit_mixed_jobs(region, 0, 40, seed);
+    region.run_until(kBegin);
+    region.poll_closely(300'000);
     int step = 0;
     for (const std::size_t node : order) {
-      GetParam().play(world, step++);
-      world.upgrade(node, kDown);
-      world.run_until(world.now() + kApart);
+      GetParam().play(region, step++);
+      region.upgrade(node, kDown);
+      region.run_until(region.now() + kApart);
     }
-    world.run_until(world.now() + 10'000);
-    world.lower_limits();
-    submit_mixed_jobs(world, 100, 12, seed);
+    region.run_until(region.now() + 10'000);
+    region.lower_limits();
+    submit_mixed_jobs(region, 100, 12, seed);
     for (std::size_t n = 200; n < 206; ++n) {
       JobSpec spec = gang(job_id(n), 2 + n % 5, 3, 10);
       spec.one_zone = n % 2 == 0;
-      world.submit(spec);
+      region.submit(spec);
     }
-    world.run_until(world.now() + 5'000);
-    world.kill(leader_of(world), 4'000);
-    world.run_until(world.now() + 60'000);
-    world.calm();
-    for (std::size_t n = 0; n < 40; n += 3) world.cancel(job_id(n));
-    world.run_until(world.now() + 150'000);
-    expect_nothing_left(world, seed);
+    region.run_until(region.now() + 5'000);
+    region.kill(leader_of(region), 4'000);
+    region.run_until(region.now() + 60'000);
+    region.calm();
+    for (std::size_t n = 0; n < 40; n += 3) region.cancel(job_id(n));
+    region.run_until(region.now() + 150'000);
+    expect_nothing_left(region, seed);
     ++seed;
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-const RollTrouble kFaults[] = {{"Undisturbed", [](World&, int) {}},
-                               {"TheLeaderEndsAndComesBackAsItWas",
-                                [](World& w, int) {
-                                  w.kill(leader_of(w), 500);
-                                  w.run_until(w.now() + 4'000);
-                                  w.kill(leader_of(w), 300);
-                                  w.run_until(w.now() + 3'000);
-                                }},
-                               {"ALeaderIsFrozen",
-                                [](World& w, int) {
-                                  w.freeze(leader_of(w), 6'000);
-                                  w.run_until(w.now() + 3'000);
-                                }},
-                               {"OneIsRefusedByTheStateService",
-                                [](World& w, int step) {
-                                  w.reject_kv_requests(static_cast<std::size_t>(step), 14'000);
-                                  w.run_until(w.now() + 1'000);
-                                }},
-                               {"TheStateServiceIsDown",
-                                [](World& w, int) {
-                                  w.kv_store_outage(8'000);
-                                  w.run_until(w.now() + 1'000);
-                                }},
-                               {"AZoneIsCutOff",
-                                [](World& w, int step) {
-                                  w.cut_zone(step % 2 == 0 ? "za" : "zb", 11'000, step == 1);
-                                  w.run_until(w.now() + 2'000);
-                                }},
-                               {"ControllersLoseEachOther",
-                                [](World& w, int step) {
-                                  w.isolate(static_cast<std::size_t>(step), 9'000, step == 0);
-                                  w.run_until(w.now() + 2'000);
-                                }},
-                               {"RoundsAreInDoubtAtEachChange",
-                                [](World& w, int step) {
-                                  w.late_writes(0.5, 6'000, step % 2 == 0);
-                                  w.delay_heartbeats(0.3, 6'000);
-                                  w.cancel_now(3, 0);
-                                  w.run_until(w.now() + 500);
-                                  w.kill(leader_of(w), 2'000);
-                                  w.run_until(w.now() + 500);
-                                }},
-                               {"CancelledByOneVersionAndEnforcedByTheOther",
-                                [](World& w, int step) {
-                                  w.cancel_now(4, step == 1 ? 6'000 : 0);
-                                  w.run_until(w.now() + 60);
-                                }},
-                               {"AllEndAtOnce", [](World& w, int) {
-                                  for (std::size_t i = 0; i < 3; ++i)
-                                    w.kill(i, 1'000 + 300 * static_cast<Time>(i));
-                                  w.run_until(w.now() + 2'500);
-                                }}};
+const RollFault kFaults[] = {{"Undisturbed", [](SimulatedRegion&, int) {}},
+                             {"TheLeaderEndsAndComesBackAsItWas",
+                              [](SimulatedRegion& w, int) {
+                                w.kill(leader_of(w), 500);
+                                w.run_until(w.now() + 4'000);
+                                w.kill(leader_of(w), 300);
+                                w.run_until(w.now() + 3'000);
+                              }},
+                             {"ALeaderIsFrozen",
+                              [](SimulatedRegion& w, int) {
+                                w.freeze(leader_of(w), 6'000);
+                                w.run_until(w.now() + 3'000);
+                              }},
+                             {"OneIsRefusedByTheStateService",
+                              [](SimulatedRegion& w, int step) {
+                                w.reject_kv_requests(static_cast<std::size_t>(step), 14'000);
+                                w.run_until(w.now() + 1'000);
+                              }},
+                             {"TheStateServiceIsDown",
+                              [](SimulatedRegion& w, int) {
+                                w.kv_store_outage(8'000);
+                                w.run_until(w.now() + 1'000);
+                              }},
+                             {"AZoneIsCutOff",
+                              [](SimulatedRegion& w, int step) {
+                                w.cut_zone(step % 2 == 0 ? "za" : "zb", 11'000, step == 1);
+                                w.run_until(w.now() + 2'000);
+                              }},
+                             {"ControllersLoseEachOther",
+                              [](SimulatedRegion& w, int step) {
+                                w.isolate(static_cast<std::size_t>(step), 9'000, step == 0);
+                                w.run_until(w.now() + 2'000);
+                              }},
+                             {"RoundsAreInDoubtAtEachChange",
+                              [](SimulatedRegion& w, int step) {
+                                w.late_writes(0.5, 6'000, step % 2 == 0);
+                                w.delay_heartbeats(0.3, 6'000);
+                                w.cancel_now(3, 0);
+                                w.run_until(w.now() + 500);
+                                w.kill(leader_of(w), 2'000);
+                                w.run_until(w.now() + 500);
+                              }},
+                             {"CancelledByOneVersionAndEnforcedByTheOther",
+                              [](SimulatedRegion& w, int step) {
+                                w.cancel_now(4, step == 1 ? 6'000 : 0);
+                                w.run_until(w.now() + 60);
+                              }},
+                             {"AllEndAtOnce", [](SimulatedRegion& w, int) {
+                                for (std::size_t i = 0; i < 3; ++i)
+                                  w.kill(i, 1'000 + 300 * static_cast<Time>(i));
+                                w.run_until(w.now() + 2'500);
+                              }}};
 
-INSTANTIATE_TEST_SUITE_P(Troubles, Upgrade, ::testing::ValuesIn(kFaults),
+INSTANTIATE_TEST_SUITE_P(Faults, Upgrade, ::testing::ValuesIn(kFaults),
                          [](const auto& info) { return std::string(info.param.name); });
 
 // Limits may fall as soon as all are new, and the version in production has left values that are
 // larger: many jobs, a full head, long lists of machines.
 TEST(Upgrade, LimitsFallAtAnyStepAfterwardsWithLargeValuesStored) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    DayPlan plan = upgrade_day(seed * 5);
+    SimulationPlan plan = upgrade_day(seed * 5);
     plan.next_value_kb = seed % 2 == 0 ? 2 : 1;
     plan.next_txn_ops = seed % 4 < 2 ? 5 : 3;
-    World world(plan);
-    world.run_until(1'000);
-    submit_mixed_jobs(world, 0, 90, seed);
+    SimulatedRegion region(plan);
+    region.run_until(1'000);
+    submit_mixed_jobs(region, 0, 90, seed);
     JobSpec large = array("job-900", 9'000, 1);
     large.need = {0.03, 0, 0.01};
-    if (seed % 4 == 0) world.submit(large);
-    world.run_until(kBegin);
+    if (seed % 4 == 0) region.submit(large);
+    region.run_until(kBegin);
     for (std::size_t node = 0; node < 3; ++node) {
-      world.upgrade((node + seed) % 3, kDown);
+      region.upgrade((node + seed) % 3, kDown);
       // Not long enough for the former leader's head to empty itself.
-      if (node < 2) world.run_until(world.now() + kApart);
+      if (node < 2) region.run_until(region.now() + kApart);
     }
-    world.run_until(world.now() + kDown + 50 * static_cast<Time>(seed));
-    world.lower_limits();
-    world.run_until(world.now() + 200 * static_cast<Time>(seed));
-    world.kill(leader_of(world), 2'000);
-    world.run_until(world.now() + 20'000);
-    submit_mixed_jobs(world, 200, 20, seed);
-    for (std::size_t n = 0; n < 90; n += 2) world.cancel(job_id(n));
-    for (std::size_t n = 200; n < 220; n += 2) world.cancel(job_id(n));
-    world.run_until(world.now() + 380'000);
-    EXPECT_TRUE(world.checker().violations().empty())
-        << "seed " << seed << " " << world.checker().summary();
-    EXPECT_EQ(world.state().malformed, 0U) << seed;
-    EXPECT_TRUE(world.checker().unfinished_arrays().empty())
-        << "seed " << seed << " " << world.checker().unfinished_arrays().front();
+    region.run_until(region.now() + kDown + 50 * static_cast<Time>(seed));
+    region.lower_limits();
+    region.run_until(region.now() + 200 * static_cast<Time>(seed));
+    region.kill(leader_of(region), 2'000);
+    region.run_until(region.now() + 20'000);
+    submit_mixed_jobs(region, 200, 20, seed);
+    for (std::size_t n = 0; n < 90; n += 2) region.cancel(job_id(n));
+    for (std::size_t n = 200; n < 220; n += 2) region.cancel(job_id(n));
+    region.run_until(region.now() + 380'000);
+    EXPECT_TRUE(region.checker().violations().empty())
+        << "seed " << seed << " " << region.checker().summary();
+    EXPECT_EQ(region.state().malformed, 0U) << seed;
+    EXPECT_TRUE(region.checker().unfinished_arrays().empty())
+        << "seed " << seed << " " << region.checker().unfinished_arrays().front();
   }
 }
 
 // A new controller turns a gang away that it would have to hand to a leader of the version in
 // production.
 TEST(Upgrade, GangsAreNotHandedToAnOlderLeader) {
-  World world(upgrade_day(4));
-  world.run_until(2'000);
-  const std::size_t lead = leader_of(world);
+  SimulatedRegion region(upgrade_day(4));
+  region.run_until(2'000);
+  const std::size_t lead = leader_of(region);
   const std::size_t other = (lead + 1) % 3;
-  world.upgrade(other, kDown);
-  world.run_until(15'000);
-  ASSERT_EQ(leader_of(world), lead);
+  region.upgrade(other, kDown);
+  region.run_until(15'000);
+  ASSERT_EQ(leader_of(region), lead);
   int status = 0;
   JobSpec spec = gang("job-1", 3, 2, 10);
-  world.submit_at(spec, other, [&status](int s) { status = s; });
-  world.run_until(16'000);
+  region.submit_at(spec, other, [&status](int s) { status = s; });
+  region.run_until(16'000);
   EXPECT_EQ(status, 503);
 }
 
 // While one controller is of the version in production, gangs are turned away.
 TEST(Upgrade, GangsWaitUntilAllControllersAreNew) {
-  World world(upgrade_day(3));
-  world.run_until(2'000);
-  world.upgrade(1, kDown);
-  world.upgrade(2, kDown);
-  world.run_until(20'000);
-  world.kill(0, 8'000);
-  world.run_until(25'000);
+  SimulatedRegion region(upgrade_day(3));
+  region.run_until(2'000);
+  region.upgrade(1, kDown);
+  region.upgrade(2, kDown);
+  region.run_until(20'000);
+  region.kill(0, 8'000);
+  region.run_until(25'000);
   int status = 0;
-  world.submit(gang("job-1", 3, 2, 10));
-  world.run_until(25'500);
-  world.ask_for("job-1", leader_of(world), UserOp::Submit, [&status](int s) { status = s; });
-  world.run_until(26'000);
+  region.submit(gang("job-1", 3, 2, 10));
+  region.run_until(25'500);
+  region.ask_for("job-1", leader_of(region), UserOp::Submit, [&status](int s) { status = s; });
+  region.run_until(26'000);
   EXPECT_EQ(status, 503);
-  world.upgrade(0, kDown);
-  world.run_until(65'000);
-  EXPECT_TRUE(world.checker().unfinished_arrays().empty());
-  EXPECT_GT(world.gang_starts("job-1"), 0U);
+  region.upgrade(0, kDown);
+  region.run_until(65'000);
+  EXPECT_TRUE(region.checker().unfinished_arrays().empty());
+  EXPECT_GT(region.gang_starts("job-1"), 0U);
   // What is known once holds, also where a controller can't be heard again.
-  for (std::size_t i = 0; i < 3; ++i) world.kill(i, i == 2 ? 60'000 : 1'000);
-  world.run_until(75'000);
-  world.submit(gang("job-2", 3, 2, 10));
-  world.run_until(100'000);
-  EXPECT_GT(world.gang_starts("job-2"), 0U);
-  EXPECT_TRUE(world.checker().violations().empty()) << world.checker().summary();
+  for (std::size_t i = 0; i < 3; ++i) region.kill(i, i == 2 ? 60'000 : 1'000);
+  region.run_until(75'000);
+  region.submit(gang("job-2", 3, 2, 10));
+  region.run_until(100'000);
+  EXPECT_GT(region.gang_starts("job-2"), 0U);
+  EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 }  // namespace
--- a/tests/work_cost_test.cpp
+++ b/tests/work_cost_test.cpp
@@ -19,36 +19,36 @@
 /// the first burst and then plain service are counted.
 class MeteredDay {
  public:
-  MeteredDay() : world_(plan()) {
-    world_.on_command = [this](const std::string&, const Command& command) {
+  MeteredDay() : region_(plan()) {
+    region_.on_command = [this](const std::string&, const Command& command) {
       starts_ += command.op == Command::Op::Start ? 1 : 0;
     };
-    world_.run_until(kBegin);
+    region_.run_until(kBegin);
     meter_->reset();
     for (std::size_t n = 0; n < kJobs; ++n) {
       JobSpec spec = service(job_id(n), kTasksPerJob);
       spec.team = n % 2 == 0 ? "blue" : "red";
       spec.image = "img-" + std::to_string(n % 5);
-      world_.submit(spec);
+      region_.submit(spec);
     }
-    world_.run_until(kSettled);
+    region_.run_until(kSettled);
   }
   /// Goes on for a while in which nothing is submitted, starts or ends.
   void serve() {
-    play([](World&) {});
+    play([](SimulatedRegion&) {});
   }
   /// Goes on for a while after something has happened.
-  void play(const std::function<void(World&)>& happens) {
+  void play(const std::function<void(SimulatedRegion&)>& happens) {
     meter_->reset();
-    happens(world_);
-    world_.run_until(world_.now() + kSpan);
+    happens(region_);
+    region_.run_until(region_.now() + kSpan);
   }
   [[nodiscard]] const WorkMeter& meter() const { return *meter_; }
   [[nodiscard]] std::uint64_t starts() const { return starts_; }
 
  private:
-  DayPlan plan() {
-    DayPlan plan = quiet(11);
+  SimulationPlan plan() {
+    SimulationPlan plan = quiet(11);
     plan.scale = 8;
     plan.boots_ms = 4'000;
     plan.loss = plan.late_copies = 0;
@@ -62,7 +62,7 @@
 
   std::shared_ptr<WorkMeter> meter_ = std::make_shared<WorkMeter>();
   std::uint64_t starts_ = 0;
-  World world_;
+  SimulatedRegion region_;
 };
 
 /// Most that one unit may take.
@@ -116,19 +116,19 @@
 
 // All controllers together, reports and polls included, for each second of a span in which nothing
 // happens, in which a leader ends, and in which the state service is out while users submit.
-TEST(WorkCost, OfASecondInTrouble) {
+TEST(WorkCost, OfASecondWithFaults) {
   constexpr auto kSeconds = static_cast<std::uint64_t>(kSpan / 1'000);
   MeteredDay quiet_day;
   quiet_day.serve();
   expect_at_most("quiet second", quiet_day.meter().total(), kSeconds, {710, 0.05});  // 568, 0
   MeteredDay failover;
-  failover.play([](World& world) { world.kill(leader_of(world), 2'000); });
+  failover.play([](SimulatedRegion& region) { region.kill(leader_of(region), 2'000); });
   expect_at_most("second of a take-over", failover.meter().total(), kSeconds,
                  {800, 6});  // 640, 4.0
   MeteredDay outage;
-  outage.play([](World& world) {
-    world.kv_store_outage(kSpan);
-    for (std::size_t n = kJobs; n < 2 * kJobs; ++n) world.submit(service(job_id(n), 1));
+  outage.play([](SimulatedRegion& region) {
+    region.kv_store_outage(kSpan);
+    for (std::size_t n = kJobs; n < 2 * kJobs; ++n) region.submit(service(job_id(n), 1));
   });
   expect_at_most("second of an outage", outage.meter().total(), kSeconds,
                  {1'300, 0.05});  // 1,009, 0
--- a/tools/scale/deployment.cpp
+++ b/tools/scale/deployment.cpp
@@ -43,8 +43,8 @@
   settings.store.write_rps = fleet.state_write_rps();
   settings.store.value_kb = 8;
   settings.store.txn_ops = 16;
-  settings.market.rps = fleet.cloud_rps();
-  settings.market.list_lag_s = kListLagS;
+  settings.cloud_limits.rps = fleet.cloud_rps();
+  settings.cloud_limits.list_lag_s = kListLagS;
 }
 
 double limit_in_region(const Plan& plan) {
@@ -117,8 +117,8 @@
   state.whole("txn_ops", settings.store.txn_ops);
   state.end();
   json::ObjectWriter cloud(writer, "cloud");
-  cloud.number("rps", settings.market.rps);
-  cloud.number("list_lag_s", settings.market.list_lag_s);
+  cloud.number("rps", settings.cloud_limits.rps);
+  cloud.number("list_lag_s", settings.cloud_limits.list_lag_s);
   cloud.end();
   json::ObjectWriter resources(writer, "resources");
   resources.number("cpu", settings.limits.cpu);
--- a/tools/scale/deployment.hpp
+++ b/tools/scale/deployment.hpp
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "scale/plan.hpp"
-#include "sim/world.hpp"
+#include "sim/simulated_region.hpp"
 
 namespace sailreel::scale {
 
--- a/tools/scale/region_process.cpp
+++ b/tools/scale/region_process.cpp
@@ -6,7 +6,7 @@
 #include <csignal>
 #include <fstream>
 
-#include "protocol/counterpart_codec.hpp"
+#include "protocol/fake_server_codec.hpp"
 #include "protocol/user_codec.hpp"
 #include "scale/deployment.hpp"
 #include "scale/process_stats.hpp"
@@ -37,12 +37,12 @@
   return out;
 }
 
-sim::DayPlan day_plan(const Plan& plan, int region) {
-  sim::DayPlan day;
+sim::SimulationPlan day_plan(const Plan& plan, int region) {
+  sim::SimulationPlan day;
   day.seed = plan.seed() * 1000 + static_cast<std::uint64_t>(region);
   day.length = static_cast<Time>(plan.seconds()) * 1000;
   day.jobs = 0;
-  day.troubles = false;
+  day.faults = false;
   day.loss = 0;
   day.late_copies = 0;
   day.over_sockets = true;
@@ -70,13 +70,15 @@
       clock_timer_(loop_, [this] { advance(); }),
       sample_timer_(loop_, [this] { sample(); }),
       sweep_timer_(loop_, [this] { sweep(); }) {
-  sim::DayPlan day = day_plan(plan_, options_.region);
+  sim::SimulationPlan day = day_plan(plan_, options_.region);
   day.controllers = [this](std::size_t node, const Settings& settings, std::uint64_t) {
     return start_controller(node, settings);
   };
-  world_ = std::make_unique<sim::World>(day);
-  workload_ = std::make_unique<Workload>(plan_, options_.region, *world_, kWorkBeginsMs);
-  world_->on_started = [this](const TaskKey& key) { workload_->task_started(key, world_->now()); };
+  region_ = std::make_unique<sim::SimulatedRegion>(day);
+  workload_ = std::make_unique<Workload>(plan_, options_.region, *region_, kWorkBeginsMs);
+  region_->on_started = [this](const TaskKey& key) {
+    workload_->task_started(key, region_->now());
+  };
   plan_faults();
 }
 
@@ -91,8 +93,8 @@
   loop_.run();
 }
 
-std::unique_ptr<sim::Controller> RegionProcess::start_controller(std::size_t node,
-                                                                 const Settings& settings) {
+std::unique_ptr<sim::SimulatedController> RegionProcess::start_controller(
+    std::size_t node, const Settings& settings) {
   const std::string base = options_.directory + "/" + settings.name;
   std::ofstream(base + ".json") << settings_file(settings);
   ChildOutput output;
@@ -121,7 +123,7 @@
   WorkerSockets& sockets = workers_[machine];
   if (sockets.client) return sockets;
   sockets.client = std::make_unique<HttpClient>(loop_, kWorkerConnections);
-  const std::string address = world_->cloud().machines.at(machine).address;
+  const std::string address = region_->cloud().machines.at(machine).address;
   sockets.server =
       std::make_unique<HttpServer>(loop_, address, kWorkerConnections, kMaxServiceBody, kIdleMs,
                                    [this, machine](const ServerRequest& request) {
@@ -133,7 +135,7 @@
 void RegionProcess::send_heartbeat(const std::string& machine, const std::string& address,
                                    const std::string& body,
                                    std::function<void(int, std::string)> done) {
-  if (!world_->cloud().machines.contains(machine)) return;
+  if (!region_->cloud().machines.contains(machine)) return;
   WorkerSockets& sockets = worker_sockets(machine);
   if (sockets.reports_to != address) sockets.client->close_idle(sockets.reports_to);
   sockets.reports_to = address;
@@ -158,7 +160,7 @@
 }
 
 void RegionProcess::answered(std::size_t node, const Response& response) {
-  world_->deliver(node, response);
+  region_->deliver(node, response);
   advance();
 }
 
@@ -166,8 +168,8 @@
   const auto call = decode_state_call(request.method, request.path, request.body);
   if (!call) return state_->respond(request.connection, 400, encode_error("malformed"), 0);
   state_writes_ += call->puts.size() + call->deletes.size();
-  world_->state().handle(
-      *call, false, world_->now(),
+  region_->state().handle(
+      *call, false, region_->now(),
       [this, call = *call, connection = request.connection](const KvResponse& reply) {
         const ServiceResponse response = encode_state_reply(call, reply);
         state_->respond(connection, response.status, response.body, 0);
@@ -178,7 +180,7 @@
   const auto call = decode_cloud_call(request.method, request.path, request.body);
   if (!call) return cloud_->respond(request.connection, 400, encode_error("malformed"), 0);
   const ServiceResponse response =
-      encode_cloud_reply(*call, world_->cloud().handle(*call, world_->now()));
+      encode_cloud_reply(*call, region_->cloud().handle(*call, region_->now()));
   cloud_->respond(request.connection, response.status, response.body, 0);
   advance();
 }
@@ -191,9 +193,9 @@
                    status == 400 ? encode_error("malformed") : encode_heartbeat(report), 0);
   };
   if (request.method == "GET" && request.path == "/inspect")
-    world_->inspect(machine, respond);
+    region_->inspect(machine, respond);
   else if (request.method == "POST" && request.path == "/do")
-    world_->command(machine, request.body, respond);
+    region_->command(machine, request.body, respond);
   else
     server.respond(connection, 404, encode_error("no such path"), 0);
   advance();
@@ -202,18 +204,18 @@
 void RegionProcess::plan_faults() {
   const std::string& here = plan_.region(options_.region).name();
   for (const Fault& fault : plan_.fault())
-    if (fault.region() == here) world_->at(ms(fault.at_s()), [this, &fault] { inject(fault); });
+    if (fault.region() == here) region_->at(ms(fault.at_s()), [this, &fault] { inject(fault); });
 }
 
 void RegionProcess::inject(const Fault& fault) {
   const Time span = ms(fault.for_s());
   switch (fault.kind()) {
     case Fault::CONTROLLER_KILLED:
-      return world_->kill(fault.controller(), span);
+      return region_->kill(fault.controller(), span);
     case Fault::LEADER_KILLED:
-      return world_->kill(busiest_controller(), span);
+      return region_->kill(busiest_controller(), span);
     case Fault::STATE_SERVICE_DOWN:
-      return world_->kv_store_outage(span);
+      return region_->kv_store_outage(span);
     case Fault::ZONE_WORKERS_GONE:
       return remove_zone_workers(fault.zone());
     case Fault::REGION_CUT:
@@ -235,11 +237,11 @@
 
 void RegionProcess::remove_zone_workers(const std::string& zone) {
   std::vector<std::string> gone;
-  for (const auto& [name, machine] : world_->cloud().machines)
+  for (const auto& [name, machine] : region_->cloud().machines)
     if (machine.zone == zone) gone.push_back(name);
   for (const std::string& name : gone) {
-    world_->cloud().machines.erase(name);
-    world_->kill_machine(name);
+    region_->cloud().machines.erase(name);
+    region_->kill_machine(name);
   }
 }
 
@@ -247,8 +249,8 @@
   if (advancing_) return;
   advancing_ = true;
   const Time now = elapsed();
-  late_ms_max_ = std::max(late_ms_max_, now - world_->now() - kClockStepMs);
-  if (now > world_->now()) world_->run_until(now);
+  late_ms_max_ = std::max(late_ms_max_, now - region_->now() - kClockStepMs);
+  if (now > region_->now()) region_->run_until(now);
   advancing_ = false;
   if (now >= static_cast<Time>(plan_.seconds()) * 1000) return finish();
   clock_timer_.set(kClockStepMs);
@@ -258,11 +260,11 @@
   const Time now = elapsed();
   const Time number = now / kSampleMs;
   sample_timer_.set((number + 1) * kSampleMs - now);
-  const auto workers = static_cast<std::uint32_t>(world_->machines_up().size());
+  const auto workers = static_cast<std::uint32_t>(region_->machines_up().size());
   worker_seconds_ += workers * (static_cast<double>(kSampleMs) / 1000);
   RegionMessage message;
   Progress& progress = *message.mutable_progress();
-  const sim::Checker& checker = world_->checker();
+  const sim::Checker& checker = region_->checker();
   progress.set_workers(workers);
   progress.set_tasks_running(checker.tasks_running());
   progress.set_starts(checker.starts());
@@ -282,7 +284,7 @@
   sweep_timer_.set(kSweepMs);
   // The main process is gone: nobody would read what follows.
   if (getppid() != parent_) {
-    world_.reset();
+    region_.reset();
     std::exit(1);
   }
 }
@@ -300,13 +302,13 @@
   RegionMessage message;
   *message.mutable_result() = result();
   tell(message);
-  world_.reset();  // ends the controllers
+  region_.reset();  // ends the controllers
   std::exit(0);
 }
 
 RegionResult RegionProcess::result() {
   RegionResult out;
-  const sim::Checker& checker = world_->checker();
+  const sim::Checker& checker = region_->checker();
   out.set_region(plan_.region(options_.region).name());
   for (const auto& [rule, cases] : checker.violations()) {
     (*out.mutable_rules())[rule] = static_cast<std::uint32_t>(cases.size());
@@ -316,7 +318,7 @@
   out.set_starts(checker.starts());
   out.set_jobs(checker.jobs());
   out.set_jobs_over(checker.jobs_over());
-  out.set_reports(world_->heartbeats());
+  out.set_reports(region_->heartbeats());
   out.set_worker_seconds(worker_seconds_);
   Traffic workers;
   for (const auto& [machine, sockets] : workers_) {
@@ -328,12 +330,12 @@
   *out.mutable_state() = as_message(state_->traffic());
   *out.mutable_cloud() = as_message(cloud_->traffic());
   out.set_state_writes(state_writes_);
-  out.set_refused_writes(world_->state().refused_writes);
-  out.set_unanswered_submissions(world_->unanswered_submissions());
-  for (const Time delay : world_->submission_delays())
+  out.set_refused_writes(region_->state().refused_writes);
+  out.set_unanswered_submissions(region_->unanswered_submissions());
+  for (const Time delay : region_->submission_delays())
     out.add_submission_ms(static_cast<std::uint32_t>(delay));
   for (const std::uint32_t wait : workload_->urgent_waits()) out.add_urgent_ms(wait);
-  out.set_urgent_waiting(workload_->urgent_waiting(world_->now(), kUserTimeoutMs));
+  out.set_urgent_waiting(workload_->urgent_waiting(region_->now(), kUserTimeoutMs));
   out.set_late_ms_max(static_cast<std::uint32_t>(std::max<Time>(0, late_ms_max_)));
   return out;
 }
--- a/tools/scale/region_process.hpp
+++ b/tools/scale/region_process.hpp
@@ -11,7 +11,7 @@
 #include "scale/plan.hpp"
 #include "scale/remote_controller.hpp"
 #include "scale/workload.hpp"
-#include "sim/world.hpp"
+#include "sim/simulated_region.hpp"
 #include "transport/http_client.hpp"
 #include "transport/http_server.hpp"
 #include "transport/loop.hpp"
@@ -49,7 +49,8 @@
                          std::function<void(int, std::string)> done) override;
   void answered(std::size_t node, const Response& response) override;
 
-  std::unique_ptr<sim::Controller> start_controller(std::size_t node, const Settings& settings);
+  std::unique_ptr<sim::SimulatedController> start_controller(std::size_t node,
+                                                             const Settings& settings);
   WorkerSockets& worker_sockets(const std::string& machine);
   void serve_state(const ServerRequest& request);
   void serve_cloud(const ServerRequest& request);
@@ -74,7 +75,7 @@
   std::unique_ptr<HttpServer> state_, cloud_;
   std::map<std::string, WorkerSockets> workers_;
   std::map<std::size_t, int> controller_pids_;
-  std::unique_ptr<sim::World> world_;
+  std::unique_ptr<sim::SimulatedRegion> region_;
   std::unique_ptr<Workload> workload_;
   Timer clock_timer_, sample_timer_, sweep_timer_;
   bool advancing_ = false;
--- a/tools/scale/remote_controller.hpp
+++ b/tools/scale/remote_controller.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "scale/child_process.hpp"
-#include "sim/controller.hpp"
+#include "sim/simulated_controller.hpp"
 
 namespace sailreel::scale {
 
@@ -24,7 +24,7 @@
   virtual void answered(std::size_t node, const Response& response) = 0;
 };
 
-class RemoteController : public sim::Controller {
+class RemoteController : public sim::SimulatedController {
  public:
   RemoteController(RegionSockets& sockets, std::size_t node, std::string listen,
                    std::unique_ptr<ChildProcess> process)
--- a/tools/scale/report_builder.cpp
+++ b/tools/scale/report_builder.cpp
@@ -156,7 +156,7 @@
 std::vector<int> ReportBuilder::controllers_running() const {
   std::vector<int> out;
   for (const auto& [pid, process] : processes_)
-    if (process.role == ProcessRole::Controller && read_process(pid)) out.push_back(pid);
+    if (process.role == ProcessRole::SimulatedController && read_process(pid)) out.push_back(pid);
   return out;
 }
 
@@ -181,7 +181,7 @@
   // Of each region, the controller with the most processor time stands for the one that leads.
   std::map<std::string, const Process*> busiest;
   for (const auto& [pid, process] : processes_) {
-    if (process.role != ProcessRole::Controller) continue;
+    if (process.role != ProcessRole::SimulatedController) continue;
     const Process*& most = busiest[process.region];
     if (most == nullptr || process.cpu_s > most->cpu_s) most = &process;
   }
@@ -205,11 +205,12 @@
     return cores;
   };
   const auto leads = [&](const Process& p) {
-    return p.role == ProcessRole::Controller && busiest.at(p.region) == &p;
+    return p.role == ProcessRole::SimulatedController && busiest.at(p.region) == &p;
   };
   double control = sum("controller, busiest of its region", leads);
-  control += sum("controller, others",
-                 [&](const Process& p) { return p.role == ProcessRole::Controller && !leads(p); });
+  control += sum("controller, others", [&](const Process& p) {
+    return p.role == ProcessRole::SimulatedController && !leads(p);
+  });
   double stand_ins = sum("stand-ins (workers, services, users)",
                          [](const Process& p) { return p.role == ProcessRole::Region; });
   stand_ins += sum("main process", [](const Process& p) { return p.role == ProcessRole::Main; });
--- a/tools/scale/report_builder.hpp
+++ b/tools/scale/report_builder.hpp
@@ -13,7 +13,7 @@
 
 namespace sailreel::scale {
 
-enum class ProcessRole : std::uint8_t { Main, Region, Controller };
+enum class ProcessRole : std::uint8_t { Main, Region, SimulatedController };
 
 class ReportBuilder {
  public:
--- a/tools/scale/run.cpp
+++ b/tools/scale/run.cpp
@@ -99,8 +99,8 @@
     report_.progress(region, message.progress());
   }
   if (message.has_controller_started())
-    report_.process_started(static_cast<int>(message.controller_started()), ProcessRole::Controller,
-                            plan_.region(region).name());
+    report_.process_started(static_cast<int>(message.controller_started()),
+                            ProcessRole::SimulatedController, plan_.region(region).name());
   if (message.has_controller_ended())
     report_.failed("a controller of " + plan_.region(region).name() + " ended by itself");
   if (message.has_result()) {
--- a/tools/scale/workload.cpp
+++ b/tools/scale/workload.cpp
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-Workload::Workload(const Plan& plan, int region, sim::World& world, Time begin)
+Workload::Workload(const Plan& plan, int region_index, sim::SimulatedRegion& region, Time begin)
     : plan_(plan),
-      first_id_((static_cast<std::uint64_t>(region) + 1) * kIdsPerRegion),
-      world_(world) {
-  const double part = part_of(plan, region);
+      first_id_((static_cast<std::uint64_t>(region_index) + 1) * kIdsPerRegion),
+      region_(region) {
+  const double part = part_of(plan, region_index);
   const Time end = static_cast<Time>(plan.seconds() * 1000.0 * (1 - kQuietShare));
   submit_services(static_cast<std::uint32_t>(std::lround(plan.load().service_tasks() * part)),
                   begin);
@@ -60,7 +60,7 @@
   for (std::uint32_t n = 0; n < jobs; ++n) {
     const JobSpec spec = next_job(JobKind::Service, Priority::Normal, size);
     const Time when = begin + ms(plan_.load().ramp_s()) * n / std::max<std::uint32_t>(1, jobs);
-    world_.at(when, [this, spec] { world_.submit(spec); });
+    region_.at(when, [this, spec] { region_.submit(spec); });
   }
 }
 
@@ -73,7 +73,7 @@
        when += interval_ms) {
     JobSpec spec = next_job(JobKind::Array, Priority::Low, size);
     spec.estimate_s = plan_.load().array_task_s();
-    world_.at(static_cast<Time>(when), [this, spec] { world_.submit(spec); });
+    region_.at(static_cast<Time>(when), [this, spec] { region_.submit(spec); });
   }
 }
 
@@ -82,9 +82,9 @@
   for (double when = static_cast<double>(begin); when < static_cast<double>(end);
        when += 1000 / per_s) {
     const JobSpec spec = next_job(JobKind::Service, Priority::High, 1);
-    world_.at(static_cast<Time>(when), [this, spec] {
-      urgent_since_[spec.id] = world_.now();
-      world_.submit(spec, world_.now() + kUrgentRunMs);
+    region_.at(static_cast<Time>(when), [this, spec] {
+      urgent_since_[spec.id] = region_.now();
+      region_.submit(spec, region_.now() + kUrgentRunMs);
     });
   }
 }
--- a/tools/scale/workload.hpp
+++ b/tools/scale/workload.hpp
@@ -7,14 +7,14 @@
 #include <vector>
 
 #include "scale/plan.hpp"
-#include "sim/world.hpp"
+#include "sim/simulated_region.hpp"
 
 namespace sailreel::scale {
 
 class Workload {
  public:
   /// Plans all submissions from `begin` on into the region's day.
-  Workload(const Plan& plan, int region, sim::World& world, Time begin);
+  Workload(const Plan& plan, int region_index, sim::SimulatedRegion& region, Time begin);
 
   /// To be told of each task that begins to run.
   void task_started(const TaskKey& key, Time now);
@@ -32,7 +32,7 @@
 
   const Plan& plan_;
   const std::uint64_t first_id_;
-  sim::World& world_;
+  sim::SimulatedRegion& region_;
   std::uint32_t next_ = 0;
   std::map<std::string, Time> urgent_since_;
   std::vector<std::uint32_t> urgent_waits_;
