--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -54,7 +54,7 @@
   if (now >= next_types_) {
     CloudRequest call;
     call.kind = CloudRequest::Kind::Types;
-    if (call_cloud(
+    if (outbox_.call_cloud(
             call,
             [this, term](const CloudResponse& r) {
               if (term != term_) return;
@@ -63,7 +63,7 @@
               else
                 next_types_ = clock_.now + 1000;
             },
-            !tables_.types.empty()))
+            tables_.types.empty() ? CloudBudget::Full : CloudBudget::KeepReserve))
       next_types_ = now + 6 * worker_lease();
   }
   // A list that was begun is read on.
@@ -77,12 +77,12 @@
   CloudRequest call;
   call.kind = CloudRequest::Kind::List;
   call.after = listed_up_to_;
-  listing_ = call_cloud(
+  listing_ = outbox_.call_cloud(
       call,
       [this, term](const CloudResponse& r) {
         if (term == term_) handle_machine_list(r);
       },
-      true);
+      CloudBudget::KeepReserve);
   if (listing_ && listed_up_to_.empty())
     next_list_ =
         clock_.now + std::max<Time>(ms(settings_.cloud_limits.list_lag_s / 2), kLeastListGap);
@@ -103,9 +103,10 @@
   const CapacityLimit limit = tightest_limit(settings_, options_, boot_s);
   const double described = described_machines(settings_, tables_.types);
   if (described <= limit.machines) return;
-  log(Log::Level::Warning, "event=capacity_limit limit=", limit.name,
-      " machines=", static_cast<std::uint64_t>(limit.machines),
-      " described=", static_cast<std::uint64_t>(std::min(described, kMostDescribed)));
+  outbox_.log(Log::Level::Warning, LogEvent::CapacityLimit,
+              {{"limit", limit.name},
+               {"machines", static_cast<std::uint64_t>(limit.machines)},
+               {"described", static_cast<std::uint64_t>(std::min(described, kMostDescribed))}});
 }
 
 void Controller::handle_machine_list(const CloudResponse& r) {
@@ -123,7 +124,8 @@
     }
     Machine& m = tables_.add_machine(l.name, now);
     if (known == nullptr)
-      log(Log::Level::Info, "event=machine_found machine=", l.name, " zone=", l.zone);
+      outbox_.log(Log::Level::Info, LogEvent::MachineFound,
+                  {{"machine", l.name}, {"zone", l.zone}});
     if (!m.heard_in_epoch) {
       m.type = l.type;
       m.zone = l.zone;
@@ -134,7 +136,8 @@
     if (m.address.empty() && !l.address.empty()) m.address = l.address;
     m.listed_running = l.state == ListedMachine::State::Running;
     // A failed machine has stopped by itself; returning it takes it off the list.
-    if (l.state == ListedMachine::State::Failed && !m.terminating) terminate_instance(m, "failed");
+    if (l.state == ListedMachine::State::Failed && !m.terminating)
+      terminate_instance(m, TerminationCause::LaunchFailed);
   }
   if (r.more && !r.machines.empty()) {
     listed_up_to_ = r.machines.back().name;
@@ -372,8 +375,12 @@
     scale_out.since = clock_.now;
     // The rest is asked for once these have been answered.
     if (scale_out_bytes() + scale_out_size(scale_out.request) > value_limit(kScaleOutFill)) return;
-    log(Log::Level::Info, "event=rent request=", name, " type=", kind.type, " zone=", zone,
-        " spot=", kind.spot ? 1 : 0, " count=", n);
+    outbox_.log(Log::Level::Info, LogEvent::ScaleOut,
+                {{"request", name},
+                 {"type", kind.type},
+                 {"zone", zone},
+                 {"spot", kind.spot ? 1 : 0},
+                 {"count", n}});
     scale_outs_[name] = std::move(scale_out);
     scale_outs_changed_ = true;
   }
@@ -386,12 +393,12 @@
     CloudRequest call;
     call.kind = CloudRequest::Kind::ScaleOut;
     call.scale_out = scale_out.request;
-    scale_out.asking = call_cloud(
+    scale_out.asking = outbox_.call_cloud(
         call,
         [this, term, name = name](const CloudResponse& reply) {
           if (term == term_) handle_scale_out_response(name, reply);
         },
-        false);
+        CloudBudget::Full);
     if (!scale_out.asking) return;
   }
 }
@@ -405,8 +412,8 @@
   if (reply.status == 200) add_launched(request, reply.names);
   const bool partly = reply.status == 200 && reply.names.size() < request.count;
   if (reply.no_capacity || partly) {
-    log(Log::Level::Info, "event=no_capacity request=", name, " got=", reply.names.size(),
-        " of=", request.count);
+    outbox_.log(Log::Level::Info, LogEvent::NoCapacity,
+                {{"request", name}, {"got", reply.names.size()}, {"of", request.count}});
     no_capacity_until_[{{request.type, request.spot}, request.zone}] =
         clock_.now + std::max<Time>(ms(settings_.cloud_limits.list_lag_s), kLeastNoCapacity);
   }
@@ -432,22 +439,23 @@
   }
 }
 
-void Controller::cordon(Machine& m, const char* why) {
+void Controller::cordon(Machine& m, CordonCause cause) {
   if (m.cordoned) return;
   m.cordoned = true;
-  m.cordon_cause = why;
-  log(Log::Level::Info, "event=drain machine=", m.name, " cause=\"", why, "\"");
+  m.cordon_cause = cause;
+  outbox_.log(Log::Level::Info, LogEvent::MachineCordoned, {{"machine", m.name}, {"cause", cause}});
   drop_unsent(m);
-  if (m.cordon_cause == "faulty")
+  if (cause == CordonCause::Faulty)
     for (TaskAttempt& p : m.attempts)
       if (p.held && p.job != nullptr) stop_with_gang(p, grace_for(*p.job));
 }
 
-void Controller::terminate_instance(Machine& m, const char* why) {
+void Controller::terminate_instance(Machine& m, TerminationCause cause) {
   if (m.terminating) return;
   m.terminating = m.cordoned = true;
   termination_queue_.insert(m.name);
-  log(Log::Level::Info, "event=release machine=", m.name, " cause=\"", why, "\"");
+  outbox_.log(Log::Level::Info, LogEvent::MachineTerminating,
+              {{"machine", m.name}, {"cause", cause}});
 }
 
 void Controller::scale_in_idle() {
@@ -461,12 +469,13 @@
     if (!m.heard_in_epoch) {
       if (!m.recorded || !reconciling_)
         if (now - m.launched > ms(t->boot_s * kDeadBoot) && now >= expiry(m))
-          terminate_instance(m, "never came up");
+          terminate_instance(m, TerminationCause::NeverCameUp);
       continue;
     }
     if (!m.empty()) continue;
     if (m.cordoned || m.draining) {
-      terminate_instance(m, m.draining ? "retired" : m.cordon_cause.c_str());
+      terminate_instance(
+          m, m.draining ? TerminationCause::Drained : termination_cause(m.cordon_cause));
       continue;
     }
     if (reconciling_ || m.idle_since == 0 ||
@@ -476,7 +485,7 @@
       if (!spare(on_demand, m)) continue;
       on_demand.size -= m.size;
     }
-    terminate_instance(m, "idle");
+    terminate_instance(m, TerminationCause::Idle);
   }
   drain_surplus(on_demand);
 }
@@ -596,7 +605,8 @@
     plan.push_back({&p, to});
   }
   m.draining = true;
-  log(Log::Level::Info, "event=retire machine=", m.name, " moves=", plan.size());
+  outbox_.log(Log::Level::Info, LogEvent::MachineDraining,
+              {{"machine", m.name}, {"migrations", plan.size()}});
   for (const PlannedMigration& step : plan) {
     under_way[step.to] += step.attempt_record->need;
     migrate_replica(*step.attempt_record, m, *step.to);
@@ -614,7 +624,7 @@
   }
   const std::uint64_t term = term_;
   const auto names = call.names;
-  terminating_ = call_cloud(
+  terminating_ = outbox_.call_cloud(
       std::move(call),
       [this, term, names](const CloudResponse& r) {
         if (term != term_) return;
@@ -624,10 +634,11 @@
           termination_queue_.erase(name);
           terminated_[name] = clock_.now;
           // The machine and everything on it is gone: the strongest proof there is.
-          if (Machine* m = tables_.machine(name)) machine_gone(*m, "returned");
+          if (Machine* m = tables_.machine(name))
+            machine_gone(*m, IncarnationLossCause::Terminated);
         }
       },
-      false);
+      CloudBudget::Full);
 }
 
 }  // namespace sailreel
--- a/src/controller/checkpoint_commits.cpp
+++ b/src/controller/checkpoint_commits.cpp
@@ -36,12 +36,12 @@
 bool Controller::commit_needed() const {
   return (!features_written_ && peers_.all_understand_gangs()) || !dirty_jobs_.empty() ||
          !dirty_machine_shards_.empty() || scale_outs_changed_ || !pending_responses_.empty() ||
-         !finished_tasks_.empty() || limits_.wants_commit();
+         !finished_tasks_.empty() || quotas_.wants_commit();
 }
 
 // A user, a worker, or another region's work waits for what the next round brings.
 bool Controller::someone_waits() const {
-  return !pending_responses_.empty() || limits_.wants_commit();
+  return !pending_responses_.empty() || quotas_.wants_commit();
 }
 
 void Controller::commit_if_due() {
@@ -59,9 +59,10 @@
       clock_.now < last_commit_at_ + heartbeat_interval() / kCommitsPerHeartbeat)
     return;
   double needed = 1;
-  if (!someone_waits()) needed += kLeastOperations + kBackgroundReserve * write_limiter_.burst();
-  if (!write_limiter_.allows(needed, clock_.now)) return;
-  if (!kv_limiter_.allows(settings_.store.rps / 10, clock_.now)) return;
+  if (!someone_waits())
+    needed += kLeastOperations + kBackgroundReserve * outbox_.write_budget().burst();
+  if (!outbox_.write_budget().allows(needed, clock_.now)) return;
+  if (!outbox_.kv_budget_allows(settings_.store.rps / 10)) return;
   send_commit();
 }
 
@@ -71,9 +72,9 @@
 
 // How many writes beside the head leave that share of the burst.
 std::size_t Controller::operations_allowed(double reserve_share) {
-  const double available = write_limiter_.available(clock_.now);
+  const double available = outbox_.write_budget().available(clock_.now);
   return static_cast<std::size_t>(
-      std::max(0.0, available - 1 - reserve_share * write_limiter_.burst()));
+      std::max(0.0, available - 1 - reserve_share * outbox_.write_budget().burst()));
 }
 
 std::string Controller::record_text(Job& job, std::uint64_t seq) {
@@ -157,10 +158,15 @@
     else
       ++other;
   }
-  log(Log::Level::Debug, "event=round seq=", commit_.seq, " job_shards=", jobs,
-      " machine_shards=", machines, " other=", other + commit_.call.deletes.size(),
-      " head_bytes=", commit_.call.puts.empty() ? 0 : commit_.call.puts.front().value.size(),
-      " changes=", commit_.jobs.size(), " waiters=", commit_.pending_responses.size());
+  outbox_.log(
+      Log::Level::Debug, LogEvent::CheckpointCommit,
+      {{"seq", commit_.seq},
+       {"job_shards", jobs},
+       {"machine_shards", machines},
+       {"other", other + commit_.call.deletes.size()},
+       {"manifest_bytes", commit_.call.puts.empty() ? 0 : commit_.call.puts.front().value.size()},
+       {"changes", commit_.jobs.size()},
+       {"responses", commit_.pending_responses.size()}});
 }
 
 // What a head with these records, and the open rentals, takes.
@@ -193,7 +199,7 @@
   flush_recent_records(transaction, SIZE_MAX);
   commit_.call = std::move(transaction)
                      .finish({{kEpochKey, epoch_version_}, {kManifestKey, manifest_version_}});
-  log(Log::Level::Info, "event=head_divided left=", commit_.recent_records.size());
+  outbox_.log(Log::Level::Info, LogEvent::ManifestFlush, {{"left", commit_.recent_records.size()}});
   commit_in_flight_ = true;
   resolve_uncertain_commit();
 }
@@ -419,14 +425,14 @@
     return;
   }
   const std::uint64_t term = term_;
-  write_limiter_.spend(static_cast<double>(commit_.call.puts.size() + commit_.call.deletes.size()),
-                       clock_.now);
-  call_kv_store(
+  outbox_.write_budget().spend(
+      static_cast<double>(commit_.call.puts.size() + commit_.call.deletes.size()), clock_.now);
+  outbox_.call_kv_store(
       commit_.call,
       [this, term](const KvResponse& reply) {
         if (term == term_ && role_ == Role::Leader) handle_commit_response(reply);
       },
-      true);
+      KvUrgency::Urgent);
 }
 
 // Too large, although it is within the limits as we know them. Whether an earlier copy of it was
@@ -439,13 +445,15 @@
     largest = put.value.size();
     key = put.key;
   }
-  log(Log::Level::Error, "event=round_refused seq=", commit_.seq,
-      " operations=", commit_.call.puts.size() + commit_.call.deletes.size(), " largest_key=", key,
-      " largest_bytes=", largest);
+  outbox_.log(Log::Level::Error, LogEvent::CommitRejected,
+              {{"seq", commit_.seq},
+               {"operations", commit_.call.puts.size() + commit_.call.deletes.size()},
+               {"largest_key", key},
+               {"largest_bytes", largest}});
   rejected_commits_ = std::min(kMostRefusals, rejected_commits_ + 1);
   revoke(lease_);
   lease_expiry_ = std::min(lease_expiry_, clock_.now);
-  step_down("the state service refuses a round");
+  step_down(StepDownCause::CommitRejected);
 }
 
 void Controller::handle_commit_response(const KvResponse& reply) {
@@ -457,21 +465,22 @@
     // repeat finds it.
     for (auto* pending_responses : {&commit_.pending_responses, &pending_responses_}) {
       for (const PendingResponse& w : *pending_responses)
-        reject(w.source, "the state service does not answer");
+        outbox_.reject(w.source, RejectReason::KvStoreNotResponding);
       pending_responses->clear();
     }
     if (commit_.retries++ == 0)
-      log(Log::Level::Info, "event=round_retry seq=", commit_.seq, " status=", reply.status);
+      outbox_.log(Log::Level::Info, LogEvent::CommitRetry,
+                  {{"seq", commit_.seq}, {"status", reply.status}});
     return;
   }
-  if (commit_.flush) return step_down("the checkpoint is another's");
+  if (commit_.flush) return step_down(StepDownCause::CheckpointOverwritten);
   // Either an earlier copy of it was carried out, or another leads.
   const std::uint64_t term = term_;
   KvRequest get;
   get.kind = KvRequest::Kind::List;
   get.key = kManifestKey;
   get.limit = 1;
-  call_kv_store(
+  outbox_.call_kv_store(
       get,
       [this, term](const KvResponse& r) {
         if (term != term_ || role_ != Role::Leader) return;
@@ -484,9 +493,9 @@
         if (image.manifest.seq == commit_.seq && image.manifest.epoch == epoch_)
           commit_succeeded(image.manifest_version);
         else
-          step_down("the checkpoint is another's");
+          step_down(StepDownCause::CheckpointOverwritten);
       },
-      true);
+      KvUrgency::Urgent);
 }
 
 void Controller::commit_succeeded(std::uint64_t revision) {
@@ -501,9 +510,9 @@
   manifest_version_ = revision;
   if (r.features) {
     features_written_ = gangs_enabled_ = true;
-    log(Log::Level::Info, "event=gangs_enabled");
+    outbox_.log(Log::Level::Info, LogEvent::GangsEnabled);
   }
-  if (r.shares) perform_share_actions(limits_.committed(clock_.now));
+  if (r.shares) perform_share_actions(quotas_.committed(clock_.now));
   for (const std::string& name : r.machines_added)
     if (Machine* m = tables_.machine(name)) {
       if (!m->recorded) scheduling_needed_ = true;
@@ -537,7 +546,7 @@
     else if (const auto f = tables_.finished.find(w.id); f != tables_.finished.end())
       respond_with_job(w.source, w.status, view(w.id, f->second));
     else
-      reject(w.source, "job not found after its commit");
+      outbox_.reject(w.source, RejectReason::JobMissingAfterCommit);
   }
   for (Job* job : over) finish_job(*job);
 }
@@ -554,8 +563,8 @@
 // To be answered once what is known of the job is in the checkpoint: with the round in flight, if
 // that has it.
 void Controller::respond_after_commit(const Job& job, const RequestSource& source, int status) {
-  if (commit_.retries > 0) return reject(source, "the state service does not answer");
-  if (too_many_waiting()) return reject(source, "too many requests at once");
+  if (commit_.retries > 0) return outbox_.reject(source, RejectReason::KvStoreNotResponding);
+  if (too_many_waiting()) return outbox_.reject(source, RejectReason::TooManyRequests);
   // The round in flight may have been sent before the last change: a cancellation was once answered
   // "running" with the round that recorded that it had been asked for.
   const bool with_this = job.in_flight_phase && !job.dirty;
@@ -589,8 +598,8 @@
 // The job's last record is written: only its final state is kept.
 void Controller::finish_job(Job& job) {
   const std::string id = job.spec().id;
-  log(Log::Level::Info, "event=", job.record.phase == Phase::Done ? "job_done" : "job_cancelled",
-      " job=", id);
+  const bool done = job.record.phase == Phase::Done;
+  outbox_.log(Log::Level::Info, done ? LogEvent::JobDone : LogEvent::JobCancelled, {{"job", id}});
   for (const std::string& name : job.machines_used) {
     ++examined_;
     Machine* m = tables_.machine(name);
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -20,8 +20,8 @@
 #include "controller/event_loop_lag.hpp"
 #include "controller/gang.hpp"
 #include "controller/machine_ranking.hpp"
+#include "controller/outbox.hpp"
 #include "controller/peer_table.hpp"
-#include "controller/rate_limiter.hpp"
 #include "controller/regional_quotas.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/peer_frames.hpp"
@@ -38,6 +38,9 @@
  public:
   Controller(Settings settings, Options options, std::uint64_t seed);
 
+  Controller(const Controller&) = delete;
+  Controller& operator=(const Controller&) = delete;
+
   std::vector<Action> step(Clock clock, Input input);
 
   /// Whether users should be sent to this node.
@@ -48,7 +51,7 @@
     return role_ == Role::Leader && now < lease_expiry_;
   }
   [[nodiscard]] const Tables& tables() const { return tables_; }
-  [[nodiscard]] const RegionalQuotas& limits() const { return limits_; }
+  [[nodiscard]] const RegionalQuotas& quotas() const { return quotas_; }
   [[nodiscard]] bool reconciling() const { return reconciling_; }
   /// How many jobs and machines were looked at, apart from the regular looks at the whole fleet (a
   /// fixed number for each report's interval). A measure of work that, unlike time, is the same on
@@ -56,23 +59,18 @@
   [[nodiscard]] std::uint64_t examined() const { return examined_; }
 
  private:
-  enum class Role : std::uint8_t { Follower, Candidate, Loading, Leader };
-
-  // core.cpp
+  // controller.cpp
+  void handle(const Tick&) { tick(); }
+  void handle(const UserRequest& input) { user_request(input); }
+  void handle(const HeartbeatReceived& input) { handle_heartbeat(input); }
+  void handle(const KvResponseReceived& input) { outbox_.handle(input); }
+  void handle(const CloudResponseReceived& input) { outbox_.handle(input); }
+  void handle(const WorkerResponseReceived& input) { outbox_.handle(input); }
+  void handle(const PeerMessageReceived& input);
+  void handle(const PeerDisconnected& input);
+  void handle(const RegionMessageReceived& input) { region_input(input); }
   void tick();
   void watch_event_loop_lag();
-  void respond(const RequestSource& source, int status, std::string body, int retry_after_s = 0,
-               Time valid_until = kNever);
-  void reject(const RequestSource& source, const char* why);
-  template <typename... Parts>
-  void log(Log::Level level, const Parts&... parts);
-  using KvContinuation = std::function<void(const KvResponse&)>;
-  bool call_kv_store(KvRequest request, KvContinuation then, bool urgent = false);
-  using CloudContinuation = std::function<void(const CloudResponse&)>;
-  bool call_cloud(CloudRequest request, CloudContinuation then, bool keep_reserve);
-  using WorkerContinuation = std::function<void(int, const std::optional<Heartbeat>&)>;
-  void call_worker(const std::string& address, std::string body, WorkerContinuation then);
-  [[nodiscard]] bool calls_full() const;
   [[nodiscard]] Time command_until() const { return lease_expiry_; }
   [[nodiscard]] Time heartbeat_interval() const {
     return ms(settings_.workers.heartbeat_interval_s);
@@ -85,14 +83,15 @@
   void learn_leader(const KvItem* item);
   void campaign();
   void claim(std::uint64_t lease, Time granted);
+  void set_epoch(std::uint64_t epoch);
   [[nodiscard]] Time shortest_lease() const {
     return ms(settings_.workers.lease_s * options_.leader_lease_ratio);
   }
   void load(const std::string& from, std::uint64_t revision);
   void renew();
-  void step_down(const char* why);
+  void step_down(StepDownCause cause);
   void revoke(std::uint64_t lease);
-  void resign(const char* why);
+  void resign(StepDownCause cause);
   void peer_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat);
   void send_heartbeats();
 
@@ -107,7 +106,7 @@
   void reject_cancel_waits(const std::string& id);
   std::optional<std::size_t> relaying_peer();
   void forward(const RequestSource& source, UserOp op, const std::string& id, std::string body,
-               std::size_t peer, std::uint64_t fencing_token = 0);
+               std::size_t peer, std::uint64_t fencing_token = 0, bool relay = false);
   void handle_peer_response(std::size_t peer, const PeerResponse& response);
   void intake_tick();
   void look_up(const RequestSource& source, const std::string& id);
@@ -193,7 +192,6 @@
   void handle_heartbeat(const HeartbeatReceived& input);
   void handle_heartbeat_without_lease(const HeartbeatReceived& input);
   void handle_heartbeat_with_old_fencing_token(const HeartbeatReceived& input);
-  void handle_worker_response(const WorkerResponseReceived& input);
   /// What became of a report.
   enum class HeartbeatOutcome : std::uint8_t {
     Taken,
@@ -216,8 +214,8 @@
   void handle_missing_task(Machine& m, std::size_t index, std::uint64_t heartbeat_seq, bool direct);
   void drop(Machine& m, std::size_t index);
   void drop_unsent(Machine& m);
-  void quarantine(Machine& m, const char* why);
-  void incarnation_lost(Machine& m, const char* why);
+  void quarantine(Machine& m, QuarantineCause cause);
+  void incarnation_lost(Machine& m, IncarnationLossCause cause);
   void take_task(Machine& m, const TaskStatus& t, std::vector<bool>& seen);
   TaskAttempt& adopt_attempt(Machine& m, const TaskStatus& t);
   TaskAttempt& add_orphan(Machine& m, const TaskStatus& t, Job* job);
@@ -227,7 +225,7 @@
   void check_for_fault(Machine& m);
   std::vector<Command> commands_for(Machine& m, std::uint64_t heartbeat_seq);
   static std::string zones_known(const Job& job);
-  void machine_gone(Machine& m, const char* why);
+  void machine_gone(Machine& m, IncarnationLossCause cause);
   void note_finished(Job& job, std::uint32_t index, const Machine& m);
 
   // image_fetches.cpp
@@ -358,7 +356,8 @@
   [[nodiscard]] Queues note_guarantees();
   void queue_order(std::vector<Job*>& jobs) const;
   [[nodiscard]] bool never_all_at_once(const JobSpec& spec) const;
-  bool never_fits(const JobSpec& spec, std::string& why) const;
+  /// Why no task of the job, or not all of a gang, could ever run; empty if they could.
+  [[nodiscard]] std::optional<Infeasibility> infeasibility(const JobSpec& spec) const;
 
   // gang_scheduling.cpp
   /// A gang whose tasks have changed; it is looked at again with the next tick.
@@ -481,25 +480,19 @@
                                    const Reservations& promised,
                                    const std::vector<PlannedMigration>& plan);
   void send_terminations();
-  void terminate_instance(Machine& m, const char* why);
-  void cordon(Machine& m, const char* why);
+  void terminate_instance(Machine& m, TerminationCause cause);
+  void cordon(Machine& m, CordonCause cause);
 
   const Settings settings_;
   const Options options_;
   pcg32 random_;
   Clock clock_;
-  std::vector<Action> out_;
+  Outbox outbox_;
   Tables tables_;
-  RegionalQuotas limits_;
+  RegionalQuotas quotas_;
   Time next_share_look_ = 0;
   EventLoopLag event_loop_lag_;  // of our ticks
 
-  // calls in flight
-  std::uint64_t next_call_ = 1;
-  std::unordered_map<std::uint64_t, KvContinuation> kv_calls_;
-  std::unordered_map<std::uint64_t, CloudContinuation> cloud_calls_;
-  std::unordered_map<std::uint64_t, WorkerContinuation> worker_calls_;
-  RateLimiter kv_limiter_, write_limiter_, cloud_limiter_;
   /// Raised when we begin or end to lead; continuations of an older one end.
   std::uint64_t term_ = 0;
 
@@ -676,18 +669,4 @@
   std::vector<FailedPreemption> no_preemption_for_;
 };
 
-template <typename... Parts>
-void Controller::log(Log::Level level, const Parts&... parts) {
-  std::string text = "epoch=" + std::to_string(epoch_);
-  const auto add = [&](const auto& part) {
-    if constexpr (std::is_arithmetic_v<std::decay_t<decltype(part)>>)
-      text += std::to_string(part);
-    else
-      text += part;
-  };
-  text += ' ';
-  (add(parts), ...);
-  out_.push_back(Log{level, std::move(text)});
-}
-
 }  // namespace sailreel
--- a/src/controller/election.cpp
+++ b/src/controller/election.cpp
@@ -18,7 +18,7 @@
   if (role_ == Role::Leader || role_ == Role::Loading) {
     if (holds_valid_lease(now)) last_path_ = now;
     if (role_ == Role::Leader && next_attempt_ > options_.attempts_per_epoch)
-      return resign("attempt numbers are used up");
+      return resign(StepDownCause::AttemptNumbersUsedUp);
     if (now >= next_renew_) renew();
     return;
   }
@@ -38,7 +38,7 @@
   get.key = kLeaderKey;
   get.limit = 1;
   const std::uint64_t term = term_;
-  call_kv_store(
+  outbox_.call_kv_store(
       get,
       [this, term](const KvResponse& r) {
         if (term != term_) return;
@@ -54,7 +54,7 @@
         watch.revision = r.revision;
         watch.wait_ms = kWatchMs;
         watching_ = true;
-        call_kv_store(
+        outbox_.call_kv_store(
             watch,
             [this, term](const KvResponse& w) {
               if (term != term_) return;
@@ -65,9 +65,9 @@
                 if (campaign_at_ == clock_.now) campaign();
               }
             },
-            true);
+            KvUrgency::Urgent);
       },
-      true);
+      KvUrgency::Urgent);
 }
 
 void Controller::learn_leader(const KvItem* item) {
@@ -86,7 +86,7 @@
   campaign_at_ = kNever;
   if (const auto l = decode_leader(item->value)) {
     leader_name_ = l->node;
-    epoch_ = std::max(epoch_, l->epoch);
+    set_epoch(std::max(epoch_, l->epoch));
     election_history_.note(epoch_, clock_.now);
   }
 }
@@ -108,30 +108,30 @@
   lease_length_ = election_history_.lease_length(shortest_lease(),
                                                  worker_lease() / kLongestLeaseShare, granted);
   grant.ttl_ms = lease_length_;
-  call_kv_store(
+  outbox_.call_kv_store(
       grant,
       [this, term, granted](const KvResponse& r) {
         if (term != term_) return;
-        if (r.status != 200) return step_down("no lease granted");
+        if (r.status != 200) return step_down(StepDownCause::NoLeaseGranted);
         const std::uint64_t lease = r.lease;
         KvRequest get;
         get.kind = KvRequest::Kind::List;
         get.key = kEpochKey;
         get.limit = 1;
-        call_kv_store(
+        outbox_.call_kv_store(
             get,
             [this, term, lease, granted](const KvResponse& e) {
               if (term != term_) return;
-              if (e.status != 200) return step_down("epoch not readable");
+              if (e.status != 200) return step_down(StepDownCause::EpochUnreadable);
               Snapshot image;
               for (const KvItem& item : e.items) image.apply(item);
-              epoch_ = std::max(epoch_, image.epoch);
+              set_epoch(std::max(epoch_, image.epoch));
               epoch_version_ = image.epoch_version;
               claim(lease, granted);
             },
-            true);
+            KvUrgency::Urgent);
       },
-      true);
+      KvUrgency::Urgent);
 }
 
 // One transaction takes the lease's key and raises the epoch.
@@ -143,8 +143,8 @@
   txn.kind = KvRequest::Kind::Txn;
   txn.conditions = {{kLeaderKey, 0}, {kEpochKey, epoch_version_}};
   txn.puts = {{kLeaderKey, value, lease}, {kEpochKey, value, 0}};
-  write_limiter_.spend(kClaimWrites, clock_.now);
-  call_kv_store(
+  outbox_.write_budget().spend(kClaimWrites, clock_.now);
+  outbox_.call_kv_store(
       txn,
       [this, term, lease, granted, epoch](const KvResponse& r) {
         if (term != term_) return;
@@ -152,25 +152,26 @@
           // Without an answer it may still be carried out, even late. Giving the lease back first
           // makes it fail whenever it arrives.
           revoke(lease);
-          return step_down(r.status == 409 ? "another was first" : "claim not answered");
+          return step_down(r.status == 409 ? StepDownCause::LostElection
+                                           : StepDownCause::ClaimNotAnswered);
         }
-        epoch_ = epoch;
+        set_epoch(epoch);
         epoch_version_ = r.revision;
         // The others' claims fail, but count against the limit all the same.
-        write_limiter_.spend(kClaimWrites * static_cast<double>(peers_.size()), clock_.now);
+        outbox_.write_budget().spend(kClaimWrites * static_cast<double>(peers_.size()), clock_.now);
         lease_ = lease;
         lease_expiry_ = granted + lease_length_ - lease_length_ / 500 - 20;
         next_renew_ = granted + lease_length_ / kRenewalsPerLease;
         role_ = Role::Loading;
         elected_at_ = clock_.now;
         leader_name_ = settings_.name;
-        log(Log::Level::Info, "event=elected lease_ms=", lease_length_);
+        outbox_.log(Log::Level::Info, LogEvent::Elected, {{"lease_ms", lease_length_}});
         snapshot_ = Snapshot{};
         snapshot_loaded_ = false;
         loading_ = Snapshot{};
         load("", 0);
       },
-      true);
+      KvUrgency::Urgent);
 }
 
 // Reads the whole checkpoint. Nobody else can change it any more: the epoch is ours.
@@ -180,19 +181,19 @@
   list.kind = KvRequest::Kind::List;
   list.key = kPrefix;
   list.from = from;
-  call_kv_store(
+  outbox_.call_kv_store(
       list,
       [this, term, from, revision](const KvResponse& r) {
         if (term != term_) return;
         if (r.status != 200) {
-          if (clock_.now >= lease_expiry_) return step_down("checkpoint not readable in time");
+          if (clock_.now >= lease_expiry_) return step_down(StepDownCause::CheckpointTimeout);
           return load(from, revision);
         }
         for (const KvItem& item : r.items) loading_.apply(item);
         if (r.more && !r.items.empty()) return load(r.items.back().key, r.revision);
         begin_reconciliation();
       },
-      true);
+      KvUrgency::Urgent);
 }
 
 // A renewal doesn't wait for the answer to the one before: that may be lost, and is given up only
@@ -205,11 +206,11 @@
   KvRequest call;
   call.kind = KvRequest::Kind::Renew;
   call.lease = lease_;
-  call_kv_store(
+  outbox_.call_kv_store(
       call,
       [this, term, sent, ttl](const KvResponse& r) {
         if (term != term_) return;
-        if (r.status == 404) return step_down("lease ended");
+        if (r.status == 404) return step_down(StepDownCause::LeaseEnded);
         if (r.status != 200) {
           next_renew_ = std::max(next_renew_, clock_.now + ttl / (kRenewalsPerLease * 4));
           return;
@@ -219,16 +220,15 @@
         lease_expiry_ = std::max(lease_expiry_, sent + ttl - ttl / 500 - 20);
         if (lapsed && holds_valid_lease(clock_.now)) {
           // Renewed after all: the service hadn't ended it, so nobody else can have had it.
-          log(Log::Level::Info, "event=lease_regained");
+          outbox_.log(Log::Level::Info, LogEvent::LeaseRegained);
           scheduling_needed_ = true;
         }
       },
-      true);
+      KvUrgency::Urgent);
 }
 
-void Controller::step_down(const char* why) {
-  log(Log::Level::Info, "event=stepped_down role=", static_cast<int>(role_), " cause=\"", why,
-      "\"");
+void Controller::step_down(StepDownCause cause) {
+  outbox_.log(Log::Level::Info, LogEvent::SteppedDown, {{"role", role_}, {"cause", cause}});
   ++term_;
   const bool led = role_ == Role::Leader;
   role_ = Role::Follower;
@@ -243,10 +243,12 @@
   if (!led) return;
   // Workers that know of no other leader are kept alive for as long as if we still led.
   keep_alive_permit_.allow(epoch_, lease_expiry_ + keep_alive_span());
-  for (const PendingResponse& w : commit_.pending_responses) reject(w.source, "leadership lost");
-  for (const PendingResponse& w : pending_responses_) reject(w.source, "leadership lost");
+  for (const PendingResponse& w : commit_.pending_responses)
+    outbox_.reject(w.source, RejectReason::LeadershipLost);
+  for (const PendingResponse& w : pending_responses_)
+    outbox_.reject(w.source, RejectReason::LeadershipLost);
   for (const auto& [id, waits] : cancel_waits_)
-    for (const CancelWait& w : waits) reject(w.source, "leadership lost");
+    for (const CancelWait& w : waits) outbox_.reject(w.source, RejectReason::LeadershipLost);
   cancel_waits_.clear();
   pending_responses_.clear();
   commit_ = CheckpointCommit{};
@@ -271,32 +273,36 @@
   stops_due_.clear();
   zone_reached_.clear();
   zone_unreachable_at_.clear();
-  worker_calls_.clear();
-  cloud_calls_.clear();
+  outbox_.forget_leader_calls();
   terminating_ = listing_ = false;
   listed_up_to_.clear();
   reconciling_ = false;
-  limits_.stop();
+  quotas_.stop();
   tables_.clear();
   send_heartbeats();
 }
 
+void Controller::set_epoch(std::uint64_t epoch) {
+  epoch_ = epoch;
+  outbox_.set_log_epoch(epoch);
+}
+
 void Controller::revoke(std::uint64_t lease) {
   KvRequest call;
   call.kind = KvRequest::Kind::Revoke;
   call.lease = lease;
-  call_kv_store(
-      call, [](const KvResponse&) {}, true);
+  outbox_.call_kv_store(
+      call, [](const KvResponse&) {}, KvUrgency::Urgent);
 }
 
 // Gives the lease back, so that another can take it at once, and leaves it to the others for a
 // while.
-void Controller::resign(const char* why) {
+void Controller::resign(StepDownCause cause) {
   revoke(lease_);
   election_backoff_until_ = clock_.now + worker_lease();
   // Another may lead from now on, and reckons from then with whom we keep alive.
   lease_expiry_ = std::min(lease_expiry_, clock_.now);
-  step_down(why);
+  step_down(cause);
 }
 
 void Controller::peer_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat) {
@@ -305,9 +311,9 @@
     keep_alive_permit_.allow(heartbeat.epoch,
                              heartbeat.acknowledged_clock + Time{heartbeat.keep_ms});
   if (role_ == Role::Leader && heartbeat.leading && heartbeat.epoch > epoch_)
-    step_down("a sibling leads under a higher epoch");
+    step_down(StepDownCause::HigherEpochAtPeer);
   else if (role_ == Role::Follower)
-    epoch_ = std::max(epoch_, heartbeat.epoch);
+    set_epoch(std::max(epoch_, heartbeat.epoch));
   election_history_.note(epoch_, clock_.now);
 }
 
@@ -324,7 +330,7 @@
   b.holding = role_ == Role::Leader && now < lease_expiry_ + keep_alive_span();
   b.hears_workers = now - last_worker_heartbeat_ < silent_after();
   b.understands_gangs = true;
-  b.shares_limits = limits_.shared();
+  b.shares_limits = quotas_.shared();
   b.incarnation = incarnation_;
   b.clock = now;
   if (kept_alive_at_ >= 0)
@@ -334,7 +340,7 @@
     b.acknowledged_incarnation = v.incarnation;
     b.acknowledged_clock = v.clock;
     b.keep_ms = b.leading && v.incarnation != 0 ? static_cast<std::uint32_t>(keep_alive_span()) : 0;
-    out_.push_back(SendPeer{i, m});
+    outbox_.send_to_peer(i, m);
   }
 }
 
--- a/src/controller/failure_detection.cpp
+++ b/src/controller/failure_detection.cpp
@@ -16,7 +16,7 @@
 
 void Controller::machine_tick() {
   const FleetContact contact = fleet_contact();
-  if (workers_lost(contact)) return resign("no worker is heard");
+  if (workers_lost(contact)) return resign(StepDownCause::NoWorkerHeard);
   const bool few = few_silent(contact.silent, contact.up);
   for (auto& [name, m] : tables_.machines) watch_machine(*m, few);
   // Before the silent ones are asked, as it asks one of each zone that does answer: with few
@@ -60,7 +60,7 @@
   const Time now = clock_.now;
   if (!m.heard_in_epoch) {
     if (m.recorded && m.listed_running && now >= expiry(m))
-      terminate_instance(m, "not heard since take-over");
+      terminate_instance(m, TerminationCause::UnheardSinceFailover);
     return;
   }
   if (!m.error_jobs.empty()) check_for_fault(m);
@@ -68,17 +68,20 @@
     m.silent = true;
     m.silent_since = now;
     drop_unsent(m);
-    log(Log::Level::Info, "event=machine_silent machine=", m.name, " zone=", m.zone,
-        " session=", m.incarnation, " heard_ms=", now - m.last_heartbeat,
-        " lease_ms=", expiry(m) - now);
+    outbox_.log(Log::Level::Info, LogEvent::MachineSilent,
+                {{"machine", m.name},
+                 {"zone", m.zone},
+                 {"incarnation", m.incarnation},
+                 {"heard_ms", now - m.last_heartbeat},
+                 {"lease_ms", expiry(m) - now}});
   }
   if (!m.silent || now < expiry(m)) return;
   m.incarnation_fence.close(m.incarnation, now);
-  incarnation_lost(m, "lease expired");
+  incarnation_lost(m, IncarnationLossCause::LeaseExpired);
   // When many are silent, the network is rather at fault: they may come back, warm, and are waited
   // for a little.
   if (few_are_silent || now >= expiry(m) + 2 * worker_lease())
-    terminate_instance(m, "lease expired");
+    terminate_instance(m, TerminationCause::LeaseExpired);
 }
 
 // A machine that answers neither way is most likely dead, if others of its zone do answer directly.
@@ -115,17 +118,18 @@
   const bool few = few_silent(all_silent, all_up);
   for (auto& [name, m] : tables_.machines) {
     if (m->terminating || m->zone.empty() || !silent(*m) || m->probe_failures < 2) continue;
-    const char* why = m->heard_in_epoch ? "silent" : "silent since take-over";
+    const TerminationCause cause =
+        m->heard_in_epoch ? TerminationCause::Silent : TerminationCause::SilentSinceFailover;
     Zone& zone = zones[m->zone];
     const Time reached = zone_reached_[m->zone];
     if (zone.witness == nullptr) {
       // All of a zone at once is rather the zone; the only one of its zone is judged by the rest.
-      if (few && zone.up == 1) terminate_instance(*m, why);
+      if (few && zone.up == 1) terminate_instance(*m, cause);
     } else if (reached > (m->heard_in_epoch ? m->silent_since : elected_at_)) {
       // An inquiry that left before the zone was reached says nothing: it may have met the end of a
       // cut that others were out of a moment sooner.
       const bool few_of_zone = zone.silent == 1 || zone.silent * kDeadShare <= zone.up;
-      if (reached <= m->probe_failed && few_of_zone) terminate_instance(*m, why);
+      if (reached <= m->probe_failed && few_of_zone) terminate_instance(*m, cause);
     } else {
       inquire_if_due(*zone.witness);
     }
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -12,19 +12,19 @@
   if (in.source.kind == RequestSource::Kind::Local) last_worker_heartbeat_ = now;
   if (role_ != Role::Leader) return forward_heartbeat(in);
   if (r.fencing_token > epoch_) {
-    step_down("a worker has seen a higher token");
-    return respond(in.source, 421, encode_redirect({}));
+    step_down(StepDownCause::HigherEpochAtWorker);
+    return outbox_.respond(in.source, 421, encode_redirect({}));
   }
   if (!holds_valid_lease(now)) return handle_heartbeat_without_lease(in);
   if (redirect_to_own_zone(in)) return;
   if (terminated_.contains(r.machine))
-    return respond(in.source, 503, encode_error("machine was returned"));
+    return outbox_.respond(in.source, 503, encode_error("machine was returned"));
   if (r.fencing_token < epoch_) return handle_heartbeat_with_old_fencing_token(in);
   const HeartbeatOutcome outcome = apply_heartbeat(r, {});
   Machine* m = tables_.machine(r.machine);
   if (outcome == HeartbeatOutcome::IncarnationExpired) return reject_heartbeat(in, *m);
   if (outcome != HeartbeatOutcome::Taken)
-    return respond(in.source, 503, encode_error("late report"));
+    return outbox_.respond(in.source, 503, encode_error("late report"));
   m->last_own_heartbeat = now;
   heartbeat_sender_ = m;
   review_gangs();
@@ -32,19 +32,19 @@
   heartbeat_sender_ = nullptr;
   m->answered = now;
   const auto commands = commands_for(*m, r.seq);
-  respond(in.source, 200, encode_heartbeat_response(epoch_, commands), 0, command_until());
+  outbox_.respond(in.source, 200, encode_heartbeat_response(epoch_, commands), 0, command_until());
 }
 
 // The worker's tasks live on for a bounded time while we can't tell whether we still lead.
 void Controller::handle_heartbeat_without_lease(const HeartbeatReceived& in) {
   const Time now = clock_.now, until = lease_expiry_ + keep_alive_span();
-  if (now >= until) return respond(in.source, 503, encode_error("lease lapsed"));
+  if (now >= until) return outbox_.respond(in.source, 503, encode_error("lease lapsed"));
   if (Machine* m = tables_.machine(in.heartbeat.machine)) {
     if (!m->incarnation_fence.admits(in.heartbeat.incarnation)) return reject_heartbeat(in, *m);
     m->answered = now;
     if (!is_late(*m, in.heartbeat)) m->last_heartbeat = now;
   }
-  respond(in.source, 200, encode_heartbeat_response(epoch_, {}), 0, until);
+  outbox_.respond(in.source, 200, encode_heartbeat_response(epoch_, {}), 0, until);
 }
 
 // Perhaps a copy from an earlier time. It learns our token; only what it reports under that counts.
@@ -60,15 +60,11 @@
       m->lease_passed = true;
       m->fencing_token_refused_since = now;
     } else if (now - m->fencing_token_refused_since > worker_lease() / 2) {
-      return respond(in.source, 503, encode_error("token not taken"));
+      return outbox_.respond(in.source, 503, encode_error("token not taken"));
     }
   }
   if (m != nullptr) m->answered = now;
-  respond(in.source, 200, encode_heartbeat_response(epoch_, {}), 0, command_until());
-}
-
-void Controller::handle_worker_response(const WorkerResponseReceived& in) {
-  if (auto node = worker_calls_.extract(in.call)) node.mapped()(in.status, in.heartbeat);
+  outbox_.respond(in.source, 200, encode_heartbeat_response(epoch_, {}), 0, command_until());
 }
 
 // A report of a session that is proved to be over. Held back by the network, such reports were
@@ -77,10 +73,14 @@
 // now says so.
 void Controller::reject_heartbeat(const HeartbeatReceived& in, Machine& m) {
   const Heartbeat& r = in.heartbeat;
-  log(Log::Level::Info, "event=report_refused machine=", m.name, " zone=", r.zone,
-      " session=", r.incarnation, " seq=", r.seq, " tasks=", r.tasks.size(),
-      " over_ms=", clock_.now - m.incarnation_fence.closed_at());
-  respond(in.source, 503, encode_error("session is over"));
+  outbox_.log(Log::Level::Info, LogEvent::HeartbeatRejected,
+              {{"machine", m.name},
+               {"zone", r.zone},
+               {"incarnation", r.incarnation},
+               {"seq", r.seq},
+               {"tasks", r.tasks.size()},
+               {"over_ms", clock_.now - m.incarnation_fence.closed_at()}});
+  outbox_.respond(in.source, 503, encode_error("session is over"));
   if (!holds_valid_lease(clock_.now)) return;
   if (m.address.empty()) m.address = r.address;
   m.probe_incarnation = std::max(m.probe_incarnation, r.incarnation);
@@ -100,14 +100,19 @@
 Controller::HeartbeatOutcome Controller::apply_heartbeat(const Heartbeat& r,
                                                          std::optional<Time> asked) {
   if (unknown_with_tasks(r)) {
-    log(Log::Level::Info, "event=report_of_unknown machine=", r.machine, " session=", r.incarnation,
-        " tasks=", r.tasks.size());
+    outbox_.log(
+        Log::Level::Info, LogEvent::HeartbeatOfUnknownMachine,
+        {{"machine", r.machine}, {"incarnation", r.incarnation}, {"tasks", r.tasks.size()}});
     return HeartbeatOutcome::UnknownMachine;
   }
   Machine& m = tables_.add_machine(r.machine, clock_.now);
   if (is_late(m, r)) {
-    log(Log::Level::Debug, "event=report_late machine=", m.name, " session=", r.incarnation,
-        " seq=", r.seq, " known_session=", m.incarnation, " known_seq=", m.seq);
+    outbox_.log(Log::Level::Debug, LogEvent::HeartbeatStale,
+                {{"machine", m.name},
+                 {"incarnation", r.incarnation},
+                 {"seq", r.seq},
+                 {"known_incarnation", m.incarnation},
+                 {"known_seq", m.seq}});
     return HeartbeatOutcome::Late;
   }
   if (asked) m.incarnation_fence.answered(r.incarnation, *asked);
@@ -137,9 +142,13 @@
   m.type = r.type;
   m.spot = r.spot;
   m.idle_since = clock_.now;
-  log(Log::Level::Info, "event=machine_up machine=", m.name, " zone=", m.zone,
-      " spot=", m.spot ? 1 : 0, " session=", r.incarnation, " tasks=", r.tasks.size(),
-      " after_ms=", clock_.now - m.launched);
+  outbox_.log(Log::Level::Info, LogEvent::MachineUp,
+              {{"machine", m.name},
+               {"zone", m.zone},
+               {"spot", m.spot ? 1 : 0},
+               {"incarnation", r.incarnation},
+               {"tasks", r.tasks.size()},
+               {"after_ms", clock_.now - m.launched}});
   scheduling_needed_ = true;
 }
 
@@ -149,8 +158,8 @@
 void Controller::begin_incarnation(Machine& m) {
   const Time now = clock_.now;
   if (now - m.answered < worker_lease() / 2 && now - m.steady_since > worker_lease())
-    quarantine(m, "deaf");
-  incarnation_lost(m, "new session");
+    quarantine(m, QuarantineCause::ReceivesNothing);
+  incarnation_lost(m, IncarnationLossCause::NewIncarnation);
 }
 
 void Controller::note_address(Machine& m, const std::string& address) {
@@ -189,7 +198,7 @@
 // The cloud is about to take the machine back: what can save, saves now.
 void Controller::take_notice(Machine& m, double notice_s) {
   m.notice_until = clock_.now + ms(notice_s);
-  cordon(m, "notice");
+  cordon(m, CordonCause::SpotNotice);
   for (TaskAttempt& p : m.attempts)
     if (p.held && p.job != nullptr && p.job->spec().checkpoint_s > 0)
       stop_with_gang(p, grace_for(*p.job));
--- a/src/controller/image_fetches.cpp
+++ b/src/controller/image_fetches.cpp
@@ -40,8 +40,11 @@
   const double as_alone = std::abs(std::log(took / ended.alone_s));
   const double as_shared = std::abs(std::log(took / (ended.alone_s + ended.beside_s)));
   fetch_votes_ = std::clamp(fetch_votes_ + (as_shared < as_alone ? 1 : -1), -5, 5);
-  log(Log::Level::Debug, "event=fetch_compared machine=", m.name, " image=", image,
-      " took_ms=", clock_.now - ended.since, " votes=", fetch_votes_);
+  outbox_.log(Log::Level::Debug, LogEvent::ImageFetchCompared,
+              {{"machine", m.name},
+               {"image", image},
+               {"took_ms", clock_.now - ended.since},
+               {"votes", fetch_votes_}});
 }
 
 // How many images a machine is given to fetch at the same time. Where they share the rate, one
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -28,15 +28,15 @@
   if (const auto leader = peers_.leader(clock_.now); leader && may_forward) {
     // An older version would place a gang in its own way.
     if (r.op == UserOp::Submit && !peers_[*leader].understands_gangs && is_gang_submission(r.body))
-      return reject(r.source, "gangs wait until all controllers are of this version");
+      return outbox_.reject(r.source, RejectReason::GangsNotEnabled);
     return forward(r.source, r.op, r.id, r.body, *leader);
   }
-  if (r.source.kind != RequestSource::Kind::Local) return reject(r.source, "no leader");
+  if (r.source.kind != RequestSource::Kind::Local)
+    return outbox_.reject(r.source, RejectReason::NoLeader);
   if (r.op == UserOp::Query) return look_up(r.source, r.id);
   const std::optional<std::size_t> relay = relaying_peer();
-  if (!relay || !may_forward) return reject(r.source, "no leader");
-  forward(r.source, r.op, r.id, r.body, *relay);
-  std::get<SendPeer>(out_.back()).message.request.relay = true;
+  if (!relay || !may_forward) return outbox_.reject(r.source, RejectReason::NoLeader);
+  forward(r.source, r.op, r.id, r.body, *relay, 0, true);
 }
 
 // A sibling that can be reached, and hears the leader. When two zones were apart, users at nodes of
@@ -61,7 +61,7 @@
 }
 
 void Controller::respond_with_job(const RequestSource& source, int status, const JobView& view) {
-  respond(source, status, encode_job(view), 0, command_until());
+  outbox_.respond(source, status, encode_job(view), 0, command_until());
 }
 
 void Controller::lead_submit(const UserRequest& r) {
@@ -75,13 +75,14 @@
   if (id && unknown_jobs_) return respond_unknown(r.source, unknown_jobs_, command_until());
   std::string error;
   auto spec = decode_submission(r.body, error);
-  if (!spec) return respond(r.source, 400, encode_error("invalid: " + error));
-  if (tables_.types.empty()) return reject(r.source, "machine types not known yet");
-  if (never_fits(*spec, error)) return respond(r.source, 422, encode_error(error));
+  if (!spec) return outbox_.respond(r.source, 400, encode_error("invalid: " + error));
+  if (tables_.types.empty()) return outbox_.reject(r.source, RejectReason::MachineTypesUnknown);
+  if (const auto cause = infeasibility(*spec))
+    return outbox_.respond(r.source, 422, encode_error(to_string(*cause)));
   if (spec->kind == JobKind::Gang && !gangs_enabled_)
-    return reject(r.source, "gangs wait until all controllers are of this version");
-  if (commit_.retries > 0) return reject(r.source, "the state service does not answer");
-  if (too_many_waiting()) return reject(r.source, "too many submissions at once");
+    return outbox_.reject(r.source, RejectReason::GangsNotEnabled);
+  if (commit_.retries > 0) return outbox_.reject(r.source, RejectReason::KvStoreNotResponding);
+  if (too_many_waiting()) return outbox_.reject(r.source, RejectReason::TooManySubmissions);
   JobRecord record;
   record.spec = std::move(*spec);
   record.submitted_wall_ms = clock_.wall_ms;
@@ -89,13 +90,16 @@
   if (record.spec.kind == JobKind::Gang) record.started = record.spec.tasks;
   // The head gives it to a shard at once if it is large itself.
   if (record_reserve(false, encode_record(record).size()) > value_limit(kValueFill))
-    return respond(r.source, 422, encode_error("its description is too large to be kept"));
+    return outbox_.respond(r.source, 422, encode_error("its description is too large to be kept"));
   Job& job = tables_.add_job(std::move(record));
   job.accepted = clock_.now;
   touch(job);
   respond_after_commit(job, r.source, 201);
-  log(Log::Level::Info, "event=submitted job=", job.spec().id, " class=", job.spec().job_class,
-      " team=", job.spec().team, " tasks=", job.spec().tasks);
+  outbox_.log(Log::Level::Info, LogEvent::JobSubmitted,
+              {{"job", job.spec().id},
+               {"class", job.spec().job_class},
+               {"team", job.spec().team},
+               {"tasks", job.spec().tasks}});
 }
 
 void Controller::lead_query(const UserRequest& r) {
@@ -106,8 +110,8 @@
 }
 
 void Controller::respond_unknown(const RequestSource& source, bool unreadable, Time valid_until) {
-  if (unreadable) return reject(source, "parts of the checkpoint can't be read");
-  respond(source, 404, encode_error("no such job"), 0, valid_until);
+  if (unreadable) return outbox_.reject(source, RejectReason::CheckpointUnreadable);
+  outbox_.respond(source, 404, encode_error("no such job"), 0, valid_until);
 }
 
 void Controller::lead_cancel(const UserRequest& r) {
@@ -123,7 +127,7 @@
     // Written too: a later leader goes on stopping it, and its user need not ask again.
     job->record.cancel_asked = true;
     touch(*job);
-    log(Log::Level::Info, "event=cancelled job=", r.id);
+    outbox_.log(Log::Level::Info, LogEvent::JobCancelRequested, {{"job", r.id}});
     stop_job(*job);
     scheduling_needed_ = true;
   }
@@ -147,7 +151,8 @@
 void Controller::reject_cancel_waits(const std::string& id) {
   const auto waits = cancel_waits_.extract(id);
   if (!waits) return;
-  for (const CancelWait& w : waits.mapped()) reject(w.source, "its tasks are being stopped");
+  for (const CancelWait& w : waits.mapped())
+    outbox_.reject(w.source, RejectReason::TasksBeingStopped);
 }
 
 // None of its tasks is on a machine any more: now it may be called cancelled. To say so sooner
@@ -161,7 +166,8 @@
 }
 
 void Controller::forward(const RequestSource& source, UserOp op, const std::string& id,
-                         std::string body, std::size_t peer, std::uint64_t fencing_token) {
+                         std::string body, std::size_t peer, std::uint64_t fencing_token,
+                         bool relay) {
   const std::uint64_t call = next_forward_++;
   const bool commits = op == UserOp::Submit || op == UserOp::Cancel;
   const Time now = clock_.now;
@@ -169,8 +175,8 @@
       source, op, id, peer, now, now + (commits ? kForwardCommitMs : kForwardMs), fencing_token};
   PeerMessage m;
   m.kind = PeerMessage::Kind::Request;
-  m.request = {call, op, op == UserOp::Heartbeat ? std::string() : id, std::move(body), false};
-  out_.push_back(SendPeer{peer, std::move(m)});
+  m.request = {call, op, op == UserOp::Heartbeat ? std::string() : id, std::move(body), relay};
+  outbox_.send_to_peer(peer, std::move(m));
 }
 
 void Controller::handle_peer_response(std::size_t, const PeerResponse& a) {
@@ -182,7 +188,7 @@
   const Time valid_until = a.valid_ms ? f.sent + *a.valid_ms - *a.valid_ms / 500 : kNever;
   const bool late = clock_.now >= std::min(f.until, valid_until);
   if (late || (a.status == 503 && f.op == UserOp::Query)) return time_out(f);
-  respond(f.source, a.status, a.body, a.retry_after_s, valid_until);
+  outbox_.respond(f.source, a.status, a.body, a.retry_after_s, valid_until);
 }
 
 void Controller::time_out(const Forwarded& f) {
@@ -192,7 +198,7 @@
     // Sent elsewhere now, a worker of a zone that has just been cut off would be lost.
     keep_alive(f.source, f.id, f.fencing_token, false);
   else
-    reject(f.source, "the leader does not answer");
+    outbox_.reject(f.source, RejectReason::LeaderNotResponding);
 }
 
 void Controller::intake_tick() {
@@ -204,7 +210,7 @@
   for (auto it = cancel_waits_.begin(); it != cancel_waits_.end();) {
     std::erase_if(it->second, [&](const CancelWait& w) {
       if (now < w.until) return false;
-      reject(w.source, "its tasks are being stopped");
+      outbox_.reject(w.source, RejectReason::TasksBeingStopped);
       return true;
     });
     it = it->second.empty() ? cancel_waits_.erase(it) : std::next(it);
@@ -212,7 +218,7 @@
   for (auto* list : {&lookups_, &lookups_served_})
     std::erase_if(*list, [&](const Lookup& l) {
       if (now - l.since < kLookupMs) return false;
-      reject(l.source, "state not readable");
+      outbox_.reject(l.source, RejectReason::SnapshotUnreadable);
       return true;
     });
   if (!lookups_.empty() && !refreshing_ && now >= next_refresh_) refresh();
@@ -256,7 +262,7 @@
   watch.key = kPrefix;
   watch.revision = snapshot_revision_;
   watch.wait_ms = 0;
-  const bool sent = call_kv_store(watch, [this, term](const KvResponse& r) {
+  const bool sent = outbox_.call_kv_store(watch, [this, term](const KvResponse& r) {
     if (term != term_) return;
     if (r.status == 410) snapshot_loaded_ = false;
     if (r.status == 200) {
@@ -274,7 +280,7 @@
   list.kind = KvRequest::Kind::List;
   list.key = kPrefix;
   list.from = from;
-  const bool sent = call_kv_store(list, [this, term, revision](const KvResponse& r) {
+  const bool sent = outbox_.call_kv_store(list, [this, term, revision](const KvResponse& r) {
     if (term != term_) return;
     if (r.status != 200) return finish_lookups(false);
     for (const KvItem& item : r.items) snapshot_.apply(item);
@@ -296,7 +302,7 @@
   lookups_served_.clear();
   for (const Lookup& l : served) {
     if (!ok) {
-      reject(l.source, "state not readable");
+      outbox_.reject(l.source, RejectReason::SnapshotUnreadable);
       continue;
     }
     const auto it = snapshot_.jobs.find(l.id);
@@ -308,7 +314,7 @@
     const std::uint64_t done = r.phase == Phase::Done     ? r.spec.tasks
                                : r.phase == Phase::Active ? r.done.count()
                                                           : 0;
-    respond(l.source, 200, encode_job({l.id, r.phase, done, 0}));
+    outbox_.respond(l.source, 200, encode_job({l.id, r.phase, done, 0}));
   }
 }
 
--- a/src/controller/keepalive.cpp
+++ b/src/controller/keepalive.cpp
@@ -29,7 +29,7 @@
 // the leader itself, as when two zones are apart, lost its tasks while it was sent to and fro.
 void Controller::forward_heartbeat(const HeartbeatReceived& in) {
   if (in.source.kind == RequestSource::Kind::Peer)
-    return respond(in.source, 503, encode_error("no leader"));
+    return outbox_.respond(in.source, 503, encode_error("no leader"));
   std::optional<std::size_t> peer = peers_.leader(clock_.now);
   // A leader whose lease may have lapsed still keeps tasks alive.
   if (!peer) peer = peers_.holding(clock_.now);
@@ -84,7 +84,7 @@
     std::erase_if(redirected_at_, [&](const auto& s) { return clock_.now - s.second >= span; });
   }
   redirected_at_[machine] = clock_.now;
-  respond(source, 421, encode_redirect(settings_.peers[peer].name));
+  outbox_.respond(source, 421, encode_redirect(settings_.peers[peer].name));
 }
 
 // No leader can be reached. If that is so for the whole zone, its workers' tasks live on only if we
@@ -93,17 +93,18 @@
 void Controller::keep_alive(const RequestSource& source, const std::string& machine,
                             std::uint64_t fencing_token, bool may_redirect) {
   if (!keep_alive_permit_.valid(fencing_token, clock_.now))
-    return respond(source, 503, encode_error("no leader"));
+    return outbox_.respond(source, 503, encode_error("no leader"));
   if (may_redirect && !was_redirected(machine, worker_lease())) {
     for (std::size_t i = 0; i < peers_.size(); ++i)
       if (peers_.reaches_leader(i, clock_.now)) return redirect_worker(source, machine, i);
     if (!settings_.peers.empty()) return redirect_worker(source, machine, node_before());
   }
   if (clock_.now - kept_alive_at_ > worker_lease())
-    log(Log::Level::Info, "event=keep_alive for_ms=", keep_alive_permit_.until() - clock_.now);
+    outbox_.log(Log::Level::Info, LogEvent::KeepAlive,
+                {{"for_ms", keep_alive_permit_.until() - clock_.now}});
   kept_alive_at_ = clock_.now;
-  respond(source, 200, encode_heartbeat_response(keep_alive_permit_.epoch(), {}), 0,
-          keep_alive_permit_.until());
+  outbox_.respond(source, 200, encode_heartbeat_response(keep_alive_permit_.epoch(), {}), 0,
+                  keep_alive_permit_.until());
 }
 
 // The sibling that workers try just before us: they go by the nodes' numbers, the last of which the
--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -58,33 +58,24 @@
   return s.one_zone || !s.zone.empty() || settings_.zones.size() < 2;
 }
 
-bool Controller::never_fits(const JobSpec& s, std::string& why) const {
+std::optional<Infeasibility> Controller::infeasibility(const JobSpec& s) const {
   const TeamQuota* team = nullptr;
   for (const TeamQuota& t : tables_.teams)
     if (t.limits.name == s.team) team = &t;
-  if (team == nullptr) {
-    why = "unknown team";
-    return true;
-  }
+  if (team == nullptr) return Infeasibility::UnknownTeam;
   const double n = s.kind == JobKind::Array ? 1 : s.tasks;
   constexpr double kSlack = 1e-6;
   if ((team->limits.gpus_max > 0 && s.need.gpus * n > team->limits.gpus_max + kSlack) ||
-      (team->limits.cpus_max > 0 && s.need.cpus * n > team->limits.cpus_max + kSlack)) {
-    why = "more than the team's limit";
-    return true;
-  }
-  if (never_all_at_once(s)) {
-    why = "its tasks can't run at the same time in the zones that it allows";
-    return true;
-  }
+      (team->limits.cpus_max > 0 && s.need.cpus * n > team->limits.cpus_max + kSlack))
+    return Infeasibility::AboveQuotaLimit;
+  if (never_all_at_once(s)) return Infeasibility::NeverAllAtOnce;
   for (const MachineType& t : tables_.types) {
     if (!tables_.type_allowed(s, t.name) || !s.need.fits_in(t.size)) continue;
     if (s.zone.empty() || t.zones.empty() ||
         std::find(t.zones.begin(), t.zones.end(), s.zone) != t.zones.end())
-      return false;
+      return {};
   }
-  why = "a task fits no allowed machine type";
-  return true;
+  return Infeasibility::NoMachineType;
 }
 
 bool Controller::ResourceRequest::as_much_as(const ResourceRequest& o) const {
--- a/src/controller/preemption.cpp
+++ b/src/controller/preemption.cpp
@@ -33,7 +33,7 @@
 // on. They go with the answers to reports all the same, so nothing depends on these; one that
 // arrives late finds its attempt gone, and does no harm.
 void Controller::stop_tick() {
-  while (!stops_due_.empty() && !calls_full()) {
+  while (!stops_due_.empty() && !outbox_.worker_calls_full()) {
     Machine* m = tables_.machine(*stops_due_.begin());
     stops_due_.erase(stops_due_.begin());
     if (m == nullptr || !m->heard_in_epoch || m->silent || m->terminating || m->address.empty())
@@ -43,13 +43,14 @@
       if (p.stop && p.state >= AttemptState::Sent && p.state <= AttemptState::Running)
         stops.push_back({Command::Op::Stop, p.key, p.attempt, p.grace_s});
     if (stops.empty()) continue;
-    call_worker(m->address, encode_direct(epoch_, m->incarnation, stops),
-                [this, name = m->name, sent = clock_.now](
-                    int status, const std::optional<Heartbeat>& heartbeat) {
-                  if (status == 200 && heartbeat && heartbeat->machine == name &&
-                      heartbeat->fencing_token == epoch_ && tables_.machine(name) != nullptr)
-                    apply_heartbeat(*heartbeat, sent);
-                });
+    outbox_.call_worker(m->address, encode_direct(epoch_, m->incarnation, stops), command_until(),
+                        [this, name = m->name, sent = clock_.now](
+                            int status, const std::optional<Heartbeat>& heartbeat) {
+                          if (status == 200 && heartbeat && heartbeat->machine == name &&
+                              heartbeat->fencing_token == epoch_ &&
+                              tables_.machine(name) != nullptr)
+                            apply_heartbeat(*heartbeat, sent);
+                        });
   }
 }
 
@@ -134,8 +135,8 @@
   }
   reserve(*best, job.spec().need);
   for (TaskAttempt* p : eviction->victims) {
-    log(Log::Level::Info, "event=preempt machine=", best->name, " task=", p->key.job, "/",
-        p->key.index, " for=", job.spec().id);
+    outbox_.log(Log::Level::Info, LogEvent::TaskPreempted,
+                {{"machine", best->name}, {"task", p->key}, {"for", job.spec().id}});
     stop_with_gang(*p, grace_for(*p->job));
   }
   return true;
@@ -262,8 +263,8 @@
   }
   reserve(*best, s.need);
   for (const auto& [p, to] : best_plan) {
-    log(Log::Level::Info, "event=move machine=", best->name, " task=", p->key.job, "/",
-        p->key.index, " to=", to->name, " for=", s.id);
+    outbox_.log(Log::Level::Info, LogEvent::ReplicaMigration,
+                {{"machine", best->name}, {"task", p->key}, {"to", to->name}, {"for", s.id}});
     reserve(*to, p->need);
     migrate_replica(*p, *best, *to);
   }
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -27,7 +27,7 @@
   if (image.unreadable.contains(kManifestKey) || image.unreadable.contains(kEpochKey)) {
     revoke(lease_);
     election_backoff_until_ = now + worker_lease();
-    return step_down("the checkpoint's head can't be read");
+    return step_down(StepDownCause::ManifestUnreadable);
   }
   tables_.clear();
   manifest_seq_ = image.manifest.seq;
@@ -38,15 +38,20 @@
   features_written_ = image.features.gangs;
   gangs_enabled_ = gangs_enabled_ || image.features.gangs;
   load_machines(image);
-  if (!limits_.load(image, epoch_, now)) log(Log::Level::Error, "event=shares_without_options");
+  if (!quotas_.load(image, epoch_, now))
+    outbox_.log(Log::Level::Error, LogEvent::SharesWithoutOptions);
   terminated_.clear();
   capacity_checked_ = false;
   next_types_ = next_list_ = next_sizing_ = now;
   // Written at once, so that the head carries the new epoch before anything depends on it.
   scale_outs_changed_ = true;
-  log(Log::Level::Info, "event=leading jobs=", tables_.jobs.size(),
-      " finished=", tables_.finished.size(), " machines=", tables_.machines.size(),
-      " seq=", manifest_seq_, " after_ms=", now - elected_at_, " fence_ms=", fence_at_ - now);
+  outbox_.log(Log::Level::Info, LogEvent::Leading,
+              {{"jobs", tables_.jobs.size()},
+               {"finished", tables_.finished.size()},
+               {"machines", tables_.machines.size()},
+               {"seq", manifest_seq_},
+               {"after_ms", now - elected_at_},
+               {"fence_ms", fence_at_ - now}});
   send_heartbeats();
   reconcile();
   inquire_tick();
@@ -58,7 +63,7 @@
   unknown_jobs_ = false;
   unknown_machines_ = false;
   for (const std::string& key : image.unreadable) {
-    log(Log::Level::Error, "event=checkpoint_unreadable key=", key);
+    outbox_.log(Log::Level::Error, LogEvent::CheckpointUnreadable, {{"key", key}});
     unknown_machines_ = unknown_machines_ || key.starts_with(kMachinesPrefix);
     unknown_jobs_ = unknown_jobs_ || key.starts_with(kShardPrefix);
   }
@@ -163,7 +168,7 @@
   if (now - elected_at_ > silent_after() && few_silent(missing.size(), recorded))
     for (Machine* m : missing)
       if (m->zone.empty() && m->probe_failures >= 2)
-        terminate_instance(*m, "silent since take-over");
+        terminate_instance(*m, TerminationCause::SilentSinceFailover);
   if (!missing.empty()) return;
   // Machines that an unreadable value named can't be asked; but their leases run out.
   if (unknown_machines_ && now < fence_at_) return;
@@ -181,7 +186,8 @@
     finalize_if_over(*job);
   }
   scheduling_needed_ = true;
-  log(Log::Level::Info, "event=rebuilt after_ms=", now - elected_at_, " unheard=", unheard);
+  outbox_.log(Log::Level::Info, LogEvent::Reconciled,
+              {{"after_ms", now - elected_at_}, {"unheard", unheard}});
 }
 
 // It may hold tasks, and hasn't been heard under our token.
@@ -214,33 +220,33 @@
 void Controller::inquire(Machine& m) {
   // The others wait for the next tick. With more machines than sockets, those that got none once
   // counted as failed, and a take-over took a second longer.
-  if (m.address.empty() || calls_full()) return;
+  if (m.address.empty() || outbox_.worker_calls_full()) return;
   m.probing = true;
   const std::string name = m.name;
   const Time sent = clock_.now;
-  call_worker(m.address, encode_direct(epoch_, m.probe_incarnation, {}),
-              [this, name, sent](int status, const std::optional<Heartbeat>& heartbeat) {
-                Machine* machine = tables_.machine(name);
-                if (machine == nullptr) return;
-                machine->probing = false;
-                machine->probe_at = std::max(clock_.now, sent + heartbeat_interval() / 2);
-                if (!heartbeat || heartbeat->machine != name) {
-                  if (status != 0) return;
-                  ++machine->probe_failures;
-                  machine->probe_failed = sent;
-                  return;
-                }
-                machine->probe_failures = 0;
-                if (heartbeat->fencing_token > epoch_)
-                  return step_down("a worker has seen a higher token");
-                if (status == 200) {
-                  zone_reached_[heartbeat->zone] = clock_.now;
-                  apply_heartbeat(*heartbeat, sent);
-                } else if (status == 409 && machine->probe_incarnation != heartbeat->incarnation) {
-                  machine->probe_incarnation = heartbeat->incarnation;
-                  inquire(*machine);
-                }
-              });
+  outbox_.call_worker(
+      m.address, encode_direct(epoch_, m.probe_incarnation, {}), command_until(),
+      [this, name, sent](int status, const std::optional<Heartbeat>& heartbeat) {
+        Machine* machine = tables_.machine(name);
+        if (machine == nullptr) return;
+        machine->probing = false;
+        machine->probe_at = std::max(clock_.now, sent + heartbeat_interval() / 2);
+        if (!heartbeat || heartbeat->machine != name) {
+          if (status != 0) return;
+          ++machine->probe_failures;
+          machine->probe_failed = sent;
+          return;
+        }
+        machine->probe_failures = 0;
+        if (heartbeat->fencing_token > epoch_) return step_down(StepDownCause::HigherEpochAtWorker);
+        if (status == 200) {
+          zone_reached_[heartbeat->zone] = clock_.now;
+          apply_heartbeat(*heartbeat, sent);
+        } else if (status == 409 && machine->probe_incarnation != heartbeat->incarnation) {
+          machine->probe_incarnation = heartbeat->incarnation;
+          inquire(*machine);
+        }
+      });
 }
 
 }  // namespace sailreel
--- a/src/controller/share_moves.cpp
+++ b/src/controller/share_moves.cpp
@@ -10,16 +10,16 @@
 }  // namespace
 
 void Controller::share_tick() {
-  if (!limits_.shared() || clock_.now < next_share_look_) return;
+  if (!quotas_.shared() || clock_.now < next_share_look_) return;
   next_share_look_ = clock_.now + heartbeat_interval() / kLooksPerHeartbeat;
   // While anything may run that isn't known, nothing can be given: it may count against the share.
   const bool complete = !reconciling_ && !unknown_jobs_ && !unknown_machines_;
-  perform_share_actions(limits_.observe(clock_.now, complete, peers_.all_share_limits()));
+  perform_share_actions(quotas_.observe(clock_.now, complete, peers_.all_share_limits()));
 }
 
 void Controller::region_input(const RegionMessageReceived& input) {
   if (!holds_valid_lease(clock_.now)) return;
-  perform_share_actions(limits_.take(clock_.now, input.message));
+  perform_share_actions(quotas_.take(clock_.now, input.message));
   if (input.message.kind != RegionMessage::Kind::Demand) return;
   next_share_look_ = clock_.now;
   share_tick();
@@ -28,20 +28,20 @@
 void Controller::perform_share_actions(std::vector<federation::ShareAction> actions) {
   for (federation::ShareAction& action : actions) {
     if (auto* send = std::get_if<federation::SendToRegion>(&action))
-      out_.push_back(SendRegion{send->region, std::move(send->message)});
+      outbox_.send_to_region(send->region, std::move(send->message));
     else if (const auto* stop = std::get_if<federation::StopBeyondCap>(&action))
       stop_beyond_cap(stop->team, stop->below);
     else if (const auto* event = std::get_if<federation::ShareEvent>(&action))
-      log(event->is_error ? Log::Level::Error : Log::Level::Info, event->text);
+      outbox_.log_text(event->is_error ? Log::Level::Error : Log::Level::Info, event->text);
   }
-  if (limits_.take_raised()) scheduling_needed_ = true;
+  if (quotas_.take_raised()) scheduling_needed_ = true;
 }
 
 // Adds what is to be written of the shares; all of it, or none.
 void Controller::add_shares(CompareAndSwapBuilder& transaction) {
-  if (!limits_.wants_commit()) return;
+  if (!quotas_.wants_commit()) return;
   const std::size_t room = operations_limit() - transaction.operations();
-  for (auto& write : limits_.writes(std::min(room, kMostShareWrites))) {
+  for (auto& write : quotas_.writes(std::min(room, kMostShareWrites))) {
     commit_.shares = true;
     transaction.put(write.key, std::move(write.value));
   }
@@ -66,7 +66,7 @@
   for (TaskAttempt* p : candidates) {
     if (team->within_cap(left)) return;
     if (p->stop) continue;  // with its gang
-    log(Log::Level::Info, "event=stopped_for_share task=", p->key.job, "/", p->key.index);
+    outbox_.log(Log::Level::Info, LogEvent::PreemptedForQuota, {{"task", p->key}});
     left -= is_gang(*p->job) ? p->need.times(p->job->placed) : p->need;
     stop_with_gang(*p, grace_for(*p->job));
   }
--- a/src/controller/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -22,12 +22,12 @@
     if (direct || heartbeat_seq <= p.sent_seq) return;
     p.state = AttemptState::Reserved;
     if (p.sends < kMaxSends) return;
-    log(Log::Level::Info, "event=start_not_taken machine=", m.name, " task=", p.key.job, "/",
-        p.key.index);
-    quarantine(m, "starts not taken");
+    outbox_.log(Log::Level::Info, LogEvent::StartNotAcknowledged,
+                {{"machine", m.name}, {"task", p.key}});
+    quarantine(m, QuarantineCause::StartsNotAcknowledged);
   } else if (p.state != AttemptState::Exited) {
-    log(Log::Level::Info, "event=task_vanished machine=", m.name, " task=", p.key.job, "/",
-        p.key.index, " attempt=", p.attempt);
+    outbox_.log(Log::Level::Info, LogEvent::TaskMissing,
+                {{"machine", m.name}, {"task", p.key}, {"attempt", p.attempt}});
   }
   drop(m, index);
   scheduling_needed_ = true;
@@ -50,16 +50,22 @@
   scheduling_needed_ = true;
 }
 
-void Controller::quarantine(Machine& m, const char* why) {
+void Controller::quarantine(Machine& m, QuarantineCause cause) {
   m.quarantined_until = clock_.now + 2 * worker_lease();
-  log(Log::Level::Info, "event=quarantine machine=", m.name, " cause=\"", why, "\"");
+  outbox_.log(Log::Level::Info, LogEvent::MachineQuarantined,
+              {{"machine", m.name}, {"cause", cause}});
 }
 
-void Controller::incarnation_lost(Machine& m, const char* why) {
+void Controller::incarnation_lost(Machine& m, IncarnationLossCause cause) {
   if (m.attempts.empty()) return;
-  log(Log::Level::Info, "event=tasks_gone machine=", m.name, " count=", m.attempts.size(),
-      " zone=", m.zone, " session=", m.incarnation, " heard_ms=", clock_.now - m.last_heartbeat,
-      " answered_ms=", clock_.now - m.answered, " cause=\"", why, "\"");
+  outbox_.log(Log::Level::Info, LogEvent::IncarnationLost,
+              {{"machine", m.name},
+               {"count", m.attempts.size()},
+               {"zone", m.zone},
+               {"incarnation", m.incarnation},
+               {"heard_ms", clock_.now - m.last_heartbeat},
+               {"answered_ms", clock_.now - m.answered},
+               {"cause", cause}});
   while (!m.attempts.empty()) drop(m, m.attempts.size() - 1);
   m.idle_since = clock_.now;
   m.fetching_now.clear();
@@ -122,8 +128,8 @@
   if (on_machine) {
     orphan.held = true;
     if (job != nullptr) Tables::hold_orphan(*job, m, orphan);
-    log(Log::Level::Info, "event=stray_task machine=", m.name, " task=", t.key.job, "/",
-        t.key.index, " attempt=", t.attempt);
+    outbox_.log(Log::Level::Info, LogEvent::OrphanedAttempt,
+                {{"machine", m.name}, {"task", t.key}, {"attempt", t.attempt}});
   } else {
     orphan.job = job;
     if (job != nullptr) job->machines_used.insert(m.name);
@@ -148,8 +154,8 @@
   if (ran) return;
   p.running_since = clock_.now;
   if (p.job != nullptr) note_image(m, p.job->spec());
-  log(Log::Level::Debug, "event=task_running machine=", m.name, " task=", p.key.job, "/",
-      p.key.index, " attempt=", p.attempt);
+  outbox_.log(Log::Level::Debug, LogEvent::TaskRunning,
+              {{"machine", m.name}, {"task", p.key}, {"attempt", p.attempt}});
 }
 
 void Controller::note_finished(Job& job, std::uint32_t index, const Machine& m) {
@@ -171,8 +177,8 @@
     p.state = AttemptState::Exited;
     p.since = now;
   };
-  log(Log::Level::Debug, "event=task_exited machine=", m.name, " task=", p.key.job, "/",
-      p.key.index, " attempt=", p.attempt, " cause=", static_cast<int>(p.cause));
+  outbox_.log(Log::Level::Debug, LogEvent::TaskExited,
+              {{"machine", m.name}, {"task", p.key}, {"attempt", p.attempt}, {"cause", p.cause}});
   scheduling_needed_ = true;
   if (job == nullptr) {
     finish_hold();
@@ -207,15 +213,15 @@
     case ExitCause::Error:
       task_failed(*job, m);
       task.not_before = now + std::min<Time>(heartbeat_interval() * job->errors, worker_lease());
-      log(Log::Level::Info, "event=task_error machine=", m.name, " task=", p.key.job, "/",
-          p.key.index, " errors=", job->errors);
+      outbox_.log(Log::Level::Info, LogEvent::TaskError,
+                  {{"machine", m.name}, {"task", p.key}, {"errors", job->errors}});
       break;
     case ExitCause::NoRoom:
     case ExitCause::Busy:
     case ExitCause::Unknown:
       task.not_before = now + heartbeat_interval();
-      log(Log::Level::Info, "event=start_refused machine=", m.name, " task=", p.key.job, "/",
-          p.key.index, " cause=", static_cast<int>(p.cause));
+      outbox_.log(Log::Level::Info, LogEvent::StartRejected,
+                  {{"machine", m.name}, {"task", p.key}, {"cause", p.cause}});
       break;
     default:
       break;
@@ -260,9 +266,9 @@
   const auto proven = static_cast<std::size_t>(
       std::count_if(m.error_jobs.begin(), m.error_jobs.end(), runs_elsewhere));
   if (proven >= kFaultyJobs)
-    cordon(m, "faulty");
+    cordon(m, CordonCause::Faulty);
   else if (clock_.now >= m.quarantined_until)
-    quarantine(m, "errors");
+    quarantine(m, QuarantineCause::TaskErrors);
 }
 
 std::vector<Command> Controller::commands_for(Machine& m, std::uint64_t heartbeat_seq) {
@@ -298,24 +304,28 @@
     ++p.sends;
     p.since = clock_.now;
     out.push_back({Command::Op::Start, p.key, p.attempt, 0});
-    log(Log::Level::Debug, "event=start machine=", m.name, " task=", p.key.job, "/", p.key.index,
-        " attempt=", p.attempt, " waited_ms=", clock_.now - p.job->accepted, zones_known(*p.job));
+    outbox_.log(Log::Level::Debug, LogEvent::TaskStart,
+                {{"machine", m.name},
+                 {"task", p.key},
+                 {"attempt", p.attempt},
+                 {"waited_ms", clock_.now - p.job->accepted},
+                 {"zones", zones_known(*p.job)}});
   }
   return out;
 }
 
 // For a log line: where tasks are that have a say in where others may start.
 std::string Controller::zones_known(const Job& job) {
-  if (!job.spec().one_zone && !job.spec().spread) return {};
+  if (!job.spec().one_zone && !job.spec().spread) return "any";
   std::string zones;
   for (const auto& [zone, tasks] : job.per_zone)
-    zones += (zones.empty() ? " zones=" : ",") + zone + ":" + std::to_string(tasks);
+    zones += (zones.empty() ? "" : ",") + zone + ":" + std::to_string(tasks);
   return zones;
 }
 
-void Controller::machine_gone(Machine& m, const char* why) {
-  log(Log::Level::Info, "event=machine_gone machine=", m.name, " cause=\"", why, "\"");
-  incarnation_lost(m, why);
+void Controller::machine_gone(Machine& m, IncarnationLossCause cause) {
+  outbox_.log(Log::Level::Info, LogEvent::MachineGone, {{"machine", m.name}, {"cause", cause}});
+  incarnation_lost(m, cause);
   if (m.recorded || m.record_dirty) dirty_machine_shards_.insert(machine_shard(m.name));
   reservations_.erase(&m);
   scheduling_needed_ = true;
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -22,6 +22,9 @@
 struct Machine;
 struct TeamQuota;
 
+/// Why a machine takes no more work and is terminated once it is empty.
+enum class CordonCause : std::uint8_t { SpotNotice, Faulty };
+
 enum class TaskState : std::uint8_t {
   Queued,   // surely on no machine
   Unknown,  // perhaps on a machine that hasn't been heard since the take-over
@@ -160,8 +163,8 @@
   Time last_own_heartbeat = 0;         // last report that it sent by itself
   Time answered = 0;                   // last answer that may have renewed its lease
   Time idle_since = 0;
-  bool cordoned = false;  // takes no more work
-  std::string cordon_cause;
+  bool cordoned = false;                           // takes no more work
+  CordonCause cordon_cause = CordonCause::Faulty;  // counts if it is cordoned and not terminating
   bool draining = false;     // takes no more work unless that has no other room
   bool terminating = false;  // a release was or is to be sent
   bool silent = false;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -188,7 +188,7 @@
     const Tables& tables = region.controller(leader_of(region))->tables();
     for (const auto& name : healthy)
       if (const auto it = tables.machines.find(name); it != tables.machines.end()) {
-        EXPECT_FALSE(it->second->cordoned && it->second->cordon_cause == "faulty")
+        EXPECT_FALSE(it->second->cordoned && it->second->cordon_cause == CordonCause::Faulty)
             << seed << " " << name;
       }
     // 20 tasks in 80 s: each fails once at first, and after that one of each job now and then.
