--- /dev/null
+++ b/sim/checker.cpp
@@ -0,0 +1,213 @@
+#include "sim/checker.hpp"
+
+#include <algorithm>
+
+namespace sailreel::sim {
+
+void Checker::told(const std::string& id, const std::string& state, Time now) {
+  told(id, state, now, now);
+}
+
+void Checker::told(const std::string& id, const std::string& state, Time now, Time asked) {
+  const auto it = jobs_.find(id);
+  if (it == jobs_.end() || !it->second.spec) return add_violation("invented", id);
+  JobHistory& job = it->second;
+  if (!job.accepted) job.accepted_at = now;
+  job.accepted = true;
+  job.last_known = last_answer_ = now;
+  job.failing = false;
+  const bool is_final = state == "done" || state == "cancelled";
+  if (!job.final_state.empty() && !is_final && asked < job.final_at) return;
+  if (job.final_state.empty()) {
+    if (state == "done" && job.completed.size() < job.spec->tasks) add_violation("not_done", id);
+    if (state == "cancelled" && !job.asked) add_violation("went_back", id + " cancelled by nobody");
+    if (is_final) {
+      job.final_state = state;
+      job.final_at = now;
+    }
+  } else if (state != job.final_state) {
+    add_violation("went_back", id + " from " + job.final_state + " to " + state);
+  }
+}
+
+void Checker::refused(const std::string& id, int status, bool poll, Time asked) {
+  const auto it = jobs_.find(id);
+  if (it != jobs_.end() && it->second.accepted && asked >= it->second.accepted_at &&
+      (poll ? status == 404 : status != 404))
+    add_violation("forgotten", id + " answered " + std::to_string(status));
+}
+
+void Checker::cancel_answered(const std::string& id, const std::string& state) {
+  if (state != "cancelled" && state != "done") add_violation("odd_answer", id + " is " + state);
+}
+
+void Checker::start_taken(const std::string& id) {
+  const auto it = jobs_.find(id);
+  if (it == jobs_.end() || !it->second.spec) return add_violation("invented", id + " started");
+  if (it->second.final_state == "cancelled") add_violation("started_cancelled", id);
+}
+
+void Checker::waiting(const std::string& id, bool possible, Time now) {
+  constexpr Time kPatience = 90'000;
+  JobHistory& job = jobs_[id];
+  if (!possible || !faults_are_over()) {
+    job.waiting_since = kNever;
+  } else if (job.waiting_since == kNever) {
+    job.waiting_since = now;
+  } else if (now - job.waiting_since > kPatience && !job.left_waiting) {
+    job.left_waiting = true;
+    add_violation("left_waiting", id);
+  }
+}
+
+void Checker::unanswered(const std::string& id, Time now) {
+  constexpr Time kPatience = 90'000, kOthersWithin = 10'000, kPatienceAfterFaults = 75'000;
+  JobHistory& job = jobs_[id];
+  if (!job.accepted || job.failing) return;
+  if (faults_are_over() &&
+      now - std::max(job.last_known, faults_ended_at_) > kPatienceAfterFaults) {
+    job.failing = true;
+    return add_violation("forgotten", id + " unanswered after the faults");
+  }
+  if (now - job.last_known > kPatience && now - last_answer_ < kOthersWithin) {
+    job.failing = true;
+    add_violation("forgotten", id + " unanswered");
+  }
+}
+
+void Checker::started(const TaskKey& key, const TaskLocation& location, Time now) {
+  JobHistory& job = jobs_[key.job];
+  if (!job.spec) return add_violation("invented", key.job + " started");
+  const std::string task = task_name(key);
+  auto& where = running_on_[task];
+  if (!where.empty())
+    add_violation("ran_twice", task + " on " + where.begin()->first + " and " + location.machine);
+  if (!job.begun) job.begun = now;
+  const JobSpec& spec = *job.spec;
+  if ((location.spot && !spec.spot) || (!spec.zone.empty() && spec.zone != location.zone) ||
+      (!spec.any_type &&
+       std::find(spec.types.begin(), spec.types.end(), location.type) == spec.types.end()))
+    add_violation("wrong_place", task);
+  std::map<std::string, std::uint32_t> zones;
+  zones[location.zone] = 1;
+  const std::string of_job = key.job + "/";
+  for (auto it = running_on_.lower_bound(of_job);
+       it != running_on_.end() && it->first.starts_with(of_job); ++it)
+    if (it->first != task)
+      for (const auto& [machine, other] : it->second) ++zones[other.zone];
+  if (spec.one_zone && zones.size() > 1) add_violation("wrong_place", task + " not together");
+  if (spec.spread && zones[location.zone] > (spec.tasks + 1) / 2)
+    add_violation("wrong_place", task + " not spread");
+  where[location.machine] = location;
+  ++tasks_running_;
+  Resources& used = used_[spec.team];
+  used += spec.need;
+  for (const Team& team : teams_)
+    if (team.name == spec.team && ((team.gpus_max > 0 && used.gpus > team.gpus_max + 1e-6) ||
+                                   (team.cpus_max > 0 && used.cpus > team.cpus_max + 1e-6)))
+      add_violation("quota", spec.team);
+  if (job.final_state == "cancelled" && now > job.final_at + cancel_within_)
+    add_violation("ran_cancelled", task);
+  ++starts_;
+}
+
+void Checker::ended(const TaskKey& key, const std::string& machine, bool completed) {
+  JobHistory& job = jobs_[key.job];
+  const std::string task = task_name(key);
+  const auto it = running_on_.find(task);
+  if (it != running_on_.end() && it->second.erase(machine) > 0) {
+    --tasks_running_;
+    if (job.spec) used_[job.spec->team] -= job.spec->need;
+    if (it->second.empty()) running_on_.erase(it);
+  }
+  if (completed) job.completed.insert(key.index);
+}
+
+void Checker::gang_completed(const std::string& id) {
+  JobHistory& job = jobs_[id];
+  for (std::uint32_t i = 0; job.spec && i < job.spec->tasks; ++i) job.completed.insert(i);
+}
+
+void Checker::step(Time now) {
+  if (now < next_step_) return;
+  next_step_ = now + 200;
+  for (const auto& [task, locations] : running_on_) {
+    if (locations.empty()) continue;
+    const JobHistory& job = jobs_[task.substr(0, task.rfind('/'))];
+    if (job.final_state == "cancelled" && now > job.final_at + cancel_within_)
+      add_violation("ran_cancelled", task);
+  }
+}
+
+void Checker::end() {
+  if (starts_ == 0) add_violation("nothing_ran", "");
+}
+
+void Checker::end_served() {
+  end();
+  constexpr Time kBeginWithin = 240'000;
+  struct Served {
+    std::size_t jobs = 0, of = 0;
+  };
+  std::map<std::string, Served> served;  // by group
+  std::map<std::string, std::uint32_t> largest;
+  for (const auto& [id, job] : jobs_)
+    if (job.spec) {
+      auto& most = largest[job.spec->job_class];
+      most = std::max(most, job.spec->tasks);
+    }
+  for (const auto& [id, job] : jobs_) {
+    if (!job.accepted || !job.spec || (job.asked && !job.begun)) continue;
+    const bool is_served =
+        job.spec->kind != JobKind::Service ? !job.final_state.empty() : job.begun.has_value();
+    const auto count = [&](const std::string& group) {
+      Served& counted = served[group];
+      counted.jobs += is_served ? 1 : 0;
+      ++counted.of;
+    };
+    count("class " + job.spec->job_class);
+    count("team " + job.spec->team);
+    if (job.spec->tasks < largest[job.spec->job_class]) continue;
+    count("largest of class " + job.spec->job_class);
+    if (!job.begun || *job.begun - job.accepted_at > kBeginWithin)
+      add_violation("late_largest", id);
+  }
+  for (const auto& [group, counted] : served)
+    if (2 * counted.jobs < counted.of) add_violation("not_served", group);
+}
+
+const std::map<std::string, std::vector<std::string>>& Checker::violations() const {
+  return violations_;
+}
+
+std::string Checker::summary() const {
+  std::string out;
+  for (const auto& [rule, cases] : violations_)
+    out += rule + " x" + std::to_string(cases.size()) + " (" + cases.front() + ") ";
+  return out;
+}
+
+Resources Checker::used_by(const std::string& team) const {
+  const auto it = used_.find(team);
+  return it == used_.end() ? Resources{} : it->second;
+}
+
+std::size_t Checker::jobs_over() const {
+  std::size_t n = 0;
+  for (const auto& [id, job] : jobs_) n += job.final_state.empty() ? 0 : 1;
+  return n;
+}
+
+std::vector<std::string> Checker::unfinished_arrays() const {
+  std::vector<std::string> out;
+  for (const auto& [id, job] : jobs_)
+    if (job.accepted && job.spec->kind != JobKind::Service && job.final_state.empty())
+      out.push_back(id);
+  return out;
+}
+
+void Checker::add_violation(const std::string& rule, const std::string& what) {
+  violations_[rule].push_back(what);
+}
+
+}  // namespace sailreel::sim
--- /dev/null
+++ b/sim/fake_cloud.cpp
@@ -0,0 +1,115 @@
+#include "sim/fake_cloud.hpp"
+
+#include <algorithm>
+#include <cstdio>
+
+namespace sailreel::sim {
+
+std::string machine_name(std::size_t number) {
+  char name[32];
+  std::snprintf(name, sizeof name, "m-%06zu", number);
+  return name;
+}
+
+CloudResponse FakeCloud::handle(const CloudRequest& request, Time now) {
+  CloudResponse response;
+  response.status = 200;
+  if (outage) {
+    response.status = 503;
+    return response;
+  }
+  switch (request.kind) {
+    case CloudRequest::Kind::Types:
+      response.types = types;
+      break;
+    case CloudRequest::Kind::ScaleOut:
+      scale_out(request, now, response);
+      break;
+    case CloudRequest::Kind::Terminate:
+      for (const auto& name : request.names)
+        if (machines.erase(name) > 0) on_terminated(name);
+      break;
+    case CloudRequest::Kind::List:
+      response = list_page(request);
+      break;
+  }
+  return response;
+}
+
+void FakeCloud::scale_out(const CloudRequest& request, Time now, CloudResponse& response) {
+  const auto& wanted = request.scale_out;
+  if (const auto earlier = requests_.find(wanted.request); earlier != requests_.end()) {
+    response.names = earlier->second;
+    return;
+  }
+  std::uint32_t used = 0;
+  for (const auto& [name, machine] : machines)
+    used += machine.zone == wanted.zone && machine.spot == wanted.spot ? 1 : 0;
+  const std::uint32_t room = capacity[{wanted.zone, wanted.spot}];
+  if (used >= room) {
+    response.status = 503;
+    response.no_capacity = true;
+    return;
+  }
+  const std::uint32_t granted = std::min(wanted.count, room - used);
+  for (std::uint32_t i = 0; i < granted; ++i) launch(request, now, response);
+  requests_[wanted.request] = response.names;
+}
+
+void FakeCloud::tick(Time now, Time lag) {
+  CloudResponse list;
+  for (const auto& [name, machine] : machines) {
+    ListedMachine listed;
+    listed.name = name;
+    listed.address = machine.address;
+    listed.type = machine.type;
+    listed.zone = machine.zone;
+    listed.spot = machine.spot;
+    listed.state = machine.up ? ListedMachine::State::Running : ListedMachine::State::Booting;
+    listed.age_s = static_cast<double>(now - machine.launched) / 1000.0;
+    list.machines.push_back(std::move(listed));
+  }
+  lists_.push_back({now, std::move(list)});
+  const Time wanted_age = lag + static_cast<Time>(random_(static_cast<std::uint32_t>(lag)));
+  while (lists_.size() > 1 && lists_.front().taken_at < now - wanted_age) lists_.pop_front();
+}
+
+// Pages follow the order of names, so that `after` can be a name which is gone meanwhile.
+CloudResponse FakeCloud::list_page(const CloudRequest& request) const {
+  CloudResponse page;
+  page.status = 200;
+  if (lists_.empty()) return page;
+  for (const ListedMachine& listed : lists_.front().list.machines) {
+    if (listed.name <= request.after) continue;
+    page.more = page.machines.size() >= request.limit;
+    if (page.more) break;
+    page.machines.push_back(listed);
+  }
+  return page;
+}
+
+std::string FakeCloud::address_of(std::size_t number) const {
+  if (address_prefix.empty()) return "10.1.0.1:" + std::to_string(1000 + number);
+  constexpr std::size_t kHostsPerNet = 250;
+  constexpr const char* kWorkerPort = ":9000";
+  return address_prefix + std::to_string(number / kHostsPerNet) + "." +
+         std::to_string(1 + number % kHostsPerNet) + kWorkerPort;
+}
+
+void FakeCloud::launch(const CloudRequest& request, Time now, CloudResponse& response) {
+  CloudMachine machine;
+  machine.name = machine_name(next_++);
+  machine.address = address_of(next_);
+  machine.type = request.scale_out.type;
+  machine.zone = request.scale_out.zone;
+  machine.spot = request.scale_out.spot;
+  machine.launched = now;
+  machine.broken = one_in_never_up > 0 && random_(one_in_never_up) == 0;
+  const double boot = 1000 * types.front().boot_s * (0.6 + random_(90) / 100.0);
+  machine.boots = random_(12) == 0 ? now + 1000 : now + static_cast<Time>(boot);
+  machines[machine.name] = machine;
+  response.names.emplace_back(machine.name);
+  on_launched(machine);
+}
+
+}  // namespace sailreel::sim
--- a/sim/gangs.cpp
+++ b/sim/gangs.cpp
@@ -1,14 +1,14 @@
-// Gangs on the workers of the simulated world, by the phases that the protocol's table gives.
+// Gangs on the workers of the simulated region, by the phases that the protocol's table gives.
 #include "sim/simulated_region.hpp"
 
 namespace sailreel::sim {
 
 std::vector<std::string> SimulatedRegion::machines_of(const std::string& job) const {
   std::vector<std::string> out;
-  for (const auto& [name, w] : workers_)
-    for (const auto& [key, list] : w.tasks)
-      for (const WorkTask& t : list)
-        if (w.alive && key.first == job && t.on) out.push_back(name);
+  for (const auto& [name, worker] : workers_)
+    for (const auto& [key, attempts] : worker.tasks)
+      for (const WorkTask& task : attempts)
+        if (worker.alive && key.job == job && task.present) out.push_back(name);
   return out;
 }
 
@@ -16,12 +16,12 @@
 std::uint32_t SimulatedRegion::gang_tasks_present(const User& user, std::uint64_t attempt,
                                                   bool saved_only) const {
   std::uint32_t present = 0;
-  for (const auto& [name, w] : workers_) {
-    if (!w.alive || now_ < w.hang_until) continue;
-    for (const auto& [key, list] : w.tasks)
-      for (const WorkTask& t : list)
-        if (key.first == user.spec.id && t.heartbeat.attempt == attempt && t.on &&
-            (!saved_only || t.saved))
+  for (const auto& [name, worker] : workers_) {
+    if (!worker.alive || now_ < worker.hang_until) continue;
+    for (const auto& [key, attempts] : worker.tasks)
+      for (const WorkTask& task : attempts)
+        if (key.job == user.spec.id && task.status.attempt == attempt && task.present &&
+            (!saved_only || task.saved))
           ++present;
   }
   return present;
@@ -39,7 +39,7 @@
   run.done_at = now_ + progress.total_ms - progress.saved_ms;
 }
 
-// A task of a running gang is gone: what was not saved is lost, but for the gang's own checkpoints.
+// A task of a running gang is gone: all progress since the last periodic checkpoint is lost.
 void SimulatedRegion::break_gang(const User& user, GangRun& run) {
   if (run.broken_at > 0) return;
   run.broken_at = now_;
@@ -50,43 +50,45 @@
   if (interval > 0) progress.saved_ms = std::max(progress.saved_ms, reached / interval * interval);
 }
 
-void SimulatedRegion::advance_gang(Worker& w, WorkTask& t, const User& user) {
-  TaskStatus& r = t.heartbeat;
+void SimulatedRegion::advance_gang(Worker& worker, WorkTask& task, const User& user) {
+  TaskStatus& status = task.status;
   const Time wait = ms(plan_.gang_wait_s), peer = ms(plan_.gang_peer_s);
-  GangRun& run = gang_runs_[{user.spec.id, r.attempt}];
+  GangRun& run = gang_runs_[{user.spec.id, status.attempt}];
   GangProgress& progress = gang_progress_[user.spec.id];
-  if (r.state == RunState::Fetching && now_ >= t.image_at) {
-    r.state = RunState::Waiting;
-    t.on = w.changed = true;
-    t.waiting_since = now_;
-    w.images.insert(user.spec.image);
-    checker_.started(r.key, {w.machine.name, w.machine.type, w.machine.zone, w.machine.spot}, now_);
-    if (progress.done) return end_task(w, t, ExitCause::Done);
-    start_gang_if_complete(user, r.attempt);
+  if (status.state == RunState::Fetching && now_ >= task.image_at) {
+    status.state = RunState::Waiting;
+    task.present = worker.changed = true;
+    task.waiting_since = now_;
+    worker.images.insert(user.spec.image);
+    checker_.started(
+        status.key,
+        {worker.machine.name, worker.machine.type, worker.machine.zone, worker.machine.spot}, now_);
+    if (progress.done) return end_task(worker, task, ExitCause::Done);
+    start_gang_if_complete(user, status.attempt);
   }
-  if (r.state == RunState::Waiting) {
+  if (status.state == RunState::Waiting) {
     if (run.started && run.broken_at == 0) {
-      r.state = RunState::Running;
-      w.changed = true;
-    } else if (now_ - t.waiting_since > wait) {
-      return end_task(w, t, ExitCause::Incomplete);
+      status.state = RunState::Running;
+      worker.changed = true;
+    } else if (now_ - task.waiting_since > wait) {
+      return end_task(worker, task, ExitCause::Incomplete);
     }
   }
-  if (r.state != RunState::Running && r.state != RunState::Saving) return;
+  if (status.state != RunState::Running && status.state != RunState::Saving) return;
   if (!run.done && run.stopped_at == 0 && run.broken_at == 0 && now_ >= run.done_at) {
     run.done = progress.done = true;
     checker_.gang_completed(user.spec.id);
     for (std::uint32_t i = 0; i < user.spec.tasks; ++i) completed({user.spec.id, i});
   }
   if (run.done) {
-    end_task(w, t, ExitCause::Done);
-    if (on_completed) on_completed(r.key, w.machine.name);
+    end_task(worker, task, ExitCause::Done);
+    if (on_completed) on_completed(status.key, worker.machine.name);
     return;
   }
-  const bool all_here = gang_tasks_present(user, r.attempt, false) == user.spec.tasks;
-  const bool all_saved = gang_tasks_present(user, r.attempt, true) == user.spec.tasks;
+  const bool all_here = gang_tasks_present(user, status.attempt, false) == user.spec.tasks;
+  const bool all_saved = gang_tasks_present(user, status.attempt, true) == user.spec.tasks;
   if (run.stopped_at > 0 && all_saved && run.broken_at == 0) {
-    // Safe with the first exit.
+    // The checkpoint is safe as soon as the first task exits.
     progress.saved_ms += run.stopped_at - run.started_at;
     run.broken_at = now_;
     run.stop_failed = false;
@@ -94,41 +96,43 @@
     run.stop_failed = true;
     break_gang(user, run);
   }
-  if (r.state == RunState::Saving) {
-    if (now_ >= t.exits_at) t.saved = true;
+  if (status.state == RunState::Saving) {
+    if (now_ >= task.exits_at) task.saved = true;
     const bool kept = run.broken_at > 0 && !run.stop_failed;
-    if (t.saved && (kept || now_ >= run.stopped_at + peer)) {
+    if (task.saved && (kept || now_ >= run.stopped_at + peer)) {
       if (!kept) break_gang(user, run);
-      r.saved = kept;
-      end_task(w, t, ExitCause::Stopped);
+      status.saved = kept;
+      end_task(worker, task, ExitCause::Stopped);
     }
     return;
   }
-  // Notices within the time that the settings give; not told to stop in time, it fails the save.
+  // A task notices within the time that the settings give that its peers are gone. If it isn't told
+  // to stop in time, the checkpoint fails.
   const bool told_too_late = run.stopped_at > 0 && now_ >= run.stopped_at + peer;
   if (told_too_late) run.stop_failed = true;
   if (told_too_late ||
       (run.broken_at > 0 && now_ >= run.broken_at + random_(plan_.gang_peer_s < 1 ? 500 : 1000))) {
     break_gang(user, run);
-    end_task(w, t, ExitCause::PeersGone);
+    end_task(worker, task, ExitCause::PeersGone);
   }
 }
 
-void SimulatedRegion::stop_gang_task(WorkTask& t, const User& user, double grace_s, Worker& w) {
-  TaskStatus& r = t.heartbeat;
-  GangRun& run = gang_runs_[{user.spec.id, r.attempt}];
-  const bool saves =
-      r.state == RunState::Running && user.spec.checkpoint_s > 0 && grace_s >= user.spec.save_s;
-  if (r.state == RunState::Saving && grace_s > 0) return;
-  w.changed = true;
+void SimulatedRegion::stop_gang_task(WorkTask& task, const User& user, double grace_s,
+                                     Worker& worker) {
+  TaskStatus& status = task.status;
+  GangRun& run = gang_runs_[{user.spec.id, status.attempt}];
+  const bool saves = status.state == RunState::Running && user.spec.checkpoint_s > 0 &&
+                     grace_s >= user.spec.save_s;
+  if (status.state == RunState::Saving && grace_s > 0) return;
+  worker.changed = true;
   if (saves) {
-    r.state = RunState::Saving;
-    t.exits_at = now_ + ms(user.spec.save_s);
+    status.state = RunState::Saving;
+    task.exits_at = now_ + ms(user.spec.save_s);
     if (run.stopped_at == 0) run.stopped_at = now_;
     return;
   }
-  const bool ran = r.state == RunState::Running || r.state == RunState::Saving;
-  end_task(w, t, ExitCause::Stopped);
+  const bool ran = status.state == RunState::Running || status.state == RunState::Saving;
+  end_task(worker, task, ExitCause::Stopped);
   if (!ran) return;
   run.stop_failed = true;
   break_gang(user, run);
--- a/sim/processor.cpp
+++ b/sim/processor.cpp
@@ -12,47 +12,47 @@
   nodes_[node].slow_until = now_ + for_ms;
 }
 
-void SimulatedRegion::take_next_input(std::size_t i) {
-  Node& n = nodes_[i];
-  if (n.inbox.empty()) return;
-  n.busy = true;
-  longest_input_wait_ = std::max(longest_input_wait_, now_ - n.inbox.front().since);
-  Input input = std::move(n.inbox.front().input);
-  n.inbox.pop_front();
-  const std::uint64_t looks_before = looks_so_far(i);
-  const auto actions = std::make_shared<std::vector<Action>>(step(i, std::move(input)));
-  const Time done_at = now_ + step_time(i, looks_so_far(i) - looks_before);
-  at(done_at, [this, i, actions, alive = still_alive(i)] {
+void SimulatedRegion::take_next_input(std::size_t node) {
+  ControllerHost& host = nodes_[node];
+  if (host.inbox.empty()) return;
+  host.busy = true;
+  longest_input_wait_ = std::max(longest_input_wait_, now_ - host.inbox.front().since);
+  Input input = std::move(host.inbox.front().input);
+  host.inbox.pop_front();
+  const std::uint64_t examined_before = examined_so_far(node);
+  const auto actions = std::make_shared<std::vector<Action>>(step(node, std::move(input)));
+  const Time done_at = now_ + step_time(node, examined_so_far(node) - examined_before);
+  at(done_at, [this, node, actions, alive = still_alive(node)] {
     for (const Action& action : *actions)
-      if (alive()) act_unless_late(i, action);
+      if (alive()) act_unless_late(node, action);
     if (!alive()) return;
-    nodes_[i].busy = false;
-    take_next_input(i);
+    nodes_[node].busy = false;
+    take_next_input(node);
   });
 }
 
-Time SimulatedRegion::step_time(std::size_t i, std::uint64_t looks) const {
-  const Node& n = nodes_[i];
-  const double factor = now_ < n.slow_until ? n.slowness : 1;
+Time SimulatedRegion::step_time(std::size_t node, std::uint64_t examined) const {
+  const ControllerHost& host = nodes_[node];
+  const double factor = now_ < host.slow_until ? host.slowness : 1;
   const ProcessorCost& cost = plan_.processor;
-  return std::llround(factor * (cost.step_ms + cost.look_ms * static_cast<double>(looks)));
+  return std::llround(factor * (cost.step_ms + cost.examine_ms * static_cast<double>(examined)));
 }
 
-std::uint64_t SimulatedRegion::looks_so_far(std::size_t i) const {
-  const Controller* controller = nodes_[i].controller->controller();
+std::uint64_t SimulatedRegion::examined_so_far(std::size_t node) const {
+  const Controller* controller = nodes_[node].controller->controller();
   return controller != nullptr ? controller->examined() : 0;
 }
 
-// As the daemon does it: what may not be said or ordered any more isn't.
-void SimulatedRegion::act_unless_late(std::size_t i, const Action& action) {
-  const auto late = [&](Time valid_until) { return steady_clock(i) >= valid_until; };
+// As the daemon does it: responses and commands whose leadership guarantee has expired are dropped.
+void SimulatedRegion::act_unless_late(std::size_t node, const Action& action) {
+  const auto late = [&](Time valid_until) { return steady_clock(node) >= valid_until; };
   if (const auto* response = std::get_if<Response>(&action);
       response && late(response->valid_until))
-    return act(
-        i, Response{response->source, 503, encode_error("leadership may have ended"), 1, kNever});
+    return act(node, Response{response->source, 503, encode_error("leadership may have ended"), 1,
+                              kNever});
   if (const auto* call = std::get_if<CallWorker>(&action); call && late(call->valid_until))
-    return feed(i, WorkerResponseReceived{call->call, 0, {}});
-  act(i, action);
+    return feed(node, WorkerResponseReceived{call->call, 0, {}});
+  act(node, action);
 }
 
 }  // namespace sailreel::sim
--- a/sim/simulated_controller.hpp
+++ b/sim/simulated_controller.hpp
@@ -1,4 +1,4 @@
-// A controller of the simulated world, of this version or of another.
+// A controller in a simulated region, of this version or of another.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
   virtual std::vector<Action> step(Clock clock, Input input) = 0;
   [[nodiscard]] virtual bool leading() const = 0;
   [[nodiscard]] virtual std::uint64_t epoch() const = 0;
-  /// The core, if it is of this version.
+  /// The controller itself, if it is of this version.
   [[nodiscard]] virtual const Controller* controller() const { return nullptr; }
 };
 
--- a/sim/federated_day.cpp
+++ b/sim/simulated_federation.cpp
@@ -1,4 +1,7 @@
-#include "sim/federated_day.hpp"
+#include "sim/simulated_federation.hpp"
+
+#include <algorithm>
+#include <cmath>
 
 #include "protocol/peer_frames.hpp"
 
@@ -13,44 +16,45 @@
 
 }  // namespace
 
-FederatedDay::FederatedDay(const FederationPlan& plan) : plan_(plan), random_(plan.seed * 97 + 5) {
+SimulatedFederation::SimulatedFederation(const FederationPlan& plan)
+    : plan_(plan), random_(plan.seed * 97 + 5) {
   FederationOptions federation;
   federation.reserve_ratio = plan.reserve_ratio;
-  for (std::size_t n = 0; n < plan.regions; ++n) {
-    names_.push_back(region_name(n));
-    federation.regions.push_back({region_name(n), {"10.0.0.1:1"}});
-    if (n == 0) continue;
+  for (std::size_t region = 0; region < plan.regions; ++region) {
+    names_.push_back(region_name(region));
+    federation.regions.push_back({region_name(region), {"10.0.0.1:1"}});
+    if (region == 0) continue;
     for (const auto& [team, gpus] : plan.first_gpus)
-      federation.shares.push_back({team, region_name(n), 0, gpus});
+      federation.shares.push_back({team, region_name(region), 0, gpus});
   }
-  for (std::size_t n = 0; n < plan.regions; ++n) {
-    SimulationPlan day;
-    day.seed = plan.seed * 10 + n;
-    day.length = plan.length;
-    day.jobs = 0;
-    day.faults = false;
+  for (std::size_t region = 0; region < plan.regions; ++region) {
+    SimulationPlan simulation;
+    simulation.seed = plan.seed * 10 + region;
+    simulation.length = plan.length;
+    simulation.jobs = 0;
+    simulation.faults = false;
     if (!plan.fixed_division) {
-      federation.region = region_name(n);
-      day.options.federation = federation;
+      federation.region = region_name(region);
+      simulation.options.federation = federation;
     }
-    if (plan.adjust) plan.adjust(n, day);
-    regions_.push_back(std::make_unique<SimulatedRegion>(day));
-    regions_.back()->on_region_message = [this, n](std::size_t other,
-                                                   const RegionMessage& message) {
-      send(n, other < n ? other : other + 1, message);
+    if (plan.adjust) plan.adjust(region, simulation);
+    regions_.push_back(std::make_unique<SimulatedRegion>(simulation));
+    regions_.back()->on_region_message = [this, region](std::size_t other,
+                                                        const RegionMessage& message) {
+      send(region, other < region ? other : other + 1, message);
     };
-    if (n > 0) continue;
-    for (const Team& team :
-         (day.deployment ? day.deployment->controllers.front() : sample_settings(0, day.scale))
-             .teams)
+    if (region > 0) continue;
+    for (const Team& team : (simulation.deployment ? simulation.deployment->controllers.front()
+                                                   : sample_settings(0, simulation.scale))
+                                .teams)
       if (team.gpus_max > 0) limits_[team.name] = team.gpus_max;
   }
   if (plan.faults) plan_faults();
 }
 
-void FederatedDay::run_until(Time t) {
-  while (now_ < t) {
-    now_ = std::min(t, now_ + kSlice);
+void SimulatedFederation::run_until(Time time) {
+  while (now_ < time) {
+    now_ = std::min(time, now_ + kSlice);
     for (auto& region : regions_) region->run_until(now_);
     deliver_due();
     while (!faults_at_.empty() && faults_at_.back() <= now_) {
@@ -63,7 +67,7 @@
   }
 }
 
-void FederatedDay::send(std::size_t from, std::size_t to, const RegionMessage& message) {
+void SimulatedFederation::send(std::size_t from, std::size_t to, const RegionMessage& message) {
   PeerMessage peer;
   peer.kind = PeerMessage::Kind::Region;
   peer.region = message;
@@ -73,9 +77,9 @@
   const auto jitter = static_cast<std::uint32_t>(std::max<Time>(1, plan_.delay_ms / 4));
   Time arrives = now_ + plan_.delay_ms + random_(jitter);
   const auto cut = cuts_.find(std::minmax(from, to));
-  if (cut != cuts_.end() && now_ < cut->second.first) {
-    if (!cut->second.second) return;
-    arrives = cut->second.first + random_(jitter);
+  if (cut != cuts_.end() && now_ < cut->second.until) {
+    if (!cut->second.hold) return;
+    arrives = cut->second.until + random_(jitter);
   }
   constexpr std::uint32_t kMillion = 1'000'000;
   if (random_(kMillion) < plan_.repeated * kMillion)
@@ -84,42 +88,43 @@
   messages_due_.insert({arrives, {to, bytes}});
 }
 
-void FederatedDay::deliver_due() {
+void SimulatedFederation::deliver_due() {
   while (!messages_due_.empty() && messages_due_.begin()->first <= now_) {
-    const Held held = std::move(messages_due_.begin()->second);
+    const MessageInTransit arrived = std::move(messages_due_.begin()->second);
     messages_due_.erase(messages_due_.begin());
     PeerReader reader;
-    reader.feed(held.bytes);
-    if (const auto message = reader.next()) regions_[held.to]->receive_region(message->region);
+    reader.feed(arrived.bytes);
+    if (const auto message = reader.next()) regions_[arrived.to]->receive_region(message->region);
   }
 }
 
-void FederatedDay::cut(std::size_t a, std::size_t b, Time for_ms, bool hold) {
+void SimulatedFederation::cut(std::size_t a, std::size_t b, Time for_ms, bool hold) {
   cuts_[std::minmax(a, b)] = {now_ + for_ms, hold};
 }
 
-void FederatedDay::cut_off(std::size_t region, Time for_ms, bool hold) {
+void SimulatedFederation::cut_off(std::size_t region, Time for_ms, bool hold) {
   for (std::size_t other = 0; other < regions_.size(); ++other)
     if (other != region) cut(region, other, for_ms, hold);
 }
 
-ShareLedger FederatedDay::ledger(std::size_t region) const {
+ShareLedger SimulatedFederation::ledger(std::size_t region) const {
   ShareLedger out;
-  const FakeKvStore& state = regions_[region]->state();
+  const FakeKvStore& store = regions_[region]->kv_store();
   for (const auto& [team, limit] : limits_)
-    decode_share_value(share_key(team), state.value_of(share_key(team)), out);
+    decode_share_value(share_key(team), store.value_of(share_key(team)), out);
   for (const std::string& name : names_)
-    decode_share_value(transfer_key(name), state.value_of(transfer_key(name)), out);
+    decode_share_value(transfer_key(name), store.value_of(transfer_key(name)), out);
   return out;
 }
 
-Amounts FederatedDay::held(const std::string& team) const {
+Amounts SimulatedFederation::held(const std::string& team) const {
   Amounts sum;
-  for (std::size_t n = 0; n < regions_.size(); ++n) sum += ledger(n).teams[team].share;
+  for (std::size_t region = 0; region < regions_.size(); ++region)
+    sum += ledger(region).teams[team].share;
   return sum;
 }
 
-Amounts FederatedDay::in_transit(const std::string& team) const {
+Amounts SimulatedFederation::in_transit(const std::string& team) const {
   Amounts sum;
   for (std::size_t from = 0; from < regions_.size(); ++from)
     for (std::size_t to = 0; to < regions_.size(); ++to) {
@@ -132,13 +137,13 @@
   return sum;
 }
 
-double FederatedDay::used_gpus(const std::string& team) const {
+double SimulatedFederation::used_gpus(const std::string& team) const {
   double sum = 0;
   for (const auto& region : regions_) sum += region->checker().used_by(team).gpus;
   return sum;
 }
 
-void FederatedDay::check() {
+void SimulatedFederation::check() {
   for (const auto& [team, limit] : limits_) {
     if (used_gpus(team) > limit + 1e-6)
       broken_.try_emplace("quota over all regions", team + " at " + std::to_string(now_) +
@@ -148,16 +153,16 @@
   }
 }
 
-// Once all regions have written what they begin with, nothing appears and nothing vanishes; and no
-// region uses more than it holds.
-void FederatedDay::check_shares(const std::string& team, double limit) {
-  for (std::size_t n = 0; n < regions_.size(); ++n) {
-    const ShareLedger mine = ledger(n);
+// Once all regions have written their first shares, the shares add up to the limit in force at any
+// moment, and no region uses more than it holds.
+void SimulatedFederation::check_shares(const std::string& team, double limit) {
+  for (std::size_t region = 0; region < regions_.size(); ++region) {
+    const ShareLedger mine = ledger(region);
     const auto record = mine.teams.find(team);
     if (record == mine.teams.end()) return;
     const double share = static_cast<double>(record->second.share.gpus) / 1000;
-    if (regions_[n]->checker().used_by(team).gpus > share + 1e-6)
-      broken_.try_emplace("share", team + " in " + names_[n] + " at " + std::to_string(now_));
+    if (regions_[region]->checker().used_by(team).gpus > share + 1e-6)
+      broken_.try_emplace("share", team + " in " + names_[region] + " at " + std::to_string(now_));
   }
   const Amounts excess = ledger(0).teams[team].excess;
   const double sum = static_cast<double>((held(team) + in_transit(team) - excess).gpus) / 1000;
@@ -167,16 +172,16 @@
                                       std::to_string(in_force) + " at " + std::to_string(now_));
 }
 
-std::string FederatedDay::broken() const {
+std::string SimulatedFederation::broken() const {
   std::string out;
   for (const auto& [rule, what] : broken_) out.append(rule).append(" (").append(what).append(") ");
-  for (std::size_t n = 0; n < regions_.size(); ++n)
-    if (const std::string summary = regions_[n]->checker().summary(); !summary.empty())
-      out.append(names_[n]).append(": ").append(summary);
+  for (std::size_t region = 0; region < regions_.size(); ++region)
+    if (const std::string summary = regions_[region]->checker().summary(); !summary.empty())
+      out.append(names_[region]).append(": ").append(summary);
   return out;
 }
 
-void FederatedDay::plan_faults() {
+void SimulatedFederation::plan_faults() {
   const auto from = static_cast<std::uint32_t>(plan_.length / 6);
   const auto span = static_cast<std::uint32_t>(plan_.length / 2);
   constexpr int kFaults = 14;
@@ -184,9 +189,9 @@
   std::sort(faults_at_.rbegin(), faults_at_.rend());
 }
 
-void FederatedDay::fault() {
-  const std::size_t n = random_(static_cast<std::uint32_t>(regions_.size()));
-  SimulatedRegion& region = *regions_[n];
+void SimulatedFederation::fault() {
+  const std::size_t target = random_(static_cast<std::uint32_t>(regions_.size()));
+  SimulatedRegion& region = *regions_[target];
   const Time span = 3'000 + random_(20'000);
   const bool hold = random_(2) == 0;
   const int lead = region.leader();
@@ -196,9 +201,9 @@
     case 1:
       return region.kill(node, random_(2) == 0 ? 300 : 6'000);
     case 2:
-      return cut_off(n, span, hold);
+      return cut_off(target, span, hold);
     case 3:
-      return cut(n, (n + 1) % regions_.size(), 2 * span, hold);
+      return cut(target, (target + 1) % regions_.size(), 2 * span, hold);
     case 4:
       return region.kv_store_outage(span / 2);
     case 5:
@@ -208,7 +213,8 @@
     case 7:
       return region.isolate(node, span, hold);
     default:
-      for (std::size_t i = 0; i < 3; ++i) region.kill(i, i == node ? 500 : 5'000);
+      for (std::size_t other = 0; other < 3; ++other)
+        region.kill(other, other == node ? 500 : 5'000);
   }
 }
 
--- a/sim/federated_day.hpp
+++ b/sim/simulated_federation.hpp
@@ -1,6 +1,6 @@
-// Several regions on one simulated clock, each a world of its own, with messages between them that
-// are delayed, lost, repeated late and held by cuts. Watches what no region can see by itself: what
-// a team uses over all regions, and that shares neither appear nor vanish.
+// Several simulated regions on one clock, with messages between them that are delayed, lost,
+// duplicated and held by network cuts. Checks what no region can see by itself: what a team uses
+// over all regions, and that quota shares are neither created nor lost.
 #pragma once
 
 #include <map>
@@ -27,17 +27,17 @@
   /// Each region keeps a fixed part of each limit, and nothing moves.
   bool fixed_division = false;
   bool faults = false;
-  /// Changes the plan of a region's own day.
+  /// Changes the plan of a region's own simulation.
   std::function<void(std::size_t region, SimulationPlan&)> adjust;
 };
 
-class FederatedDay {
+class SimulatedFederation {
  public:
-  explicit FederatedDay(const FederationPlan& plan);
+  explicit SimulatedFederation(const FederationPlan& plan);
 
-  void run_until(Time t);
+  void run_until(Time time);
   [[nodiscard]] Time now() const { return now_; }
-  SimulatedRegion& region(std::size_t n) { return *regions_[n]; }
+  SimulatedRegion& region(std::size_t region) { return *regions_[region]; }
   [[nodiscard]] std::size_t regions() const { return regions_.size(); }
 
   /// The two regions lose each other; what is sent meanwhile is held, or lost.
@@ -59,7 +59,7 @@
   [[nodiscard]] std::string broken() const;
 
  private:
-  struct Held {
+  struct MessageInTransit {
     std::size_t to = 0;
     std::string bytes;
   };
@@ -75,8 +75,8 @@
   std::vector<std::unique_ptr<SimulatedRegion>> regions_;
   std::vector<std::string> names_;
   std::map<std::string, double> limits_;
-  std::multimap<Time, Held> messages_due_;
-  std::map<std::pair<std::size_t, std::size_t>, std::pair<Time, bool>> cuts_;
+  std::multimap<Time, MessageInTransit> messages_due_;
+  std::map<std::pair<std::size_t, std::size_t>, NetworkCut> cuts_;
   std::vector<Time> faults_at_;
   std::map<std::string, std::string> broken_;
   Time now_ = 0, next_check_ = 0;
--- a/sim/users.cpp
+++ b/sim/users.cpp
@@ -1,4 +1,4 @@
-// The users of the simulated world.
+// The users of the simulated region.
 #include "protocol/fake_server_codec.hpp"
 #include "sim/simulated_region.hpp"
 
@@ -19,13 +19,13 @@
 }
 
 void SimulatedRegion::submit(const JobSpec& spec, Time cancel_at) {
-  auto u = std::make_unique<User>();
-  u->spec = spec;
-  u->body = encode_submission(spec);
-  u->cancel_at = cancel_at;
-  u->first = now_;
+  auto user = std::make_unique<User>();
+  user->spec = spec;
+  user->body = encode_submission(spec);
+  user->cancel_at = cancel_at;
+  user->first = now_;
   by_job_[spec.id] = users_.size();
-  users_.push_back(std::move(u));
+  users_.push_back(std::move(user));
   checker_.submitted(spec);
   user_tick(users_.size() - 1);
 }
@@ -42,9 +42,9 @@
                                        std::function<void(int, const std::string&)> then) {
   const std::uint64_t call = next_call_++;
   answers_[call] = [this, node, then = std::move(then)](int status, const std::string& text) {
-    carry(nodes_[node].name, "users", [then, status, text] { then(status, text); });
+    carry(nodes_[node].name, kUsersHost, [then, status, text] { then(status, text); });
   };
-  carry("users", nodes_[node].name, [this, node, call, op, id, body] {
+  carry(kUsersHost, nodes_[node].name, [this, node, call, op, id, body] {
     const bool submits = op == UserOp::Submit;
     feed(node,
          UserRequest{
@@ -61,45 +61,46 @@
 }
 
 void SimulatedRegion::user_tick(std::size_t index) {
-  User& u = *users_[index];
-  ++u.turn;
-  if (u.over && now_ - u.first > plan_.length) return;
+  User& user = *users_[index];
+  ++user.turn;
+  if (user.over && now_ - user.first > plan_.length) return;
   UserOp op = UserOp::Query;
-  if (u.accepted && u.cancel_at > 0 && now_ >= u.cancel_at && !u.over) {
+  if (user.accepted && user.cancel_at > 0 && now_ >= user.cancel_at && !user.over) {
     op = UserOp::Cancel;
-    u.cancelling = true;
-    checker_.cancel_asked(u.spec.id);
-  } else if (!u.accepted || (u.over && random_(4) == 0)) {
+    user.cancelling = true;
+    checker_.cancel_asked(user.spec.id);
+  } else if (!user.accepted || (user.over && random_(4) == 0)) {
     op = UserOp::Submit;  // at first, and at times again long after
   }
   std::vector<std::size_t> healthy;
-  for (std::size_t i = 0; i < nodes_.size(); ++i)
-    if (nodes_[i].controller) healthy.push_back(i);
+  for (std::size_t node = 0; node < nodes_.size(); ++node)
+    if (nodes_[node].controller) healthy.push_back(node);
   if (healthy.empty()) return user_next(index, now_ + 1000);
-  const std::size_t i = healthy[random_(static_cast<std::uint32_t>(healthy.size()))];
-  const std::uint64_t turn = u.turn;
+  const std::size_t node = healthy[random_(static_cast<std::uint32_t>(healthy.size()))];
+  const std::uint64_t turn = user.turn;
   const Time asked = now_;
-  u.asked = asked;
+  user.asked = asked;
   const std::uint64_t call =
-      request(i, op, u.spec.id, u.body,
+      request(node, op, user.spec.id, user.body,
               [this, index, turn, op, asked](int status, const std::string& body) {
-                if (users_[index]->turn == turn) return user_answer(index, op, status, body);
-                // Overtaken by a request of the user's own; it was told all the same.
+                if (users_[index]->turn == turn)
+                  return handle_user_response(index, op, status, body);
+                // The user has sent a newer request meanwhile; this response binds all the same.
                 if (accepted(status))
                   checker_.told(users_[index]->spec.id, decode_job_state(body), now_, asked);
               });
-  u.call = call;
+  user.call = call;
   at(now_ + patience(op), [this, index, turn, call, op] {
     User& user = *users_[index];
-    if (user.turn == turn && user.call == call) user_answer(index, op, 0, "");
+    if (user.turn == turn && user.call == call) handle_user_response(index, op, 0, "");
   });
 }
 
-void SimulatedRegion::user_answer(std::size_t index, UserOp op, int status,
-                                  const std::string& body) {
-  User& u = *users_[index];
-  if (u.call == 0) return;
-  u.call = 0;
+void SimulatedRegion::handle_user_response(std::size_t index, UserOp op, int status,
+                                           const std::string& body) {
+  User& user = *users_[index];
+  if (user.call == 0) return;
+  user.call = 0;
   if (op == UserOp::Submit && status == 0) ++unanswered_;
   if (op == UserOp::Cancel && status == 0) ++unanswered_cancels_;
   if (accepted(status)) {
@@ -107,27 +108,27 @@
     if (state.empty()) {
       ++malformed_;
     } else {
-      const bool first = !u.accepted;
-      if (first) submission_delays_.push_back(now_ - u.first);
-      if (op == UserOp::Cancel) checker_.cancel_answered(u.spec.id, state);
-      u.accepted = true;
-      checker_.told(u.spec.id, state, now_, u.asked);
-      const bool ended = !u.over && (state == "done" || state == "cancelled");
-      u.over = u.over || ended;
+      const bool first = !user.accepted;
+      if (first) submission_delays_.push_back(now_ - user.first);
+      if (op == UserOp::Cancel) checker_.cancel_answered(user.spec.id, state);
+      user.accepted = true;
+      checker_.told(user.spec.id, state, now_, user.asked);
+      const bool ended = !user.over && (state == "done" || state == "cancelled");
+      user.over = user.over || ended;
       if ((first || ended) && now_ < poll_closely_until_) poll_everywhere(index);
     }
   } else if (op == UserOp::Query && status != 404) {
-    checker_.unanswered(u.spec.id, now_);
+    checker_.unanswered(user.spec.id, now_);
   } else if (status == 404 || status == 400 || status == 422) {
-    checker_.refused(u.spec.id, status, op != UserOp::Submit, u.asked);
+    checker_.refused(user.spec.id, status, op != UserOp::Submit, user.asked);
   }
   const Time pause = accepted(status)
-                         ? (u.over ? 20'000 : kUserPoll) + static_cast<Time>(random_(1000))
+                         ? (user.over ? 20'000 : kUserPoll) + static_cast<Time>(random_(1000))
                          : 1000 + static_cast<Time>(random_(200));
   user_next(index, now_ + pause);
 }
 
-// One question more; what it brings binds all nodes from then on.
+// What one node responds binds all nodes from then on.
 void SimulatedRegion::ask_for(const std::string& id, std::size_t node, UserOp op,
                               const std::function<void(int)>& then) {
   const auto it = by_job_.find(id);
@@ -147,52 +148,52 @@
 
 void SimulatedRegion::poll_everywhere(std::size_t index) {
   const std::string id = users_[index]->spec.id;
-  for (std::size_t round = 0; round < 3; ++round)
+  for (std::size_t repeat = 0; repeat < 3; ++repeat)
     for (std::size_t node = 0; node < nodes_.size(); ++node)
-      at(now_ + random_(20) + static_cast<Time>(round) * 100,
+      at(now_ + random_(20) + static_cast<Time>(repeat) * 100,
          [this, id, node] { ask(id, node, UserOp::Query); });
   at(now_ + random_(20), [this, id] { ask(id, random_(node_count()), UserOp::Submit); });
-  if (!users_[index]->over && random_(8) == 0) call_off(index);
+  if (!users_[index]->over && random_(8) == 0) cancel_job_of(index);
 }
 
-void SimulatedRegion::call_off(std::size_t index) {
-  User& u = *users_[index];
-  if (!u.accepted || u.over || u.cancelling) return;
-  u.cancel_at = now_;
+void SimulatedRegion::cancel_job_of(std::size_t index) {
+  User& user = *users_[index];
+  if (!user.accepted || user.over || user.cancelling) return;
+  user.cancel_at = now_;
   user_tick(index);
 }
 
-void SimulatedRegion::cancel(const std::string& id) { call_off(by_job_.at(id)); }
+void SimulatedRegion::cancel(const std::string& id) { cancel_job_of(by_job_.at(id)); }
 
 void SimulatedRegion::completed(const TaskKey& key) {
   if (const auto it = by_job_.find(key.job); it != by_job_.end())
     users_[it->second]->completed.insert(key.index);
 }
 
-void SimulatedRegion::odd_request(Time until) {
+void SimulatedRegion::send_odd_request(Time until) {
   if (now_ >= until) return;
-  at(now_ + 300 + random_(700), [this, until] { odd_request(until); });
+  at(now_ + 300 + random_(700), [this, until] { send_odd_request(until); });
   const std::size_t node = random_(node_count());
   if (!users_.empty()) {
     // A repeat of any job's submission, and a cancellation of one that is over.
-    const User& u = *users_[random_(static_cast<std::uint32_t>(users_.size()))];
-    if (u.accepted) ask(u.spec.id, node, UserOp::Submit);
-    if (u.over) ask(u.spec.id, random_(node_count()), UserOp::Cancel);
+    const User& user = *users_[random_(static_cast<std::uint32_t>(users_.size()))];
+    if (user.accepted) ask(user.spec.id, node, UserOp::Submit);
+    if (user.over) ask(user.spec.id, random_(node_count()), UserOp::Cancel);
   }
-  JobSpec s;
-  s.id = "job-77" + std::to_string(next_odd_++);
-  s.job_class = "batch";
-  s.team = "red";
-  s.tasks = 1;
-  s.need = {2, 1, 10};
-  s.image = "img-0";
+  JobSpec spec;
+  spec.id = "job-77" + std::to_string(next_odd_++);
+  spec.job_class = "batch";
+  spec.team = "red";
+  spec.tasks = 1;
+  spec.need = {2, 1, 10};
+  spec.image = "img-0";
   const std::uint32_t kind = random_(4);
-  if (kind == 0) s.need.gpus = 1'000;
-  if (kind == 1) s.team = "nobody";
-  std::string body = encode_submission(s);
+  if (kind == 0) spec.need.gpus = 1'000;
+  if (kind == 1) spec.team = "nobody";
+  std::string body = encode_submission(spec);
   if (kind == 2) body.replace(body.find("\"ram_gb\""), 8, "\"ram_xx\"");
   const UserOp op = kind == 3 ? UserOp::Query : UserOp::Submit;
-  request(node, op, s.id, body, [this, id = s.id](int status, const std::string&) {
+  request(node, op, spec.id, body, [this, id = spec.id](int status, const std::string&) {
     if (accepted(status)) checker_.accepted_unfit(id);
   });
 }
--- a/sim/workers.cpp
+++ b/sim/workers.cpp
@@ -1,4 +1,6 @@
-// The workers of the simulated world, by their published protocol.
+// The workers of the simulated region, by their published protocol.
+#include <algorithm>
+
 #include "protocol/fake_server_codec.hpp"
 #include "protocol/worker_codec.hpp"
 #include "sim/simulated_region.hpp"
@@ -10,262 +12,271 @@
 
 }  // namespace
 
-Heartbeat SimulatedRegion::make_heartbeat(Worker& w) {
-  Heartbeat r;
-  r.machine = w.machine.name;
-  r.address = w.machine.address;
-  r.type = w.machine.type;
-  r.zone = w.machine.zone;
-  r.spot = w.machine.spot;
-  r.incarnation = w.incarnation;
-  r.seq = ++w.seq;
-  r.fencing_token = w.fencing_token;
-  if (w.notice_at > 0)
-    r.notice_s = static_cast<double>(std::max<Time>(0, w.notice_at - now_)) / 1000;
-  for (const auto& [key, list] : w.tasks)
-    for (const WorkTask& t : list) r.tasks.push_back(t.heartbeat);
-  return r;
+Heartbeat SimulatedRegion::make_heartbeat(Worker& worker) {
+  Heartbeat heartbeat;
+  heartbeat.machine = worker.machine.name;
+  heartbeat.address = worker.machine.address;
+  heartbeat.type = worker.machine.type;
+  heartbeat.zone = worker.machine.zone;
+  heartbeat.spot = worker.machine.spot;
+  heartbeat.incarnation = worker.incarnation;
+  heartbeat.seq = ++worker.seq;
+  heartbeat.fencing_token = worker.fencing_token;
+  if (worker.notice_at > 0)
+    heartbeat.notice_s = static_cast<double>(std::max<Time>(0, worker.notice_at - now_)) / 1000;
+  for (const auto& [key, attempts] : worker.tasks)
+    for (const WorkTask& task : attempts) heartbeat.tasks.push_back(task.status);
+  return heartbeat;
 }
 
-void SimulatedRegion::ended(const TaskKey& key, const std::string& machine, bool completed) {
+void SimulatedRegion::task_ended(const TaskKey& key, const std::string& machine, bool completed) {
   checker_.ended(key, machine, completed);
   if (on_ended) on_ended(key, machine);
 }
 
-void SimulatedRegion::lapse(Worker& w) {
-  for (const auto& [key, list] : w.tasks)
-    for (const WorkTask& t : list)
-      if (t.on) ended(t.heartbeat.key, w.machine.name, false);
-  w.tasks.clear();
-  ++w.incarnation;
-  w.began = w.last_ok_sent = now_;
-  w.in_flight = false;
-  w.changed = true;
+void SimulatedRegion::expire_lease(Worker& worker) {
+  for (const auto& [key, attempts] : worker.tasks)
+    for (const WorkTask& task : attempts)
+      if (task.present) task_ended(task.status.key, worker.machine.name, false);
+  worker.tasks.clear();
+  ++worker.incarnation;
+  worker.last_ok_sent = now_;
+  worker.in_flight = false;
+  worker.changed = true;
 }
 
 void SimulatedRegion::worker_tick(const std::string& name) {
   const auto found = workers_.find(name);
   if (found == workers_.end() || !found->second.alive) return;
-  Worker& w = found->second;
-  if (now_ < w.hang_until) {
-    at(w.hang_until, [this, name] { worker_tick(name); });
+  Worker& worker = found->second;
+  if (now_ < worker.hang_until) {
+    at(worker.hang_until, [this, name] { worker_tick(name); });
     return;
   }
   const double lease = settings_[0].workers.lease_s * 1000;
-  if (static_cast<double>(now_ - w.last_ok_sent) * w.drift > lease) lapse(w);
-  for (auto& [key, list] : w.tasks)
-    for (WorkTask& t : list) advance(w, t);
-  if (!w.in_flight && (now_ >= w.next_heartbeat || (w.changed && now_ - w.last_heartbeat >= 500)))
-    send_heartbeat(w);
+  if (static_cast<double>(now_ - worker.last_ok_sent) * worker.drift > lease) expire_lease(worker);
+  for (auto& [key, attempts] : worker.tasks)
+    for (WorkTask& task : attempts) advance(worker, task);
+  if (!worker.in_flight &&
+      (now_ >= worker.next_heartbeat || (worker.changed && now_ - worker.last_heartbeat >= 500)))
+    send_heartbeat(worker);
   at(now_ + kWorkerTick, [this, name] { worker_tick(name); });
 }
 
-void SimulatedRegion::advance(Worker& w, WorkTask& t) {
-  TaskStatus& r = t.heartbeat;
-  const User* user = user_of(r.key.job);
-  if (is_gang(user)) return advance_gang(w, t, *user);
-  if (r.state == RunState::Fetching && now_ >= t.image_at) begin_task(w, t);
-  const bool fails = mistaken_.contains(r.key.job) || faulty_.contains(w.machine.name);
-  if (r.state == RunState::Running && now_ >= t.image_at + 300 && fails) {
-    end_task(w, t, ExitCause::Error);
-  } else if (r.state == RunState::Running && t.done_at > 0 && now_ >= t.done_at) {
-    w.done.insert(task_name(r.key));
-    end_task(w, t, ExitCause::Done);
-    completed(r.key);
-    if (on_completed) on_completed(r.key, w.machine.name);
+void SimulatedRegion::advance(Worker& worker, WorkTask& task) {
+  TaskStatus& status = task.status;
+  const User* user = user_of(status.key.job);
+  if (is_gang(user)) return advance_gang(worker, task, *user);
+  if (status.state == RunState::Fetching && now_ >= task.image_at) begin_task(worker, task);
+  const bool fails = failing_.contains(status.key.job) || faulty_.contains(worker.machine.name);
+  if (status.state == RunState::Running && now_ >= task.image_at + 300 && fails) {
+    end_task(worker, task, ExitCause::Error);
+  } else if (status.state == RunState::Running && task.done_at > 0 && now_ >= task.done_at) {
+    worker.done.insert(task_name(status.key));
+    end_task(worker, task, ExitCause::Done);
+    completed(status.key);
+    if (on_completed) on_completed(status.key, worker.machine.name);
   }
-  if (r.state == RunState::Saving && now_ >= t.exits_at) {
-    r.saved = true;
-    end_task(w, t, ExitCause::Stopped);
+  if (status.state == RunState::Saving && now_ >= task.exits_at) {
+    status.saved = true;
+    end_task(worker, task, ExitCause::Stopped);
   }
 }
 
-void SimulatedRegion::begin_task(Worker& w, WorkTask& t) {
-  TaskStatus& r = t.heartbeat;
-  r.state = RunState::Running;
-  t.on = true;
-  w.changed = true;
-  checker_.started(r.key, {w.machine.name, w.machine.type, w.machine.zone, w.machine.spot}, now_);
-  if (on_started) on_started(r.key);
-  const User* u = user_of(r.key.job);
-  if (u == nullptr) return;
-  w.images.insert(u->spec.image);
-  if (u->spec.kind == JobKind::Array)
-    t.done_at = w.done.contains(task_name(r.key))
-                    ? now_
-                    : now_ + static_cast<Time>(u->spec.estimate_s * (500 + random_(1000)));
-  if (t.done_at > 0 && strikes(cancel_at_end_))
-    at(t.done_at - 50 + random_(200), [this, id = u->spec.id] { call_off(by_job_.at(id)); });
+void SimulatedRegion::begin_task(Worker& worker, WorkTask& task) {
+  TaskStatus& status = task.status;
+  status.state = RunState::Running;
+  task.present = true;
+  worker.changed = true;
+  checker_.started(
+      status.key,
+      {worker.machine.name, worker.machine.type, worker.machine.zone, worker.machine.spot}, now_);
+  if (on_started) on_started(status.key);
+  const User* user = user_of(status.key.job);
+  if (user == nullptr) return;
+  worker.images.insert(user->spec.image);
+  if (user->spec.kind == JobKind::Array)
+    task.done_at = worker.done.contains(task_name(status.key))
+                       ? now_
+                       : now_ + static_cast<Time>(user->spec.estimate_s * (500 + random_(1000)));
+  if (task.done_at > 0 && affects_next(cancel_at_end_))
+    at(task.done_at - 50 + random_(200),
+       [this, id = user->spec.id] { cancel_job_of(by_job_.at(id)); });
 }
 
-void SimulatedRegion::end_task(Worker& w, WorkTask& t, ExitCause cause) {
-  if (t.on) ended(t.heartbeat.key, w.machine.name, cause == ExitCause::Done);
-  t.on = false;
-  t.heartbeat.state = RunState::Exited;
-  t.heartbeat.cause = cause;
-  w.changed = true;
+void SimulatedRegion::end_task(Worker& worker, WorkTask& task, ExitCause cause) {
+  if (task.present) task_ended(task.status.key, worker.machine.name, cause == ExitCause::Done);
+  task.present = false;
+  task.status.state = RunState::Exited;
+  task.status.cause = cause;
+  worker.changed = true;
 }
 
-void SimulatedRegion::send_heartbeat(Worker& w) {
-  const std::string name = w.machine.name;
-  const Heartbeat heartbeat = make_heartbeat(w);
+void SimulatedRegion::send_heartbeat(Worker& worker) {
+  const std::string name = worker.machine.name;
+  const Heartbeat heartbeat = make_heartbeat(worker);
   const Time sent = now_;
-  const std::uint64_t flight = ++w.flight, incarnation = w.incarnation;
-  w.in_flight = true;
-  w.changed = false;
-  w.last_heartbeat = now_;
+  const std::uint64_t flight = ++worker.flight, incarnation = worker.incarnation;
+  worker.in_flight = true;
+  worker.changed = false;
+  worker.last_heartbeat = now_;
   const Time interval = ms(settings_[0].workers.heartbeat_interval_s);
-  w.next_heartbeat = now_ + interval * 3 / 4 +
-                     static_cast<Time>(random_(static_cast<std::uint32_t>(interval / 2)));
-  const std::size_t i = w.node;
+  worker.next_heartbeat = now_ + interval * 3 / 4 +
+                          static_cast<Time>(random_(static_cast<std::uint32_t>(interval / 2)));
+  const std::size_t node = worker.node;
   const std::uint64_t call = next_call_++;
   const auto finish = [this, name, flight, sent, incarnation](int status, const std::string& body) {
     const auto it = workers_.find(name);
-    if (it == workers_.end() || !it->second.alive || now_ < it->second.deaf_until) return;
-    if (now_ < it->second.mute_until) return;
-    take_answer(it->second, flight, sent, incarnation, status, body);
+    if (it == workers_.end() || !it->second.alive || now_ < it->second.inbound_blocked_until)
+      return;
+    if (now_ < it->second.outbound_blocked_until) return;
+    handle_heartbeat_response(it->second, flight, sent, incarnation, status, body);
   };
-  answers_[call] = [this, i, name, finish](int status, const std::string& body) {
-    carry(nodes_[i].name, name, [finish, status, body] { finish(status, body); });
+  answers_[call] = [this, node, name, finish](int status, const std::string& body) {
+    carry(nodes_[node].name, name, [finish, status, body] { finish(status, body); });
   };
   const std::string raw = encode_heartbeat(heartbeat);
-  const auto deliver = [this, i, raw](RequestSource source) {
+  const auto deliver = [this, node, raw](RequestSource source) {
     ++heartbeats_;
-    if (auto decoded = decode_heartbeat(raw)) feed(i, HeartbeatReceived{source, *decoded, raw});
+    if (auto decoded = decode_heartbeat(raw)) feed(node, HeartbeatReceived{source, *decoded, raw});
   };
-  deliver_heartbeat(w, [this, i, deliver, call, finish] {
-    if (!nodes_[i].controller) return finish(0, "");
+  deliver_heartbeat(worker, [this, node, deliver, call, finish] {
+    if (!nodes_[node].controller) return finish(0, "");
     deliver({RequestSource::Kind::Local, call, 0});
   });
   if (random_(1000) < plan_.late_copies * 1000)
     at(now_ + 1000 + random_(40'000),
-       [this, name, i, deliver] { carry(name, nodes_[i].name, [deliver] { deliver({}); }); });
-  if (strikes(for_next_)) kept_heartbeats_.push_back(raw);
-  if (strikes(late_heartbeats_))
+       [this, name, node, deliver] { carry(name, nodes_[node].name, [deliver] { deliver({}); }); });
+  if (affects_next(kept_for_next_leader_)) kept_heartbeats_.push_back(raw);
+  if (affects_next(late_heartbeats_))
     at(now_ + 2'000 + random_(static_cast<std::uint32_t>(2'500 * plan_.lease_s)),
        [this, raw] { deliver_everywhere(raw); });
   at(now_ + kHeartbeatWait, [this, name, call, flight, sent, incarnation] {
     answers_.erase(call);
     const auto it = workers_.find(name);
     if (it != workers_.end() && it->second.alive)
-      take_answer(it->second, flight, sent, incarnation, 0, "");
+      handle_heartbeat_response(it->second, flight, sent, incarnation, 0, "");
   });
 }
 
 // A cut holds what is sent over a connection that is open. One that is only attempted meanwhile is
-// given up, and doesn't complete later: so it is the report of before the cut that arrives after
-// it, and none of those that the worker sends to the other controllers in the meantime.
-void SimulatedRegion::deliver_heartbeat(Worker& w, std::function<void()> arrive) {
-  const std::string& node = nodes_[w.node].name;
-  const bool cut_off = now_ < cut_between(w.machine.name, node).first;
-  if (now_ < w.mute_until || (cut_off && !w.connected)) return;
-  carry(w.machine.name, node, std::move(arrive));
+// given up, and doesn't complete later: so it is the heartbeat from before the cut that arrives
+// after it, and none of those that the worker sends to the other controllers in the meantime.
+void SimulatedRegion::deliver_heartbeat(Worker& worker, std::function<void()> arrive) {
+  const std::string& node = nodes_[worker.node].name;
+  const bool is_cut = now_ < cuts_.between(worker.machine.name, node).until;
+  if (now_ < worker.outbound_blocked_until || (is_cut && !worker.connected)) return;
+  carry(worker.machine.name, node, std::move(arrive));
 }
 
-void SimulatedRegion::take_answer(Worker& w, std::uint64_t flight, Time sent,
-                                  std::uint64_t incarnation, int status, const std::string& body) {
-  if (!w.in_flight || w.flight != flight) return;
-  w.in_flight = false;
-  w.connected = status == 200;
-  if (now_ < w.hang_until) return;
+void SimulatedRegion::handle_heartbeat_response(Worker& worker, std::uint64_t flight, Time sent,
+                                                std::uint64_t incarnation, int status,
+                                                const std::string& body) {
+  if (!worker.in_flight || worker.flight != flight) return;
+  worker.in_flight = false;
+  worker.connected = status == 200;
+  if (now_ < worker.hang_until) return;
   if (status == 200) {
     const auto batch = decode_commands(body);
-    if (!batch || incarnation != w.incarnation || batch->fencing_token < w.fencing_token ||
-        batch->fencing_token == 0)
+    if (!batch || incarnation != worker.incarnation ||
+        batch->fencing_token < worker.fencing_token || batch->fencing_token == 0)
       return;
-    if (batch->fencing_token > w.fencing_token) w.changed = true;
-    w.fencing_token = batch->fencing_token;
-    w.last_ok_sent = std::max(w.last_ok_sent, sent);
-    for (const Command& c : batch->commands) obey(w, c);
+    if (batch->fencing_token > worker.fencing_token) worker.changed = true;
+    worker.fencing_token = batch->fencing_token;
+    worker.last_ok_sent = std::max(worker.last_ok_sent, sent);
+    for (const Command& command : batch->commands) execute(worker, command);
     return;
   }
   if (status == 421) {
     const std::size_t to = node_index(decode_redirect(body));
-    if (to < nodes_.size() && to != w.node) {
-      w.node = to;
-      w.next_heartbeat = now_ + random_(500);
+    if (to < nodes_.size() && to != worker.node) {
+      worker.node = to;
+      worker.next_heartbeat = now_ + random_(500);
       return;
     }
   }
-  w.node = (w.node + 1) % nodes_.size();
-  w.next_heartbeat = now_ + 1000;
+  worker.node = (worker.node + 1) % nodes_.size();
+  worker.next_heartbeat = now_ + 1000;
 }
 
-void SimulatedRegion::stop_work(Worker& w, WorkTask& t, const Command& c) {
-  if (t.heartbeat.state == RunState::Exited) return;
-  const User* user = user_of(c.key.job);
-  if (is_gang(user)) return stop_gang_task(t, *user, c.grace_s, w);
-  const bool saves = t.heartbeat.state == RunState::Running && user != nullptr &&
-                     user->spec.checkpoint_s > 0 && c.grace_s >= user->spec.save_s;
+void SimulatedRegion::stop_work(Worker& worker, WorkTask& task, const Command& command) {
+  if (task.status.state == RunState::Exited) return;
+  const User* user = user_of(command.key.job);
+  if (is_gang(user)) return stop_gang_task(task, *user, command.grace_s, worker);
+  const bool saves = task.status.state == RunState::Running && user != nullptr &&
+                     user->spec.checkpoint_s > 0 && command.grace_s >= user->spec.save_s;
   if (saves) {
-    t.heartbeat.state = RunState::Saving;
-    t.exits_at = now_ + ms(user->spec.save_s);
-  } else if (t.heartbeat.state != RunState::Saving || c.grace_s <= 0) {
-    if (t.on) ended(c.key, w.machine.name, false);
-    t.on = false;
-    t.heartbeat.state = RunState::Exited;
-    t.heartbeat.cause = ExitCause::Stopped;
+    task.status.state = RunState::Saving;
+    task.exits_at = now_ + ms(user->spec.save_s);
+  } else if (task.status.state != RunState::Saving || command.grace_s <= 0) {
+    if (task.present) task_ended(command.key, worker.machine.name, false);
+    task.present = false;
+    task.status.state = RunState::Exited;
+    task.status.cause = ExitCause::Stopped;
   }
-  w.changed = true;
+  worker.changed = true;
 }
 
-void SimulatedRegion::obey(Worker& w, const Command& c) {
-  if (on_command) on_command(w.machine.name, c);
-  auto& list = w.tasks[{c.key.job, c.key.index}];
-  const auto same = std::find_if(list.begin(), list.end(), [&](const WorkTask& t) {
-    return t.heartbeat.attempt == c.attempt;
+void SimulatedRegion::start_task(Worker& worker, const Command& command) {
+  auto& attempts = worker.tasks[command.key];
+  WorkTask task;
+  task.status.key = command.key;
+  task.status.attempt = command.attempt;
+  const User* user = user_of(command.key.job);
+  const auto reject = [&](ExitCause cause) {
+    task.status.state = RunState::Exited;
+    task.status.cause = cause;
+  };
+  Resources used;
+  for (const auto& [key, others] : worker.tasks)
+    for (const WorkTask& other : others)
+      if (other.status.state != RunState::Exited)
+        if (const User* owner = user_of(key.job)) used += owner->spec.need;
+  const bool busy = std::any_of(attempts.begin(), attempts.end(), [](const WorkTask& other) {
+    return other.status.state != RunState::Exited;
   });
-  switch (c.op) {
-    case Command::Op::Start: {
-      if (same != list.end()) return;
-      WorkTask t;
-      t.heartbeat.key = c.key;
-      t.heartbeat.attempt = c.attempt;
-      const User* user = user_of(c.key.job);
-      const auto reject = [&](ExitCause cause) {
-        t.heartbeat.state = RunState::Exited;
-        t.heartbeat.cause = cause;
-      };
-      Resources used;
-      for (const auto& [key, tasks] : w.tasks)
-        for (const WorkTask& other : tasks)
-          if (other.heartbeat.state != RunState::Exited)
-            if (const User* u = user_of(key.first)) used += u->spec.need;
-      if (user == nullptr) {
-        reject(ExitCause::Unknown);
-      } else if (std::any_of(list.begin(), list.end(), [](const WorkTask& o) {
-                   return o.heartbeat.state != RunState::Exited;
-                 })) {
-        reject(ExitCause::Busy);
-      } else if (used += user->spec.need; !used.fits_in(cloud_.types.front().size)) {
-        reject(ExitCause::NoRoom);
-      } else {
-        checker_.start_taken(c.key.job);
-        t.image_at = w.images.contains(user->spec.image)
-                         ? now_ + 50
-                         : now_ + static_cast<Time>(user->spec.image_gb * 200);
-      }
-      list.push_back(t);
-      w.changed = true;
+  if (user == nullptr) {
+    reject(ExitCause::Unknown);
+  } else if (busy) {
+    reject(ExitCause::Busy);
+  } else if (used += user->spec.need; !used.fits_in(cloud_.types.front().size)) {
+    reject(ExitCause::NoRoom);
+  } else {
+    checker_.start_taken(command.key.job);
+    task.image_at = worker.images.contains(user->spec.image)
+                        ? now_ + 50
+                        : now_ + static_cast<Time>(user->spec.image_gb * 200);
+  }
+  attempts.push_back(task);
+  worker.changed = true;
+}
+
+void SimulatedRegion::execute(Worker& worker, const Command& command) {
+  if (on_command) on_command(worker.machine.name, command);
+  auto& attempts = worker.tasks[command.key];
+  const auto same = std::find_if(attempts.begin(), attempts.end(), [&](const WorkTask& task) {
+    return task.status.attempt == command.attempt;
+  });
+  switch (command.op) {
+    case Command::Op::Start:
+      if (same == attempts.end()) start_task(worker, command);
       return;
-    }
-    case Command::Op::Stop: {
-      if (same != list.end()) stop_work(w, *same, c);
+    case Command::Op::Stop:
+      if (same != attempts.end()) stop_work(worker, *same, command);
       return;
-    }
     case Command::Op::Forget:
-      if (same != list.end() && same->heartbeat.state == RunState::Exited) {
-        list.erase(same);
-        w.changed = true;
+      if (same != attempts.end() && same->status.state == RunState::Exited) {
+        attempts.erase(same);
+        worker.changed = true;
       }
       return;
   }
 }
 
-// A direct command, or its answer, which may be held up for seconds.
+// A direct command, or its response, which may be delayed for seconds.
 void SimulatedRegion::carry_command(const std::string& from, const std::string& to,
                                     std::function<void()> arrive) {
-  if (strikes(slow_commands_))
+  if (affects_next(slow_commands_))
     at(now_ + random_(6'000), std::move(arrive));
   else
     carry(from, to, std::move(arrive));
@@ -296,37 +307,39 @@
 void SimulatedRegion::command(const std::string& name, const std::string& body,
                               const std::function<void(int, const Heartbeat&)>& then) {
   const auto it = workers_.find(name);
-  if (it == workers_.end() || !it->second.alive || now_ < it->second.deaf_until) return;
-  Worker& w = it->second;
-  if (now_ < w.hang_until)  // carried out late
-    return at(w.hang_until + 5, [=, this] { command(name, body, then); });
+  if (it == workers_.end() || !it->second.alive || now_ < it->second.inbound_blocked_until) return;
+  Worker& worker = it->second;
+  if (now_ < worker.hang_until)  // carried out late
+    return at(worker.hang_until + 5, [=, this] { command(name, body, then); });
   int status = 400;
   const auto batch = decode_commands(body);
   if (batch && batch->incarnation) {
     status =
-        batch->fencing_token < w.fencing_token || *batch->incarnation != w.incarnation ? 409 : 200;
+        batch->fencing_token < worker.fencing_token || *batch->incarnation != worker.incarnation
+            ? 409
+            : 200;
     if (status == 200) {
-      if (batch->fencing_token > w.fencing_token) w.changed = true;
-      w.fencing_token = batch->fencing_token;
-      for (const Command& c : batch->commands) obey(w, c);
+      if (batch->fencing_token > worker.fencing_token) worker.changed = true;
+      worker.fencing_token = batch->fencing_token;
+      for (const Command& command : batch->commands) execute(worker, command);
     }
   }
-  then(status, make_heartbeat(w));
+  then(status, make_heartbeat(worker));
 }
 
 void SimulatedRegion::inspect(const std::string& name,
                               const std::function<void(int, const Heartbeat&)>& then) {
   const auto it = workers_.find(name);
-  if (it == workers_.end() || !it->second.alive || now_ < it->second.deaf_until) return;
+  if (it == workers_.end() || !it->second.alive || now_ < it->second.inbound_blocked_until) return;
   if (now_ < it->second.hang_until)
     return at(it->second.hang_until + 5, [=, this] { inspect(name, then); });
   then(200, make_heartbeat(it->second));
 }
 
-// A copy of a report, to all controllers at once; nobody waits for an answer.
+// A copy of a heartbeat, to all controllers at once; nobody waits for the response.
 void SimulatedRegion::deliver_everywhere(const std::string& raw) {
-  for (std::size_t i = 0; i < nodes_.size(); ++i)
-    if (auto decoded = decode_heartbeat(raw)) feed(i, HeartbeatReceived{{}, *decoded, raw});
+  for (std::size_t node = 0; node < nodes_.size(); ++node)
+    if (auto decoded = decode_heartbeat(raw)) feed(node, HeartbeatReceived{{}, *decoded, raw});
 }
 
 void SimulatedRegion::deliver_copies() {
@@ -340,77 +353,82 @@
   kept_heartbeats_.clear();
 }
 
-// Names tasks that wait although a machine that suits them has room and their team is under its
-// limit.
+// Tells the checker which jobs wait although a suitable machine has room for a task and the team is
+// under its quota limit.
 void SimulatedRegion::watch_waiting() {
-  if (!checker_.is_calm()) return;
+  if (!checker_.faults_are_over()) return;
   const Occupancy now = occupancy();
-  for (const auto& u : users_) checker_.waiting(u->spec.id, could_start(*u, now), now_);
+  for (const auto& user : users_) checker_.waiting(user->spec.id, could_start(*user, now), now_);
 }
 
 SimulatedRegion::Occupancy SimulatedRegion::occupancy() const {
   Occupancy out;
-  for (const auto& [name, w] : workers_) {
-    if (!w.alive || !cloud_.machines.contains(name)) continue;
-    Room room{&w, cloud_.types.front().size};
-    for (const auto& [key, list] : w.tasks)
-      for (const WorkTask& t : list) {
-        const User* u = user_of(key.first);
-        if (u == nullptr || t.heartbeat.state == RunState::Exited) continue;
-        room.free -= u->spec.need;
-        out.used[u->spec.team] += u->spec.need;
-        ++out.zones[key.first][w.machine.zone];
-        ++out.tasks[key.first];
+  for (const auto& [name, worker] : workers_) {
+    if (!worker.alive || !cloud_.machines.contains(name)) continue;
+    Room room{&worker, cloud_.types.front().size};
+    for (const auto& [key, attempts] : worker.tasks)
+      for (const WorkTask& task : attempts) {
+        const User* user = user_of(key.job);
+        if (user == nullptr || task.status.state == RunState::Exited) continue;
+        room.free -= user->spec.need;
+        out.used[user->spec.team] += user->spec.need;
+        ++out.zones[key.job][worker.machine.zone];
+        ++out.tasks[key.job];
       }
-    if (now_ >= std::max({w.hang_until, w.deaf_until, w.mute_until}) && w.notice_at == 0)
+    if (now_ >= std::max({worker.hang_until, worker.inbound_blocked_until,
+                          worker.outbound_blocked_until}) &&
+        worker.notice_at == 0)
       out.rooms.push_back(room);
   }
   return out;
 }
 
-bool SimulatedRegion::could_start(const User& u, const Occupancy& now) const {
-  const JobSpec& s = u.spec;
-  const auto tasks = now.tasks.find(s.id);
+bool SimulatedRegion::could_start(const User& user, const Occupancy& now) const {
+  const JobSpec& spec = user.spec;
+  const auto tasks = now.tasks.find(spec.id);
   const std::size_t there = tasks == now.tasks.end() ? 0 : tasks->second;
-  const bool wants = u.accepted && !u.over && !u.cancelling &&
-                     (u.cancel_at == 0 || now_ < u.cancel_at) &&
-                     there + u.completed.size() < s.tasks;
-  if (!wants || !team_allows(s, now)) return false;
-  if (s.kind == JobKind::Gang) return there == 0 && gang_could_start(s, now);
-  const auto found = now.zones.find(s.id);
+  const bool wants = user.accepted && !user.over && !user.cancelling &&
+                     (user.cancel_at == 0 || now_ < user.cancel_at) &&
+                     there + user.completed.size() < spec.tasks;
+  if (!wants || !team_allows(spec, now)) return false;
+  if (spec.kind == JobKind::Gang) return there == 0 && gang_could_start(spec, now);
+  const auto found = now.zones.find(spec.id);
   static const std::map<std::string, std::size_t> kNowhere;
   const auto& zones = found == now.zones.end() ? kNowhere : found->second;
   return std::any_of(now.rooms.begin(), now.rooms.end(), [&](const Room& room) {
     const std::string& zone = room.worker->machine.zone;
     const auto in = zones.find(zone);
-    if (room.worker->machine.spot && !s.spot) return false;
-    if (!s.zone.empty() && s.zone != zone) return false;
-    if (s.one_zone && !zones.empty() && in == zones.end()) return false;
-    if (s.spread && in != zones.end() && in->second >= (s.tasks + 1) / 2) return false;
-    return s.need.fits_in(room.free);
+    if (room.worker->machine.spot && !spec.spot) return false;
+    if (!spec.zone.empty() && spec.zone != zone) return false;
+    if (spec.one_zone && !zones.empty() && in == zones.end()) return false;
+    if (spec.spread && in != zones.end() && in->second >= (spec.tasks + 1) / 2) return false;
+    return spec.need.fits_in(room.free);
   });
 }
 
-// All of it has room at once, in one zone if need be. Spread gangs aren't judged.
-bool SimulatedRegion::gang_could_start(const JobSpec& s, const Occupancy& now) {
-  if (s.spread) return false;
+// Gang scheduling needs room for all tasks at once, in one zone if the job says so. Spread gangs
+// aren't judged: where their tasks fit depends on each other.
+bool SimulatedRegion::gang_could_start(const JobSpec& spec, const Occupancy& now) {
+  if (spec.spread) return false;
   std::map<std::string, std::uint32_t> slots;
   for (Room room : now.rooms) {
     const std::string& zone = room.worker->machine.zone;
-    if ((room.worker->machine.spot && !s.spot) || (!s.zone.empty() && s.zone != zone)) continue;
-    for (; s.need.fits_in(room.free); room.free -= s.need) ++slots[s.one_zone ? zone : ""];
+    if ((room.worker->machine.spot && !spec.spot) || (!spec.zone.empty() && spec.zone != zone))
+      continue;
+    for (; spec.need.fits_in(room.free); room.free -= spec.need) ++slots[spec.one_zone ? zone : ""];
   }
   return std::any_of(slots.begin(), slots.end(),
-                     [&](const auto& entry) { return entry.second >= s.tasks; });
+                     [&](const auto& entry) { return entry.second >= spec.tasks; });
 }
 
-bool SimulatedRegion::team_allows(const JobSpec& s, const Occupancy& now) const {
-  const auto it = now.used.find(s.team);
+bool SimulatedRegion::team_allows(const JobSpec& spec, const Occupancy& now) const {
+  const auto it = now.used.find(spec.team);
   Resources used = it == now.used.end() ? Resources{} : it->second;
-  if (s.kind == JobKind::Gang) used += s.need.times(s.tasks - 1);
-  return std::any_of(settings_[0].teams.begin(), settings_[0].teams.end(), [&](const Team& t) {
-    return t.name == s.team && (t.gpus_max <= 0 || used.gpus + s.need.gpus <= t.gpus_max) &&
-           (t.cpus_max <= 0 || used.cpus + s.need.cpus <= t.cpus_max);
+  if (spec.kind == JobKind::Gang) used += spec.need.times(spec.tasks - 1);
+  return std::any_of(settings_[0].teams.begin(), settings_[0].teams.end(), [&](const Team& team) {
+    return team.name == spec.team &&
+           (team.gpus_max <= 0 || used.gpus + spec.need.gpus <= team.gpus_max) &&
+           (team.cpus_max <= 0 || used.cpus + spec.need.cpus <= team.cpus_max);
   });
 }
 
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -78,7 +78,7 @@
     SimulatedRegion region(plan);
     region.run_until(1'000);
     region.poll_closely(plan.length);
-    region.odd_requests(120'000);
+    region.send_odd_requests(120'000);
     region.cancel_at_end(0.4, 120'000);
     submit_mixed_jobs(region, 0, 10, seed);
     std::size_t next = 10;
@@ -97,7 +97,7 @@
       region.run_until(region.now() + 9'000);
     }
     region.run_until(150'000);
-    region.calm();
+    region.faults_ended();
     region.run();
     expect_nothing_left(region, seed);
   }
@@ -190,7 +190,7 @@
     region.submit(s);
   }
   region.run_until(40'000);
-  ASSERT_TRUE(region.state().spoil("sr/s/000000"));
+  ASSERT_TRUE(region.kv_store().corrupt("sr/s/000000"));
   region.kill(leader_of(region), 6'000);
   region.run_until(50'000);
   std::map<int, int> polls, submissions;
@@ -204,7 +204,7 @@
   EXPECT_GT(polls[503], 0);
   EXPECT_GT(polls[200], 0);
   EXPECT_EQ(submissions[201], 0);
-  EXPECT_EQ(region.state().value_of("sr/s/000000"), "gibberish") << "it was written over";
+  EXPECT_EQ(region.kv_store().value_of("sr/s/000000"), "gibberish") << "it was written over";
   region.run();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
--- a/tests/behaviour_digest.cpp
+++ b/tests/behaviour_digest.cpp
@@ -11,7 +11,7 @@
 #include <memory>
 #include <string>
 
-#include "sim/federated_day.hpp"
+#include "sim/simulated_federation.hpp"
 #include "support/scenarios.hpp"
 #ifdef SAILREEL_HAS_PRODUCTION
 #include "production/production_controller.hpp"
@@ -79,7 +79,7 @@
     day.jobs = 30;
     record(day, digest);
   };
-  FederatedDay day(plan);
+  SimulatedFederation day(plan);
   pcg32 random(seed * 31);
   for (std::size_t n = 0; n < 24; ++n) {
     JobSpec spec = service(job_id(n), 1 + random(8));
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -72,7 +72,8 @@
     const Time when = from + gap.outage_after * static_cast<Time>(n) / static_cast<Time>(kJobs - 2);
     region.run_until(when);
     region.cancel(job_id(n));
-    if (when >= from + gap.outage_after && !region.state().outage) region.kv_store_outage(outage);
+    if (when >= from + gap.outage_after && !region.kv_store().outage)
+      region.kv_store_outage(outage);
   }
   region.run_until(from + gap.outage_after + outage + 4 * lease);
   region.run();
@@ -198,7 +199,7 @@
     region.run_until(50'000);
     GetParam().play(region, seed);
     region.run_until(region.now() + 60'000);
-    region.calm();
+    region.faults_ended();
     region.run();
     region.checker().end_served();
     EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -28,7 +28,7 @@
       if (n == 300) region.late_writes(0.4, 8'000, seed % 2 == 0);
     }
     region.run_until(200'000);
-    region.calm();
+    region.faults_ended();
     region.run();
     expect_nothing_left(region, seed);
   }
@@ -183,7 +183,7 @@
       starts += c.op == Command::Op::Start && mistaken ? 1 : 0;
     };
     for (std::size_t n = 30; n < 34; ++n)
-      region.submit_mistaken(n % 2 == 0 ? service(job_id(n), 2) : array(job_id(n), 8, 20), 125'000);
+      region.submit_failing(n % 2 == 0 ? service(job_id(n), 2) : array(job_id(n), 8, 20), 125'000);
     region.run_until(125'000);
     const Tables& tables = region.controller(leader_of(region))->tables();
     for (const auto& name : healthy)
@@ -263,12 +263,12 @@
       if (k % 4 == 0)
         region.kill_machine(busy[k]);
       else
-        region.notice_machine(busy[k], 5'000);
+        region.preempt_machine(busy[k], 5'000);
       region.run_until(region.now() + 1'000);
     }
     if (seed % 2 == 0) region.kill(leader_of(region), 3'000);
     region.run_until(120'000);
-    region.calm();
+    region.faults_ended();
     for (std::size_t n = 0; n < 14; n += 2) region.cancel(job_id(n));
     region.run();
     expect_nothing_left(region, seed);
@@ -295,7 +295,7 @@
       if (round == 1 && seed > 3) region.kill(leader_of(region), 4'000);
     }
     region.run_until(150'000);
-    region.calm();
+    region.faults_ended();
     region.run();
     expect_nothing_left(region, seed);
   }
@@ -315,7 +315,7 @@
     std::set<std::string> mute;
     for (const auto& m : busy_machines(region))
       if (mute.size() < 2) mute.insert(m);
-    for (const auto& m : mute) region.mute_machine(m, 70'000);
+    for (const auto& m : mute) region.block_outbound(m, 70'000);
     if (seed % 2 == 0) region.kill(leader_of(region), 3'000);
     region.run_until(58'000);  // they have missed their reports by now
     for (std::size_t n = 20; n < 28; ++n) region.submit(service(job_id(n), 1), 140'000);
@@ -333,7 +333,7 @@
     }
     EXPECT_EQ(kept, 0U) << "seed " << seed;
     region.run_until(160'000);
-    region.calm();
+    region.faults_ended();
     region.run();
     expect_nothing_left(region, seed);
   }
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -24,7 +24,7 @@
   }
   Checker checker_;
   JobSpec spec_;
-  Place a_{"m-1", "box", "za", false}, b_{"m-2", "box", "zb", false},
+  TaskLocation a_{"m-1", "box", "za", false}, b_{"m-2", "box", "zb", false},
       spot_{"m-3", "box", "za", true};
 };
 
@@ -158,7 +158,7 @@
 
 TEST_F(CheckerTest, ForgottenOnceFaultsAreOver) {
   checker_.told("job-1", "pending", 0);
-  checker_.calm(100'000);
+  checker_.faults_ended(100'000);
   checker_.unanswered("job-1", 170'000);
   EXPECT_TRUE(checker_.violations().empty());
   checker_.unanswered("job-1", 176'000);
@@ -178,7 +178,7 @@
   checker_.waiting("job-1", true, 0);
   checker_.waiting("job-1", true, 200'000);
   EXPECT_TRUE(checker_.violations().empty()) << "troubles aren't over";
-  checker_.calm(200'000);
+  checker_.faults_ended(200'000);
   checker_.waiting("job-1", true, 201'000);
   checker_.waiting("job-1", false, 280'000);
   checker_.waiting("job-1", true, 281'000);
--- a/tests/commit_test.cpp
+++ b/tests/commit_test.cpp
@@ -35,8 +35,8 @@
     EXPECT_LE(quantile(delays, 0.9), 100) << "seed " << seed;
     region.run();
     EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
-    EXPECT_EQ(region.state().malformed, 0U);
-    EXPECT_EQ(region.state().refused_writes, 0U) << "seed " << seed;
+    EXPECT_EQ(region.kv_store().malformed, 0U);
+    EXPECT_EQ(region.kv_store().refused_writes, 0U) << "seed " << seed;
   }
 }
 
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -91,7 +91,7 @@
   ASSERT_EQ(job.record.phase, Phase::Done) << "in memory";
   ASSERT_TRUE(job.dirty) << "the round took it all";
   Snapshot shard;
-  shard.apply({shard_key(0), driver.state().value_of(shard_key(0)), 1, false});
+  shard.apply({shard_key(0), driver.kv_store().value_of(shard_key(0)), 1, false});
   ASSERT_TRUE(shard.jobs.at("job-100").done.test(0)) << "the shard was not written";
   EXPECT_EQ(shard.jobs.at("job-1").phase, Phase::Active);
   driver.run_for(3'000);
--- a/tests/day_test.cpp
+++ b/tests/day_test.cpp
@@ -14,7 +14,7 @@
   region.run();
   region.checker().end();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
-  EXPECT_EQ(region.state().malformed, 0U);
+  EXPECT_EQ(region.kv_store().malformed, 0U);
   EXPECT_EQ(region.malformed_answers(), 0U);
   EXPECT_TRUE(region.checker().unfinished_arrays().empty())
       << region.checker().unfinished_arrays().front();
--- a/tests/delayed_heartbeats_test.cpp
+++ b/tests/delayed_heartbeats_test.cpp
@@ -96,9 +96,9 @@
     case 1:
       return region.keep_heartbeats_for_next_leader(0.4, span);
     case 2:
-      return some_machines([&](const auto& m) { region.deafen_machine(m, span); });
+      return some_machines([&](const auto& m) { region.block_inbound(m, span); });
     case 3:
-      return some_machines([&](const auto& m) { region.mute_machine(m, span); });
+      return some_machines([&](const auto& m) { region.block_outbound(m, span); });
     case 4:
       return some_machines([&](const auto& m) { region.hang_machine(m, span); });
     case 5:
@@ -145,7 +145,7 @@
     region.run_until(region.now() + span + 4'000 + random(12'000));
   }
   region.run_until(region.now() + 3 * ms(plan.lease_s));
-  region.calm();
+  region.faults_ended();
   for (const std::string& id : services) region.cancel(id);
   region.run();
   expect_nothing_left(region, seed);
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -52,7 +52,7 @@
          // What the machines send to the leader arrives there when it has long been followed.
          const std::size_t old_leader = leader_of(w);
          for (const auto& m : busy_machines(w)) w.cut(node_name(old_leader), m, 15'000, true);
-         w.cut(node_name(old_leader), "state", 15'000, true);
+         w.cut(node_name(old_leader), kKvStoreHost, 15'000, true);
          w.run_until(w.now() + 4'000);
          w.cancel_now(3, 0);
          w.run_until(w.now() + 21'000);
@@ -74,7 +74,7 @@
        const auto busy = busy_machines(w);
        for (std::size_t k = 0; k < busy.size(); ++k) {
          if (k % 3 == 0) cut_off(w, busy[k], 14'000, seed % 2 == 0);
-         if (k % 3 == 1) w.deafen_machine(busy[k], 25'000);
+         if (k % 3 == 1) w.block_inbound(busy[k], 25'000);
        }
        end_leader(w, 6'000);
        w.run_until(w.now() + 5'000);
--- a/tests/fault_pairs_test.cpp
+++ b/tests/fault_pairs_test.cpp
@@ -27,7 +27,7 @@
   region.run();
   region.checker().end_served();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
-  EXPECT_EQ(region.state().malformed, 0U);
+  EXPECT_EQ(region.kv_store().malformed, 0U);
   EXPECT_EQ(region.malformed_answers(), 0U);
   EXPECT_GT(region.checker().jobs_over(), plan.jobs / 2);
 }
--- a/tests/federation_test.cpp
+++ b/tests/federation_test.cpp
@@ -2,7 +2,7 @@
 // fails, no team is above its limit over all regions, and no share appears or vanishes.
 #include <gtest/gtest.h>
 
-#include "sim/federated_day.hpp"
+#include "sim/simulated_federation.hpp"
 #include "support/scenarios.hpp"
 
 namespace sailreel::sim {
@@ -44,7 +44,7 @@
     for (Settings& settings : day.deployment->controllers)
       settings.teams[0].gpus_max = kRedLimit / 2;
   };
-  FederatedDay day(plan);
+  SimulatedFederation day(plan);
   day.expect_limit("red", kRedLimit);
   for (std::size_t n = 0; n < 30; ++n)
     day.region(0).submit(replicas(job_id(n), 1, Priority::Normal));
@@ -74,7 +74,7 @@
     day.loss = 0;
     day.late_copies = 0;
   };
-  FederatedDay day(plan);
+  SimulatedFederation day(plan);
   std::vector<Time> waits;
   std::map<std::string, Time> since;
   SimulatedRegion& asking = day.region(1);
@@ -119,7 +119,7 @@
 TEST(Federation, LessImportantWorkElsewhereGivesWayToUrgentWork) {
   FederationPlan plan = even_plan(5, 2);
   plan.adjust = [](std::size_t, SimulationPlan& day) { add_machines(day); };
-  FederatedDay day(plan);
+  SimulatedFederation day(plan);
   day.region(0).submit(replicas("job-1", 30, Priority::Low));
   day.run_until(40'000);
   // All of the limit is in use by now, in region 0.
@@ -134,7 +134,7 @@
 // Work of the same importance gets nothing that is in use elsewhere: so share can't go back and
 // forth between two regions that both want all of it.
 /// Numbers of the last transfers between region 0 and region 1, both ways.
-std::pair<std::uint64_t, std::uint64_t> transfers(const FederatedDay& day) {
+std::pair<std::uint64_t, std::uint64_t> transfers(const SimulatedFederation& day) {
   const TransferRecord record = day.ledger(0).regions["region-1"];
   return {record.sent, record.credited};
 }
@@ -142,7 +142,7 @@
 TEST(Federation, EqualsDoNotTakeShareFromEachOther) {
   FederationPlan plan = even_plan(6, 2);
   plan.adjust = [](std::size_t, SimulationPlan& day) { add_machines(day); };
-  FederatedDay day(plan);
+  SimulatedFederation day(plan);
   for (std::size_t n = 0; n < 2; ++n) day.region(n).submit(replicas("job-1", 30, Priority::High));
   day.run_until(40'000);
   const auto before = transfers(day);
@@ -161,7 +161,7 @@
       add_machines(day);
       day.length = 240'000;
     };
-    FederatedDay day(plan);
+    SimulatedFederation day(plan);
     day.run_until(12'000);
     for (std::size_t n = 0; n < 25; ++n)
       day.region(0).submit(replicas(job_id(n), 1, Priority::Normal));
@@ -184,7 +184,7 @@
 
 TEST(Federation, ARegionThatIsCutOffGoesOnWithWhatItHolds) {
   FederationPlan plan = even_plan(8, 3);
-  FederatedDay day(plan);
+  SimulatedFederation day(plan);
   day.run_until(15'000);
   day.cut_off(2, 100'000, false);
   for (std::size_t n = 0; n < 3; ++n)
@@ -202,7 +202,7 @@
     add_machines(day);
     day.length = 200'000;
   };
-  FederatedDay day(plan);
+  SimulatedFederation day(plan);
   for (std::size_t n = 0; n < 2; ++n) day.region(n).submit(replicas("job-1", 15, Priority::Normal));
   day.run_until(40'000);
   ASSERT_EQ(day.used_gpus("red"), kRedLimit);
@@ -226,7 +226,7 @@
 TEST(Federation, ALimitThatIsRaisedIsTheFirstRegionsToGive) {
   FederationPlan plan = even_plan(10, 2);
   plan.adjust = [](std::size_t, SimulationPlan& day) { add_machines(day); };
-  FederatedDay day(plan);
+  SimulatedFederation day(plan);
   day.run_until(15'000);
   day.expect_limit("red", 40);
   for (std::size_t n = 0; n < 2; ++n) day.region(n).change_team_limit("red", 40);
@@ -240,15 +240,15 @@
 
 TEST(Federation, AShareThatCannotBeReadIsNoneAtAll) {
   FederationPlan plan = even_plan(11, 2);
-  FederatedDay day(plan);
+  SimulatedFederation day(plan);
   day.run_until(15'000);
-  ASSERT_TRUE(day.region(1).state().spoil(share_key("red")));
+  ASSERT_TRUE(day.region(1).kv_store().corrupt(share_key("red")));
   day.region(1).kill(leader_of(day.region(1)), 1'000);
   day.run_until(25'000);
   day.region(1).submit(replicas("job-1", 3, Priority::High));
   day.run_until(60'000);
   EXPECT_EQ(day.region(1).checker().used_by("red").gpus, 0);
-  EXPECT_EQ(day.region(1).state().value_of(share_key("red")), "gibberish");
+  EXPECT_EQ(day.region(1).kv_store().value_of(share_key("red")), "gibberish");
 }
 
 // A controller whose operator forgot the options keeps to what its region holds.
@@ -264,7 +264,7 @@
         return std::make_unique<CurrentController>(settings, forgotten ? Options{} : options, seed);
       };
   };
-  FederatedDay day(plan);
+  SimulatedFederation day(plan);
   day.run_until(15'000);
   ASSERT_TRUE(day.ledger(1).teams.contains("red"));
   for (std::size_t node = 0; node < 3; ++node) day.region(1).kill(node, 1'000);
@@ -288,7 +288,7 @@
     day.gangs = true;
     day.jobs = 30;
   };
-  FederatedDay day(plan);
+  SimulatedFederation day(plan);
   // Bursts of one team now here, now there, of which some is cancelled.
   pcg32 random(seed * 31);
   for (std::size_t n = 0; n < 24; ++n) {
--- a/tests/federation_upgrade_test.cpp
+++ b/tests/federation_upgrade_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "production/production_controller.hpp"
-#include "sim/federated_day.hpp"
+#include "sim/simulated_federation.hpp"
 #include "support/scenarios.hpp"
 
 namespace sailreel::sim {
@@ -18,7 +18,7 @@
         return make_production_controller(settings, seed);
       };
   };
-  FederatedDay day(plan);
+  SimulatedFederation day(plan);
   SimulatedRegion& upgraded = day.region(1);
   day.run_until(15'000);
   EXPECT_TRUE(day.ledger(0).teams.contains("red"));
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -144,7 +144,7 @@
     region.poll_closely(plan.length);
     scene.play(region, seed);
     region.run_until(region.now() + 60'000);
-    region.calm();
+    region.faults_ended();
     region.run_until(region.now() + 150'000);
     expect_nothing_left(region, seed);
   }
@@ -203,22 +203,22 @@
        const std::string job = seed % 2 == 0 ? "job-1" : "job-2";
        wait_for_start(w, job);
        w.run_until(w.now() + 5'000);
-       w.notice_machine(wait_for_task(w, job), 6'000);
+       w.preempt_machine(wait_for_task(w, job), 6'000);
      }},
     {"StopsArriveLate",
      [](SimulatedRegion& w, std::uint64_t seed) {
        wait_for_start(w, "job-2");
        w.slow_commands(20'000);
        w.run_until(w.now() + 3'000 + 500 * static_cast<Time>(seed));
-       w.notice_machine(wait_for_task(w, "job-2"), 8'000);
+       w.preempt_machine(wait_for_task(w, "job-2"), 8'000);
      }},
     {"AStopDoesNotReachOneMachine",
      [](SimulatedRegion& w, std::uint64_t) {
        wait_for_start(w, "job-2");
        const auto machines = w.machines_of("job-2");
        ASSERT_FALSE(machines.empty());
-       w.deafen_machine(machines.back(), 15'000);
-       w.notice_machine(machines.front(), 8'000);
+       w.block_inbound(machines.back(), 15'000);
+       w.preempt_machine(machines.front(), 8'000);
      }},
     {"TheLeaderEndsInEachPhase",
      [](SimulatedRegion& w, std::uint64_t seed) {
@@ -229,7 +229,7 @@
        wait_for_start(w, "job-2");
        w.kill(leader_of(w), 4'000);
        w.run_until(w.now() + 4'000);
-       w.notice_machine(wait_for_task(w, "job-2"), 8'000);
+       w.preempt_machine(wait_for_task(w, "job-2"), 8'000);
        w.run_until(w.now() + 300);
        w.kill(leader_of(w), 4'000);
      }},
@@ -272,7 +272,7 @@
        w.run_until(w.now() + 2'000);
        const std::string other = seed % 3 == 1 ? "job-2" : "job-1";
        const std::string machine = wait_for_task(w, other);
-       if (!machine.empty()) w.notice_machine(machine, 5'000);
+       if (!machine.empty()) w.preempt_machine(machine, 5'000);
        w.run_until(w.now() + 400);
        w.cancel(other);
      }},
@@ -306,7 +306,7 @@
   region.submit(spec);
   wait_for_start(region, "job-1");
   region.run_until(region.now() + 10'000);
-  region.notice_machine(region.machines_of("job-1").front(), 8'000);
+  region.preempt_machine(region.machines_of("job-1").front(), 8'000);
   region.run_until(region.now() + 6'000);
   EXPECT_GT(region.gang_saved_ms("job-1"), 8'000);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
--- a/tests/incarnation_fence_test.cpp
+++ b/tests/incarnation_fence_test.cpp
@@ -125,7 +125,7 @@
 
 TEST_F(SilentBeyondItsLease, AnOldHeartbeatIsRejectedAndRenewsNothing) {
   const Time heard = machine("m-1").last_heartbeat, answered = machine("m-1").answered;
-  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 1, 9, of_before())).status, 503);
+  EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-1", 1, 9, of_before())).status, 503);
   const Machine& m = machine("m-1");
   EXPECT_TRUE(m.empty());
   EXPECT_TRUE(m.silent);
@@ -133,17 +133,17 @@
   EXPECT_EQ(m.answered, answered);
   EXPECT_EQ(job("job-2").tasks[0].state, TaskState::Queued);
   // Nor does it while the leader's own lease may have lapsed.
-  driver_.state().outage = true;
+  driver_.kv_store().outage = true;
   driver_.run_for(3'000);
   ASSERT_TRUE(driver_.controller().leading());
-  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 1, 10, of_before())).status, 503);
+  EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-1", 1, 10, of_before())).status, 503);
   EXPECT_EQ(machine("m-1").last_heartbeat, heard);
   EXPECT_EQ(machine("m-1").answered, answered);
 }
 
 TEST_F(SilentBeyondItsLease, ItsNextIncarnationIsAcceptedAtOnce) {
-  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 1, 9, of_before())).status, 503);
-  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 2, 10, {})).status, 200);
+  EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-1", 1, 9, of_before())).status, 503);
+  EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-1", 2, 10, {})).status, 200);
   EXPECT_FALSE(machine("m-1").silent);
   driver_.run_for(1'000);
   EXPECT_NE(driver_.heartbeat(incarnation_heartbeat("m-1", 2, 11, {})).find("job-2/0"),
@@ -158,11 +158,11 @@
     if (address != "10.1.0.1:1") return {};
     return incarnation_heartbeat("m-1", 1, 10, of_before());
   };
-  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 1, 9, of_before())).status, 503);
+  EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-1", 1, 9, of_before())).status, 503);
   EXPECT_FALSE(machine("m-1").silent);
   EXPECT_EQ(job("job-2").tasks[0].machine, &machine("m-1"));
   EXPECT_EQ(job("job-1").orphans.size(), 1U);
-  const Response& response = driver_.answer_to(incarnation_heartbeat("m-1", 1, 11, of_before()));
+  const Response& response = driver_.response_to(incarnation_heartbeat("m-1", 1, 11, of_before()));
   EXPECT_EQ(response.status, 200);
   EXPECT_NE(response.body.find("kill"), std::string::npos);
   EXPECT_NE(response.body.find("job-1/0"), std::string::npos);
@@ -176,11 +176,11 @@
   run_with_heartbeats_of_the_last(33'000);
   ASSERT_FALSE(driver_.controller().reconciling());
   ASSERT_FALSE(machine("m-1").heard_in_epoch);
-  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 5, 9, {running("job-1", 0)})).status,
+  EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-1", 5, 9, {running("job-1", 0)})).status,
             503);
   EXPECT_TRUE(machine("m-1").empty());
   EXPECT_EQ(job("job-1").orphans.size(), 0U);
-  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 6, 10, {})).status, 200);
+  EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-1", 6, 10, {})).status, 200);
 }
 
 // Returned machines are remembered for a while, and forgotten in the end.
@@ -191,10 +191,11 @@
     driver_.heartbeat(incarnation_heartbeat(name, 1, 1, {}));
   run_with_heartbeats_of_the_last(2'000);
   ASSERT_FALSE(driver_.controller().reconciling());
-  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-9", 1, 9, {running("job-1", 0)})).status,
+  EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-9", 1, 9, {running("job-1", 0)})).status,
             503);
   EXPECT_FALSE(driver_.controller().tables().machines.contains("m-9"));
-  EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-9", 1, 10, {})).status, 200) << "a new one";
+  EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-9", 1, 10, {})).status, 200)
+      << "a new one";
 }
 
 // The second line of defence: a job that is bound to one zone and known in two gets no further
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -53,7 +53,7 @@
 
 struct Work {
   double machines = 0;
-  double looked_at = 0;
+  double examined = 0;
 };
 
 Work work_of_a_burst(std::uint32_t machines) {
@@ -66,8 +66,8 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   Work work{static_cast<double>(region.machines_up().size()),
             static_cast<double>(region.controller(leader)->examined())};
-  std::printf("machines %.0f, looked at %.0f, %.1f for each report\n", work.machines,
-              work.looked_at, work.looked_at / static_cast<double>(region.heartbeats()));
+  std::printf("machines %.0f, looked at %.0f, %.1f for each report\n", work.machines, work.examined,
+              work.examined / static_cast<double>(region.heartbeats()));
   return work;
 }
 
@@ -78,7 +78,7 @@
   const Work large = work_of_a_burst(8'000);
   ASSERT_GT(large.machines, 5'000);
   const auto slope = [](const Work& a, const Work& b) {
-    return std::log(b.looked_at / a.looked_at) / std::log(b.machines / a.machines);
+    return std::log(b.examined / a.examined) / std::log(b.machines / a.machines);
   };
   std::printf("slopes %.2f, %.2f\n", slope(small, middle), slope(middle, large));
   EXPECT_LT(slope(small, middle), 1.25);
@@ -127,19 +127,19 @@
         it != region.cloud().machines.end() && it->second.zone == "zb")
       region.kill_machine(name);
   region.run_until(110'000);
-  region.calm();
+  region.faults_ended();
   region.run();
   const Controller* leader = settled_leader(region);
   ASSERT_NE(leader, nullptr);
   std::uint32_t running = 0;
   for (const auto& [id, job] : leader->tables().jobs) running += job->running;
   EXPECT_GT(running, kMachines);
-  // Since `calm`: nothing waits that could start, within its team's limit. What is asked for is
-  // more than the limits, so arrays may still wait.
+  // Since `faults_ended`: nothing waits that could start, within its team's limit. What is asked
+  // for is more than the limits, so arrays may still wait.
   region.checker().end();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   EXPECT_EQ(region.malformed_answers(), 0U);
-  EXPECT_EQ(region.state().malformed, 0U);
+  EXPECT_EQ(region.kv_store().malformed, 0U);
 }
 
 }  // namespace
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -20,8 +20,8 @@
 }
 
 void lower_limits(ControllerDriver& driver) {
-  driver.state().value_limit = static_cast<std::size_t>(kLowKb * 1024);
-  driver.state().ops_limit = kLowOperations;
+  driver.kv_store().value_limit = static_cast<std::size_t>(kLowKb * 1024);
+  driver.kv_store().ops_limit = kLowOperations;
 }
 
 JobRecord record_of(std::size_t n, std::uint32_t tasks) {
@@ -44,11 +44,11 @@
   ASSERT_GT(manifest.size(), std::size_t{5} * 1024);
   driver.write(kManifestKey, manifest);
   lower_limits(driver);
-  driver.state().ops_limit = kLeastOperations;
+  driver.kv_store().ops_limit = kLeastOperations;
   driver.run_for(4'000);
   EXPECT_TRUE(driver.controller().leading());
-  EXPECT_EQ(driver.state().malformed, 0U);
-  EXPECT_LT(driver.state().value_of(kManifestKey).size(), std::size_t{2} * 1024);
+  EXPECT_EQ(driver.kv_store().malformed, 0U);
+  EXPECT_LT(driver.kv_store().value_of(kManifestKey).size(), std::size_t{2} * 1024);
   const Snapshot checkpoint = driver.checkpoint();
   EXPECT_EQ(checkpoint.jobs.size(), records.size());
   EXPECT_TRUE(checkpoint.unreadable.empty());
@@ -74,8 +74,8 @@
   driver.run_for(2'000);
   for (std::size_t n = 0; n < 30; ++n) driver.cancel(job_id(n));
   driver.run_for(4'000);
-  EXPECT_EQ(driver.state().malformed, 0U);
-  EXPECT_EQ(driver.state().value_of(shard_key(2)), shard);
+  EXPECT_EQ(driver.kv_store().malformed, 0U);
+  EXPECT_EQ(driver.kv_store().value_of(shard_key(2)), shard);
   const Snapshot checkpoint = driver.checkpoint();
   std::size_t moved = 0;
   for (std::size_t n = 0; n < 30; ++n) {
@@ -104,7 +104,7 @@
     finished.push_back({{"job-1", index}, 1, RunState::Exited, ExitCause::Done, false});
   driver.heartbeat(heartbeat_of("m-1", 1, finished));
   driver.run_for(2'000);
-  EXPECT_EQ(driver.state().malformed, 0U);
+  EXPECT_EQ(driver.kv_store().malformed, 0U);
   const Snapshot checkpoint = driver.checkpoint();
   EXPECT_EQ(checkpoint.pieces.size(), 1U);
   Bitmap merged(kTasks);
@@ -128,14 +128,14 @@
     driver.run_for(100);
   }
   driver.run_for(30'000);
-  EXPECT_GT(driver.state().malformed, 0U);
-  const std::uint64_t refused = driver.state().malformed;
+  EXPECT_GT(driver.kv_store().malformed, 0U);
+  const std::uint64_t refused = driver.kv_store().malformed;
   for (std::size_t n = 0; n < 60; ++n) {
     driver.submit(encode_submission(array(job_id(n), 8, 30)));
     driver.run_for(100);
   }
   driver.run_for(10'000);
-  EXPECT_EQ(driver.state().malformed, refused);
+  EXPECT_EQ(driver.kv_store().malformed, refused);
   EXPECT_EQ(driver.checkpoint().jobs.size(), 60U);
 }
 
@@ -171,7 +171,7 @@
     driver.submit(encode_submission(spec));
     driver.run_for(1'000);
   }
-  EXPECT_EQ(driver.state().malformed, 0U);
+  EXPECT_EQ(driver.kv_store().malformed, 0U);
   EXPECT_EQ(driver.checkpoint().jobs.size(), 5U);
 }
 
@@ -194,7 +194,7 @@
   // All are taken in all the time, although nothing can be rented.
   EXPECT_GE(region.submission_delays().size(), 58U);
   region.run_until(110'000);
-  EXPECT_EQ(region.state().malformed, 0U);
+  EXPECT_EQ(region.kv_store().malformed, 0U);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -95,7 +95,7 @@
   const int old_leader = region.leader();
   ASSERT_GE(old_leader, 0);
   const auto name = "node-" + std::to_string(old_leader);
-  region.cut(name, "state", 60'000, true);
+  region.cut(name, kKvStoreHost, 60'000, true);
   for (int i = 0; i < 3; ++i)
     if (i != old_leader) region.cut(name, "node-" + std::to_string(i), 60'000, true);
   int starts = 0;
@@ -253,7 +253,7 @@
   region.run_until(48'000);
   for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(healthy(region, i)) << i;
   region.run_until(60'000);
-  region.cut("node-0", "state", 30'000, true);
+  region.cut("node-0", kKvStoreHost, 30'000, true);
   for (const char* other : {"node-1", "node-2"}) region.cut("node-0", other, 30'000, true);
   region.run_until(85'000);
   EXPECT_FALSE(healthy(region, 0));
@@ -290,7 +290,7 @@
   region.submit(service("job-2", 1));
   region.run_until(40'000);
   ASSERT_FALSE(deaf.empty());
-  region.deafen_machine(deaf, 80'000);
+  region.block_inbound(deaf, 80'000);
   std::set<std::string> elsewhere;
   region.on_command = [&](const std::string& machine, const Command& c) {
     if (c.op == Command::Op::Start && machine != deaf) elsewhere.insert(c.key.job);
@@ -514,8 +514,8 @@
     kill_leader();
   }
   region.run();
-  std::printf("largest answer to a watch: %zu bytes\n", region.state().largest_watch);
-  EXPECT_LT(region.state().largest_watch, 512U * 1024);
+  std::printf("largest answer to a watch: %zu bytes\n", region.kv_store().largest_watch);
+  EXPECT_LT(region.kv_store().largest_watch, 512U * 1024);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
@@ -542,7 +542,7 @@
                 .jobs.at("job-1")
                 ->record.done.count(),
             done);
-  EXPECT_EQ(region.state().malformed, 0U);
+  EXPECT_EQ(region.kv_store().malformed, 0U);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
--- a/tests/support/controller_driver.hpp
+++ b/tests/support/controller_driver.hpp
@@ -1,5 +1,5 @@
-// Drives one core without siblings against the stand-in of the state service: the test plays the
-// workers and the cloud, and may lay out a checkpoint beforehand.
+// Drives one controller without peers against the fake key-value store: the test plays the workers
+// and the cloud, and may write a checkpoint beforehand.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 
 #include "controller/controller.hpp"
 #include "protocol/worker_codec.hpp"
-#include "sim/fakes.hpp"
+#include "sim/fake_kv_store.hpp"
 #include "sim/simulated_region.hpp"
 
 namespace sailreel::sim {
@@ -22,7 +22,7 @@
   return settings;
 }
 
-/// What a machine of the sample type in zone za reports in its first session.
+/// The heartbeat of a machine of the sample type in zone za, in its first incarnation.
 inline Heartbeat heartbeat_of(const std::string& machine, std::uint64_t seq,
                               std::vector<TaskStatus> tasks) {
   Heartbeat heartbeat;
@@ -40,16 +40,16 @@
  public:
   explicit ControllerDriver(Settings settings) : controller_(std::move(settings), Options{}, 7) {}
 
-  FakeKvStore& state() { return state_; }
+  FakeKvStore& kv_store() { return kv_store_; }
   [[nodiscard]] const std::vector<std::string>& warnings() const { return warnings_; }
   const Controller& controller() const { return controller_; }
 
   /// Writes a key of the checkpoint, as a former leader would have.
   void write(const std::string& key, std::string value) {
-    KvRequest call;
-    call.kind = KvRequest::Kind::Txn;
-    call.puts.push_back({key, std::move(value), 0});
-    state_.handle(call, false, now_, [](const KvResponse&) {});
+    KvRequest request;
+    request.kind = KvRequest::Kind::Txn;
+    request.puts.push_back({key, std::move(value), 0});
+    kv_store_.handle(request, false, now_, [](const KvResponse&) {});
   }
 
   /// Ticks every 50 ms.
@@ -69,15 +69,15 @@
     }
   }
 
-  /// Sends a report and returns its answer.
-  const Response& answer_to(Heartbeat heartbeat) {
-    const std::uint64_t call = ++next_origin_;
+  /// Sends a heartbeat and returns its response.
+  const Response& response_to(Heartbeat heartbeat) {
+    const std::uint64_t call = ++next_request_;
     heartbeat.fencing_token = controller_.epoch();
     step(HeartbeatReceived{{RequestSource::Kind::Local, call, 0}, std::move(heartbeat), {}});
     return answers_[call];
   }
   /// The same, of which only the commands matter.
-  std::string heartbeat(Heartbeat heartbeat) { return answer_to(std::move(heartbeat)).body; }
+  std::string heartbeat(Heartbeat heartbeat) { return response_to(std::move(heartbeat)).body; }
 
   /// What the worker at an address answers to a direct command; nothing if this is empty.
   std::function<std::optional<Heartbeat>(const std::string& address)> on_direct;
@@ -87,12 +87,12 @@
 
   /// Submits a job and returns the answer's status; 0: none yet.
   int submit(const std::string& body) {
-    const std::uint64_t call = ++next_origin_;
+    const std::uint64_t call = ++next_request_;
     step(UserRequest{{RequestSource::Kind::Local, call, 0}, UserOp::Submit, {}, body});
     return answers_[call].status;
   }
   int cancel(const std::string& id) {
-    const std::uint64_t call = ++next_origin_;
+    const std::uint64_t call = ++next_request_;
     step(UserRequest{{RequestSource::Kind::Local, call, 0}, UserOp::Cancel, id, {}});
     return answers_[call].status;
   }
@@ -104,7 +104,7 @@
     list.key = kPrefix;
     list.limit = 1'000;
     Snapshot image;
-    state_.handle(list, false, now_, [&](const KvResponse& reply) {
+    kv_store_.handle(list, false, now_, [&](const KvResponse& reply) {
       for (const KvItem& item : reply.items) image.apply(item);
     });
     return image;
@@ -115,7 +115,7 @@
     if (const auto* response = std::get_if<Response>(&action)) {
       answers_[response->source.link] = *response;
     } else if (const auto* call = std::get_if<CallKvStore>(&action)) {
-      state_.handle(call->request, false, now_, [this, id = call->call](KvResponse reply) {
+      kv_store_.handle(call->request, false, now_, [this, id = call->call](KvResponse reply) {
         inputs_.push_back(KvResponseReceived{id, std::move(reply)});
       });
     } else if (const auto* cloud = std::get_if<CallCloud>(&action)) {
@@ -138,12 +138,12 @@
   }
 
   Controller controller_;
-  FakeKvStore state_;
+  FakeKvStore kv_store_;
   std::vector<MachineType> types_;
   /// What is still to be fed. A watch may be answered long after the step that opened it.
   std::vector<Input> inputs_;
   Time now_ = 1'000;
-  std::uint64_t next_origin_ = 0;
+  std::uint64_t next_request_ = 0;
   std::map<std::uint64_t, Response> answers_;
   std::vector<std::string> warnings_;
 };
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -1,4 +1,4 @@
-// What scenes of a quiet day are made of: jobs, and a day without planned troubles.
+// Building blocks of scenarios: jobs, and a simulation without planned faults.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -8,60 +8,60 @@
 namespace sailreel::sim {
 
 inline SimulationPlan quiet(std::uint64_t seed) {
-  SimulationPlan p;
-  p.seed = seed;
-  p.jobs = 0;
-  p.faults = false;
-  p.length = 120'000;
-  return p;
+  SimulationPlan plan;
+  plan.seed = seed;
+  plan.jobs = 0;
+  plan.faults = false;
+  plan.length = 120'000;
+  return plan;
 }
 
 inline JobSpec array(const std::string& id, std::uint32_t tasks, double run_s) {
-  JobSpec s;
-  s.id = id;
-  s.job_class = "batch";
-  s.team = "red";
-  s.tasks = tasks;
-  s.need = {2, 1, 10};
-  s.image = "img-0";
-  s.image_gb = 10;
-  s.estimate_s = run_s;
-  s.spot = true;
-  return s;
+  JobSpec spec;
+  spec.id = id;
+  spec.job_class = "batch";
+  spec.team = "red";
+  spec.tasks = tasks;
+  spec.need = {2, 1, 10};
+  spec.image = "img-0";
+  spec.image_gb = 10;
+  spec.estimate_s = run_s;
+  spec.spot = true;
+  return spec;
 }
 
 inline JobSpec service(const std::string& id, std::uint32_t tasks) {
-  JobSpec s = array(id, tasks, 0);
-  s.kind = JobKind::Service;
-  s.priority = Priority::Production;
-  s.spot = false;
-  return s;
+  JobSpec spec = array(id, tasks, 0);
+  spec.kind = JobKind::Service;
+  spec.priority = Priority::Production;
+  spec.spot = false;
+  return spec;
 }
 
-/// A gang whose tasks need so many CPUs each. A machine of the simulated world has 16.
+/// A gang whose tasks need so many CPUs each. A machine of the sample deployment has 16.
 inline JobSpec gang(const std::string& id, std::uint32_t tasks, double cpus, double run_s) {
-  JobSpec s = array(id, tasks, run_s);
-  s.kind = JobKind::Gang;
-  s.job_class = "gang";
-  s.priority = Priority::Normal;
-  s.need = {cpus, 0, 4};
-  s.image_gb = 1;
-  s.spot = false;
-  s.checkpoint_s = 4;
-  s.save_s = 1;
-  return s;
+  JobSpec spec = array(id, tasks, run_s);
+  spec.kind = JobKind::Gang;
+  spec.job_class = "gang";
+  spec.priority = Priority::Normal;
+  spec.need = {cpus, 0, 4};
+  spec.image_gb = 1;
+  spec.spot = false;
+  spec.checkpoint_s = 4;
+  spec.save_s = 1;
+  return spec;
 }
 
-/// What happens in the middle of such a day; a case of a test by its name.
+/// What happens in the middle of such a simulation; a case of a test by its name.
 struct Scenario {
   const char* name;
   std::function<void(SimulatedRegion&, std::uint64_t seed)> play;
   Time boots_ms = 0;
 };
 // NOLINTNEXTLINE(readability-identifier-naming): GoogleTest looks for this name
-inline void PrintTo(const Scenario& scene, std::ostream* out) { *out << scene.name; }
-inline std::string scenario_name(const ::testing::TestParamInfo<Scenario>& p) {
-  return p.param.name;
+inline void PrintTo(const Scenario& scenario, std::ostream* out) { *out << scenario.name; }
+inline std::string scenario_name(const ::testing::TestParamInfo<Scenario>& info) {
+  return info.param.name;
 }
 
 inline std::string job_id(std::size_t n) { return "job-" + std::to_string(n); }
@@ -72,15 +72,15 @@
                               std::uint64_t seed) {
   pcg32 random(seed * 77 + first);
   for (std::size_t n = first; n < first + count; ++n) {
-    JobSpec s = n % 2 == 0 ? service(job_id(n), 1 + random(2))
-                           : array(job_id(n), 1 + random(3), 6 + random(50));
-    s.team = n % 3 == 0 ? "blue" : "red";
-    s.image = "img-" + std::to_string(random(3));
-    s.priority = s.kind == JobKind::Array ? Priority::Low : static_cast<Priority>(random(2));
-    s.spread = s.kind == JobKind::Service && random(2) == 0;
-    s.one_zone = !s.spread && random(4) == 0;
-    if (!s.spread && random(6) == 0) s.zone = random(2) == 0 ? "za" : "zb";
-    region.submit(s);
+    JobSpec spec = n % 2 == 0 ? service(job_id(n), 1 + random(2))
+                              : array(job_id(n), 1 + random(3), 6 + random(50));
+    spec.team = n % 3 == 0 ? "blue" : "red";
+    spec.image = "img-" + std::to_string(random(3));
+    spec.priority = spec.kind == JobKind::Array ? Priority::Low : static_cast<Priority>(random(2));
+    spec.spread = spec.kind == JobKind::Service && random(2) == 0;
+    spec.one_zone = !spec.spread && random(4) == 0;
+    if (!spec.spread && random(6) == 0) spec.zone = random(2) == 0 ? "za" : "zb";
+    region.submit(spec);
     region.run_until(region.now() + random(static_cast<std::uint32_t>(30'000 / count)));
   }
 }
@@ -89,7 +89,7 @@
   return static_cast<std::size_t>(std::max(0, region.leader()));
 }
 
-/// The end of a day: no rule was broken, and nothing is left waiting or unanswered.
+/// The end of a simulation: no rule was broken, and nothing is left waiting or unanswered.
 inline void expect_nothing_left(SimulatedRegion& region, std::uint64_t seed) {
   region.checker().end_served();
   EXPECT_TRUE(region.checker().violations().empty())
@@ -97,13 +97,13 @@
   EXPECT_TRUE(region.checker().unfinished_arrays().empty())
       << "seed " << seed << " " << region.checker().unfinished_arrays().front();
   EXPECT_EQ(region.malformed_answers(), 0U);
-  EXPECT_EQ(region.state().malformed, 0U);
+  EXPECT_EQ(region.kv_store().malformed, 0U);
 }
 
-/// The end of a day of `submit_mixed_jobs`: some are called off, and nothing is left waiting or
-/// unanswered.
+/// The end of a simulation with `submit_mixed_jobs`: some are cancelled, and nothing is left
+/// waiting or unanswered.
 inline void expect_all_served(SimulatedRegion& region, std::size_t jobs, std::uint64_t seed) {
-  region.calm();
+  region.faults_ended();
   for (std::size_t n = 0; n < jobs; n += 4) region.cancel(job_id(n));
   region.run_until(region.now() + 160'000);
   expect_nothing_left(region, seed);
@@ -113,14 +113,14 @@
 inline std::vector<std::string> busy_machines(const SimulatedRegion& region) {
   std::vector<std::string> out;
   if (region.leader() < 0) return out;
-  for (const auto& [name, m] : region.controller(leader_of(region))->tables().machines)
-    if (m->heard_in_epoch && !m->empty()) out.push_back(name);
+  for (const auto& [name, machine] : region.controller(leader_of(region))->tables().machines)
+    if (machine->heard_in_epoch && !machine->empty()) out.push_back(name);
   return out;
 }
 
 /// Cuts a machine off from every controller.
 inline void cut_off(SimulatedRegion& region, const std::string& machine, Time for_ms, bool hold) {
-  for (std::size_t i = 0; i < 3; ++i) region.cut(node_name(i), machine, for_ms, hold);
+  region.cut_machine(machine, for_ms, hold);
 }
 
 }  // namespace sailreel::sim
--- a/tests/support/work_meter.hpp
+++ b/tests/support/work_meter.hpp
@@ -1,5 +1,5 @@
 // Counts what the steps of simulated controllers take, by input: steps, allocations, and jobs and
-// machines looked at. Unlike time, these are the same on every run.
+// machines examined. Unlike time, these are the same on every run.
 #pragma once
 
 #include <array>
@@ -48,17 +48,17 @@
 
 /// What steps took, added up.
 struct StepWork {
-  std::uint64_t steps = 0, allocations = 0, bytes = 0, looked_at = 0;
+  std::uint64_t steps = 0, allocations = 0, bytes = 0, examined = 0;
 
   void add(const StepWork& other) {
     steps += other.steps;
     allocations += other.allocations;
     bytes += other.bytes;
-    looked_at += other.looked_at;
+    examined += other.examined;
   }
 };
 
-/// The work of all controllers of a world, apart for the one that leads and the others.
+/// The work of all controllers of a region, separately for the leader and the followers.
 class WorkMeter {
  public:
   void add(bool leading, InputKind kind, const StepWork& work) { by_kind(leading, kind).add(work); }
@@ -101,11 +101,11 @@
     const bool led = leading();
     const InputKind kind = kind_of(input);
     const Allocations before = allocations;
-    const std::uint64_t looks_before = controller()->examined();
+    const std::uint64_t examined_before = controller()->examined();
     std::vector<Action> actions = CurrentController::step(clock, std::move(input));
     meter_->add(led, kind,
                 {1, allocations.count - before.count, allocations.bytes - before.bytes,
-                 controller()->examined() - looks_before});
+                 controller()->examined() - examined_before});
     return actions;
   }
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -59,7 +59,7 @@
     region.run_until(region.now() + 5'000);
     region.kill(leader_of(region), 4'000);
     region.run_until(region.now() + 60'000);
-    region.calm();
+    region.faults_ended();
     for (std::size_t n = 0; n < 40; n += 3) region.cancel(job_id(n));
     region.run_until(region.now() + 150'000);
     expect_nothing_left(region, seed);
@@ -153,7 +153,7 @@
     region.run_until(region.now() + 380'000);
     EXPECT_TRUE(region.checker().violations().empty())
         << "seed " << seed << " " << region.checker().summary();
-    EXPECT_EQ(region.state().malformed, 0U) << seed;
+    EXPECT_EQ(region.kv_store().malformed, 0U) << seed;
     EXPECT_TRUE(region.checker().unfinished_arrays().empty())
         << "seed " << seed << " " << region.checker().unfinished_arrays().front();
   }
--- a/tests/work_cost_test.cpp
+++ b/tests/work_cost_test.cpp
@@ -67,7 +67,7 @@
 
 /// Most that one unit may take.
 struct Ceiling {
-  double allocations = 0, looked_at = 0;
+  double allocations = 0, examined = 0;
 };
 
 void expect_at_most(const char* what, const StepWork& work, std::uint64_t units, Ceiling ceiling) {
@@ -77,9 +77,9 @@
   };
   std::printf("%-22s %6llu, each %.2f allocations of %.0f bytes in all, %.2f looked at\n", what,
               static_cast<unsigned long long>(units), each(work.allocations), each(work.bytes),
-              each(work.looked_at));
+              each(work.examined));
   EXPECT_LE(each(work.allocations), ceiling.allocations) << what;
-  EXPECT_LE(each(work.looked_at), ceiling.looked_at) << what;
+  EXPECT_LE(each(work.examined), ceiling.examined) << what;
 }
 
 // A quiet worker's report and a poll look at nothing but their machine and job.
--- a/tools/scale/deployment.cpp
+++ b/tools/scale/deployment.cpp
@@ -35,7 +35,7 @@
 
 void add_services(const Fleet& fleet, int region, Settings& settings) {
   settings.cloud = cloud_address(region);
-  settings.state = state_address(region);
+  settings.state = kv_store_address(region);
   settings.workers.heartbeat_interval_s = fleet.report_s();
   settings.workers.lease_s = fleet.lease_s();
   settings.workers.cancel_s = kCancelLeases * fleet.lease_s();
@@ -168,7 +168,7 @@
   return out.str();
 }
 
-std::string state_address(int region) { return network(region) + "255.1:2379"; }
+std::string kv_store_address(int region) { return network(region) + "255.1:2379"; }
 std::string cloud_address(int region) { return network(region) + "255.2:8443"; }
 std::string worker_address_prefix(int region) { return network(region); }
 std::string team_name(std::uint32_t team) { return "team-" + std::to_string(team); }
--- a/tools/scale/deployment.hpp
+++ b/tools/scale/deployment.hpp
@@ -9,7 +9,7 @@
 namespace sailreel::scale {
 
 /// Each region has a part of 127.0.0.0/8 of its own.
-std::string state_address(int region);
+std::string kv_store_address(int region);
 std::string cloud_address(int region);
 std::string worker_address_prefix(int region);
 
--- a/tools/scale/region_process.cpp
+++ b/tools/scale/region_process.cpp
@@ -37,21 +37,21 @@
   return out;
 }
 
-sim::SimulationPlan day_plan(const Plan& plan, int region) {
-  sim::SimulationPlan day;
-  day.seed = plan.seed() * 1000 + static_cast<std::uint64_t>(region);
-  day.length = static_cast<Time>(plan.seconds()) * 1000;
-  day.jobs = 0;
-  day.faults = false;
-  day.loss = 0;
-  day.late_copies = 0;
-  day.over_sockets = true;
-  day.heartbeat_interval_s = plan.fleet().report_s();
-  day.lease_s = plan.fleet().lease_s();
-  day.deployment = make_deployment(plan, region);
-  day.cancel_s = day.deployment->controllers.front().workers.cancel_s;
-  day.boots_ms = ms(plan.fleet().boot_s());
-  return day;
+sim::SimulationPlan simulation_plan(const Plan& plan, int region) {
+  sim::SimulationPlan simulation;
+  simulation.seed = plan.seed() * 1000 + static_cast<std::uint64_t>(region);
+  simulation.length = static_cast<Time>(plan.seconds()) * 1000;
+  simulation.jobs = 0;
+  simulation.faults = false;
+  simulation.loss = 0;
+  simulation.late_copies = 0;
+  simulation.over_sockets = true;
+  simulation.heartbeat_interval_s = plan.fleet().report_s();
+  simulation.lease_s = plan.fleet().lease_s();
+  simulation.deployment = make_deployment(plan, region);
+  simulation.cancel_s = simulation.deployment->controllers.front().workers.cancel_s;
+  simulation.boots_ms = ms(plan.fleet().boot_s());
+  return simulation;
 }
 
 }  // namespace
@@ -59,22 +59,22 @@
 RegionProcess::RegionProcess(const Plan& plan, RegionOptions options)
     : plan_(plan),
       options_(std::move(options)),
-      parent_(getppid()),
+      main_process_(getppid()),
       users_(loop_, kUserConnections),
-      state_(std::make_unique<HttpServer>(
-          loop_, state_address(options_.region), kServiceConnections, kMaxServiceBody, kIdleMs,
-          [this](const ServerRequest& request) { serve_state(request); })),
+      kv_store_(std::make_unique<HttpServer>(
+          loop_, kv_store_address(options_.region), kServiceConnections, kMaxServiceBody, kIdleMs,
+          [this](const ServerRequest& request) { serve_kv_store(request); })),
       cloud_(std::make_unique<HttpServer>(
           loop_, cloud_address(options_.region), kServiceConnections, kMaxServiceBody, kIdleMs,
           [this](const ServerRequest& request) { serve_cloud(request); })),
       clock_timer_(loop_, [this] { advance(); }),
       sample_timer_(loop_, [this] { sample(); }),
       sweep_timer_(loop_, [this] { sweep(); }) {
-  sim::SimulationPlan day = day_plan(plan_, options_.region);
-  day.controllers = [this](std::size_t node, const Settings& settings, std::uint64_t) {
+  sim::SimulationPlan simulation = simulation_plan(plan_, options_.region);
+  simulation.controllers = [this](std::size_t node, const Settings& settings, std::uint64_t) {
     return start_controller(node, settings);
   };
-  region_ = std::make_unique<sim::SimulatedRegion>(day);
+  region_ = std::make_unique<sim::SimulatedRegion>(simulation);
   workload_ = std::make_unique<Workload>(plan_, options_.region, *region_, kWorkBeginsMs);
   region_->on_started = [this](const TaskKey& key) {
     workload_->task_started(key, region_->now());
@@ -137,8 +137,8 @@
                                    std::function<void(int, std::string)> done) {
   if (!region_->cloud().machines.contains(machine)) return;
   WorkerSockets& sockets = worker_sockets(machine);
-  if (sockets.reports_to != address) sockets.client->close_idle(sockets.reports_to);
-  sockets.reports_to = address;
+  if (sockets.controller_address != address) sockets.client->close_idle(sockets.controller_address);
+  sockets.controller_address = address;
   sockets.client->request(address, "POST", "/hello", body, kHeartbeatTimeoutMs, true,
                           [done = std::move(done)](int status, std::string_view response) {
                             done(status, std::string(response));
@@ -164,15 +164,15 @@
   advance();
 }
 
-void RegionProcess::serve_state(const ServerRequest& request) {
+void RegionProcess::serve_kv_store(const ServerRequest& request) {
   const auto call = decode_state_call(request.method, request.path, request.body);
-  if (!call) return state_->respond(request.connection, 400, encode_error("malformed"), 0);
-  state_writes_ += call->puts.size() + call->deletes.size();
-  region_->state().handle(
+  if (!call) return kv_store_->respond(request.connection, 400, encode_error("malformed"), 0);
+  kv_writes_ += call->puts.size() + call->deletes.size();
+  region_->kv_store().handle(
       *call, false, region_->now(),
       [this, call = *call, connection = request.connection](const KvResponse& reply) {
         const ServiceResponse response = encode_state_reply(call, reply);
-        state_->respond(connection, response.status, response.body, 0);
+        kv_store_->respond(connection, response.status, response.body, 0);
       });
 }
 
@@ -188,9 +188,9 @@
 void RegionProcess::serve_worker(const std::string& machine, HttpServer& server,
                                  const ServerRequest& request) {
   const std::uint64_t connection = request.connection;
-  const auto respond = [&server, connection](int status, const Heartbeat& report) {
+  const auto respond = [&server, connection](int status, const Heartbeat& heartbeat) {
     server.respond(connection, status,
-                   status == 400 ? encode_error("malformed") : encode_heartbeat(report), 0);
+                   status == 400 ? encode_error("malformed") : encode_heartbeat(heartbeat), 0);
   };
   if (request.method == "GET" && request.path == "/inspect")
     region_->inspect(machine, respond);
@@ -283,7 +283,7 @@
   for (auto& [machine, sockets] : workers_) sockets.client->sweep();
   sweep_timer_.set(kSweepMs);
   // The main process is gone: nobody would read what follows.
-  if (getppid() != parent_) {
+  if (getppid() != main_process_) {
     region_.reset();
     std::exit(1);
   }
@@ -327,10 +327,10 @@
   }
   *out.mutable_workers() = as_message(workers);
   *out.mutable_users() = as_message(users_.traffic());
-  *out.mutable_state() = as_message(state_->traffic());
+  *out.mutable_state() = as_message(kv_store_->traffic());
   *out.mutable_cloud() = as_message(cloud_->traffic());
-  out.set_state_writes(state_writes_);
-  out.set_refused_writes(region_->state().refused_writes);
+  out.set_state_writes(kv_writes_);
+  out.set_refused_writes(region_->kv_store().refused_writes);
   out.set_unanswered_submissions(region_->unanswered_submissions());
   for (const Time delay : region_->submission_delays())
     out.add_submission_ms(static_cast<std::uint32_t>(delay));
--- a/tools/scale/region_process.hpp
+++ b/tools/scale/region_process.hpp
@@ -1,5 +1,5 @@
 // The process of one region: its controllers as processes, and everything around them as a model
-// behind sockets (state service, cloud, workers, users).
+// behind sockets (key-value store, cloud, workers, users).
 #pragma once
 
 #include <map>
@@ -36,11 +36,12 @@
   void run();
 
  private:
-  /// A hollow worker's sockets.
+  /// A hollow worker: only its protocol is real, no task runs there.
   struct WorkerSockets {
     std::unique_ptr<HttpClient> client;
     std::unique_ptr<HttpServer> server;
-    std::string reports_to;
+    /// Address of the controller that got its last heartbeat.
+    std::string controller_address;
   };
 
   void send_heartbeat(const std::string& machine, const std::string& address,
@@ -52,7 +53,7 @@
   std::unique_ptr<sim::SimulatedController> start_controller(std::size_t node,
                                                              const Settings& settings);
   WorkerSockets& worker_sockets(const std::string& machine);
-  void serve_state(const ServerRequest& request);
+  void serve_kv_store(const ServerRequest& request);
   void serve_cloud(const ServerRequest& request);
   void serve_worker(const std::string& machine, HttpServer& server, const ServerRequest& request);
   void plan_faults();
@@ -69,10 +70,10 @@
 
   const Plan plan_;
   const RegionOptions options_;
-  const int parent_;
+  const int main_process_;
   EventLoop loop_;
   HttpClient users_;
-  std::unique_ptr<HttpServer> state_, cloud_;
+  std::unique_ptr<HttpServer> kv_store_, cloud_;
   std::map<std::string, WorkerSockets> workers_;
   std::map<std::size_t, int> controller_pids_;
   std::unique_ptr<sim::SimulatedRegion> region_;
@@ -80,7 +81,7 @@
   Timer clock_timer_, sample_timer_, sweep_timer_;
   bool advancing_ = false;
   double worker_seconds_ = 0;
-  std::uint64_t state_writes_ = 0;
+  std::uint64_t kv_writes_ = 0;
   Time late_ms_max_ = 0;
 };
 
