--- a/tools/capacity/table.cpp
+++ b/tools/capacity/table.cpp
@@ -64,12 +64,13 @@
     out_ +=
         "| slope | against | per unit | constant | R² | bend | sizes | measured by |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- |\n";
-    for (const Slope& s : measurements_.slope()) {
-      const Fit f = fit(s);
+    for (const Slope& slope : measurements_.slope()) {
+      const Fit fitted = fit(slope);
       out_ += fmt::format(
           "| {}, {} | {} | {:.3g} | {:.3g} | {:.3f} | {:.2f} | {:.4g} to {:.4g} | {} |\n",
-          s.quantity(), s.unit(), s.against(), f.per_unit, f.constant, f.determination, f.bend,
-          s.point(0).x(), s.point(s.point_size() - 1).x(), s.command());
+          slope.quantity(), slope.unit(), slope.against(), fitted.per_unit, fitted.constant,
+          fitted.determination, fitted.bend, slope.point(0).x(),
+          slope.point(slope.point_size() - 1).x(), slope.command());
     }
   }
 
@@ -77,7 +78,8 @@
     out_ += fmt::format("| {} | {:.3g} {} | {} |\n", what, value, unit, how);
   }
 
-  // The leader's work: reports, starts and jobs; each slope has the others' share in its constant.
+  // The leader's work: heartbeats, starts and jobs; each slope has the others' share in its
+  // constant.
   [[nodiscard]] double leader_cores(const RegionSize& size) const {
     const Fit reports = line("leader_cores_per_report");
     return reports.constant + reports.per_unit * size.workers / size.heartbeat_interval_s +
--- a/tools/scale/remote_controller.hpp
+++ b/tools/scale/remote_controller.hpp
@@ -20,7 +20,7 @@
                               std::function<void(int, std::string)> done) = 0;
   virtual void send_user_request(const std::string& address, const UserRequest& request,
                                  std::function<void(int, std::string)> done) = 0;
-  /// An answer has come; the region's day goes on with it.
+  /// A response has arrived; the region's simulation continues with it.
   virtual void answered(std::size_t node, const Response& response) = 0;
 };
 
--- a/tools/scale/report_builder.cpp
+++ b/tools/scale/report_builder.cpp
@@ -40,10 +40,11 @@
   return fmt::sprintf(format, values...) + "\n";
 }
 
-std::string describe(const char* what, const Distribution& d) {
-  if (d.count() == 0) return line("%-28s none", what);
-  return line("%-28s %u: median %.0f, p90 %.0f, p99 %.0f, largest %.0f ms", what, d.count(),
-              d.median(), d.p90(), d.p99(), d.largest());
+std::string describe(const char* what, const Distribution& distribution) {
+  if (distribution.count() == 0) return line("%-28s none", what);
+  return line("%-28s %u: median %.0f, p90 %.0f, p99 %.0f, largest %.0f ms", what,
+              distribution.count(), distribution.median(), distribution.p90(), distribution.p99(),
+              distribution.largest());
 }
 
 }  // namespace
@@ -124,7 +125,7 @@
   for (const std::uint32_t wait : result.urgent_ms()) urgent_ms_.push_back(wait);
   add(workers_, result.workers());
   add(users_, result.users());
-  add(state_, result.state());
+  add(kv_store_, result.state());
   add(cloud_, result.cloud());
   reports_ += result.reports();
   worker_seconds_ += result.worker_seconds();
@@ -204,17 +205,19 @@
     role.set_memory_peak_mb_of_largest(largest);
     return cores;
   };
-  const auto leads = [&](const Process& p) {
-    return p.role == ProcessRole::SimulatedController && busiest.at(p.region) == &p;
+  const auto leads = [&](const Process& process) {
+    return process.role == ProcessRole::SimulatedController &&
+           busiest.at(process.region) == &process;
   };
   double control = sum("controller, busiest of its region", leads);
-  control += sum("controller, others", [&](const Process& p) {
-    return p.role == ProcessRole::SimulatedController && !leads(p);
+  control += sum("controller, others", [&](const Process& process) {
+    return process.role == ProcessRole::SimulatedController && !leads(process);
   });
-  double stand_ins = sum("stand-ins (workers, services, users)",
-                         [](const Process& p) { return p.role == ProcessRole::Region; });
-  stand_ins += sum("main process", [](const Process& p) { return p.role == ProcessRole::Main; });
-  report.set_stand_ins_share(stand_ins / std::max(1e-9, stand_ins + control));
+  double fakes = sum("stand-ins (workers, services, users)",
+                     [](const Process& process) { return process.role == ProcessRole::Region; });
+  fakes +=
+      sum("main process", [](const Process& process) { return process.role == ProcessRole::Main; });
+  report.set_stand_ins_share(fakes / std::max(1e-9, fakes + control));
 }
 
 void ReportBuilder::add_worker_share(RunReport& report) const {
@@ -255,7 +258,7 @@
   add_roles(report);
   add_service(report, "workers' connections", workers_);
   add_service(report, "users' connections", users_);
-  add_service(report, "state service", state_);
+  add_service(report, "state service", kv_store_);
   add_service(report, "cloud", cloud_);
   TrafficCounts between;
   between.set_messages_in(links.messages_in);
--- a/tools/scale/report_builder.hpp
+++ b/tools/scale/report_builder.hpp
@@ -61,7 +61,7 @@
   std::map<std::uint64_t, Moment> moments_;
   std::map<std::uint64_t, std::uint64_t> starts_at_;  // a second's first sample
   std::vector<double> submission_ms_, urgent_ms_;
-  TrafficCounts workers_, users_, state_, cloud_;
+  TrafficCounts workers_, users_, kv_store_, cloud_;
   std::uint64_t reports_ = 0;
   double worker_seconds_ = 0;
   double memory_mb_ = 0;
--- a/tools/scale/run.cpp
+++ b/tools/scale/run.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Time kWatchMs = 1'000;
-/// From the start of the regions' processes to the beginning of their day.
+/// From the start of the regions' processes to the beginning of their simulation.
 constexpr Time kStartMs = 1'000;
 /// A region that hasn't ended so long after the plan's end never will.
 constexpr Time kOverdueMs = 30'000;
--- a/tools/scale/workload.hpp
+++ b/tools/scale/workload.hpp
@@ -13,7 +13,7 @@
 
 class Workload {
  public:
-  /// Plans all submissions from `begin` on into the region's day.
+  /// Plans all submissions from `begin` on into the region's simulation.
   Workload(const Plan& plan, int region_index, sim::SimulatedRegion& region, Time begin);
 
   /// To be told of each task that begins to run.
