--- a/sim/federated_day.cpp
+++ b/sim/federated_day.cpp
@@ -106,10 +106,11 @@
 ShareLedger FederatedDay::ledger(std::size_t region) const {
   ShareLedger out;
   const FakeKvStore& state = regions_[region]->state();
-  for (const auto& [team, limit] : limits_)
-    decode_share_value(share_key(team), state.value_of(share_key(team)), out);
-  for (const std::string& name : names_)
-    decode_share_value(transfer_key(name), state.value_of(transfer_key(name)), out);
+  const auto add = [&](const std::string& key) {
+    if (auto value = decode_quota_share_value(key, state.value_of(key))) out.add(std::move(*value));
+  };
+  for (const auto& [team, limit] : limits_) add(share_key(team));
+  for (const std::string& name : names_) add(transfer_key(name));
   return out;
 }
 
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -145,28 +145,30 @@
 
   void act(const CallKvStore& a) {
     const HttpRequest h = encode_kv_request(a.request);
-    client_.request(settings_.state, h.method, h.path, h.body, a.timeout_ms, true,
-                    [this, call = a.call, request = a.request](int status, std::string_view body) {
-                      feed(KvResponseReceived{call, decode_kv_response(request, status, body)});
-                    });
+    client_.request(
+        settings_.state, h.method, h.path, h.body, a.timeout_ms, true,
+        [this, call = a.call, request = a.request](int status, std::string_view body) {
+          feed(KvResponseReceived{call, decode_kv_response(request, status, body).value_or({})});
+        });
   }
 
   void act(const CallCloud& a) {
     const HttpRequest h = encode_cloud_request(a.request);
-    client_.request(
-        settings_.cloud, h.method, h.path, h.body, a.timeout_ms, true,
-        [this, call = a.call, request = a.request](int status, std::string_view body) {
-          feed(CloudResponseReceived{call, decode_cloud_response(request, status, body)});
-        });
+    client_.request(settings_.cloud, h.method, h.path, h.body, a.timeout_ms, true,
+                    [this, call = a.call, request = a.request](int status, std::string_view body) {
+                      feed(CloudResponseReceived{
+                          call, decode_cloud_response(request, status, body).value_or({})});
+                    });
   }
 
   void act(const CallWorker& a) {
     if (late(a.valid_until)) return feed(WorkerResponseReceived{a.call, 0, {}});
     workers_.request(a.address, "POST", "/do", a.body, a.timeout_ms, false,
                      [this, call = a.call](int status, std::string_view body) {
-                       feed(WorkerResponseReceived{
-                           call, status,
-                           status == 200 || status == 409 ? decode_heartbeat(body) : std::nullopt});
+                       std::optional<Heartbeat> heartbeat;
+                       if (status == 200 || status == 409)
+                         heartbeat = decode_heartbeat(body).to_optional();
+                       feed(WorkerResponseReceived{call, status, std::move(heartbeat)});
                      });
   }
 
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -73,10 +73,13 @@
     if (const Job* job = tables_.job(*id)) return respond_committed(r.source, 200, *job);
   }
   if (id && unknown_jobs_) return respond_unknown(r.source, unknown_jobs_, command_until());
-  std::string error;
-  auto spec = decode_submission(r.body, error);
-  if (!spec) return respond(r.source, 400, encode_error("invalid: " + error));
+  auto spec = decode_submission(r.body);
+  if (!spec)
+    return respond(
+        r.source, 400,
+        encode_error("invalid: " + std::string(describe_submission_error(spec.error()))));
   if (tables_.types.empty()) return reject(r.source, "machine types not known yet");
+  std::string error;
   if (never_fits(*spec, error)) return respond(r.source, 422, encode_error(error));
   if (spec->kind == JobKind::Gang && !gangs_enabled_)
     return reject(r.source, "gangs wait until all controllers are of this version");
--- a/src/controller/regional_quotas.cpp
+++ b/src/controller/regional_quotas.cpp
@@ -29,7 +29,8 @@
   for (TeamQuota& team : tables_.teams) set_caps(team, {}, {});
   if (checkpoint.share_values.empty()) return true;
   ShareLedger ledger;
-  for (const auto& [key, value] : checkpoint.share_values) decode_share_value(key, value, ledger);
+  for (const auto& [key, value] : checkpoint.share_values)
+    if (auto decoded = decode_quota_share_value(key, value)) ledger.add(std::move(*decoded));
   for (TeamQuota& team : tables_.teams) {
     const Amounts share = ledger.teams[team.limits.name].share;
     set_caps(team, federation::units(share.cpus), federation::units(share.gpus));
--- a/src/federation/share_manager.cpp
+++ b/src/federation/share_manager.cpp
@@ -105,7 +105,10 @@
   committed_ = ShareLedger{};
   unreadable_ = false;
   for (const auto& [key, value] : values)
-    if (!decode_share_value(key, value, committed_)) unreadable_ = true;
+    if (auto decoded = decode_quota_share_value(key, value))
+      committed_.add(std::move(*decoded));
+    else
+      unreadable_ = true;
   active_ = !values.empty();
   unwritten_.clear();
   if (unreadable_) event("event=shares_unreadable", true);
--- a/src/protocol/cloud_codec.cpp
+++ b/src/protocol/cloud_codec.cpp
@@ -1,13 +1,16 @@
 #include "protocol/cloud_codec.hpp"
 
+#include <optional>
+
 #include "protocol/json.hpp"
 
 namespace sailreel {
 namespace {
 
-bool read_types(const json::Document& doc, CloudResponse& out) {
+std::optional<DecodeError> decode_types(const json::Document& doc, CloudResponse& out) {
   const json::Value* list = json::member(doc, "hulls");
-  if (list == nullptr || !list->IsArray()) return false;
+  if (list == nullptr || !list->IsArray())
+    return DecodeError{DecodeErrorKind::InvalidField, "hulls"};
   for (const auto& v : list->GetArray()) {
     MachineType t;
     if (!v.IsObject() || !json::get(v, "sku", t.name) || !json::get(v, "cores", t.size.cpus) ||
@@ -24,20 +27,22 @@
         if (z.IsString()) t.zones.emplace_back(z.GetString(), z.GetStringLength());
     out.types.push_back(std::move(t));
   }
-  return true;
+  return {};
 }
 
-bool read_names(const json::Document& doc, CloudResponse& out) {
+std::optional<DecodeError> decode_names(const json::Document& doc, CloudResponse& out) {
   const json::Value* list = json::member(doc, "vessels");
-  if (list == nullptr || !list->IsArray()) return false;
+  if (list == nullptr || !list->IsArray())
+    return DecodeError{DecodeErrorKind::InvalidField, "vessels"};
   for (const auto& v : list->GetArray())
     if (v.IsString()) out.names.emplace_back(v.GetString(), v.GetStringLength());
-  return true;
+  return {};
 }
 
-bool read_machines(const json::Document& doc, CloudResponse& out) {
+std::optional<DecodeError> decode_machines(const json::Document& doc, CloudResponse& out) {
   const json::Value* list = json::member(doc, "vessels");
-  if (list == nullptr || !list->IsArray()) return false;
+  if (list == nullptr || !list->IsArray())
+    return DecodeError{DecodeErrorKind::InvalidField, "vessels"};
   std::string state;
   for (const auto& v : list->GetArray()) {
     ListedMachine m;
@@ -53,7 +58,7 @@
     out.machines.push_back(std::move(m));
   }
   json::get(doc, "has_next", out.more);
-  return true;
+  return {};
 }
 
 }  // namespace
@@ -99,7 +104,8 @@
   return {};
 }
 
-CloudResponse decode_cloud_response(const CloudRequest& call, int status, std::string_view body) {
+Decoded<CloudResponse> decode_cloud_response(const CloudRequest& call, int status,
+                                             std::string_view body) {
   CloudResponse out;
   out.status = status;
   if (status == 503 && call.kind == CloudRequest::Kind::ScaleOut) {
@@ -110,11 +116,11 @@
   }
   if (status != 200 || call.kind == CloudRequest::Kind::Terminate) return out;
   json::Document doc;
-  const bool ok = json::parse_object(body, doc) &&
-                  (call.kind == CloudRequest::Kind::Types      ? read_types(doc, out)
-                   : call.kind == CloudRequest::Kind::ScaleOut ? read_names(doc, out)
-                                                               : read_machines(doc, out));
-  if (!ok) out = CloudResponse{};
+  if (!json::parse_object(body, doc)) return DecodeError{DecodeErrorKind::NotAnObject, {}};
+  const auto error = call.kind == CloudRequest::Kind::Types      ? decode_types(doc, out)
+                     : call.kind == CloudRequest::Kind::ScaleOut ? decode_names(doc, out)
+                                                                 : decode_machines(doc, out);
+  if (error) return *error;
   return out;
 }
 
--- a/src/protocol/cloud_codec.hpp
+++ b/src/protocol/cloud_codec.hpp
@@ -1,9 +1,10 @@
-// The cloud's API.
+// Codec of the cloud provider's HTTP API.
 #pragma once
 
 #include <string>
 #include <string_view>
 
+#include "protocol/decoded.hpp"
 #include "protocol/messages.hpp"
 
 namespace sailreel {
@@ -13,7 +14,10 @@
 };
 
 HttpRequest encode_cloud_request(const CloudRequest& call);
-/// A 200 whose body can't be read becomes status 0: what it did is unknown.
-CloudResponse decode_cloud_response(const CloudRequest& call, int status, std::string_view body);
+/// An error means that the cloud said 200 in a body that can't be decoded: what the request did is
+/// unknown, as after a timeout (status 0). Machine types and machines of a list that lack a field
+/// are left out: one broken entry must not hide the others.
+Decoded<CloudResponse> decode_cloud_response(const CloudRequest& call, int status,
+                                             std::string_view body);
 
 }  // namespace sailreel
--- a/src/protocol/kv_codec.cpp
+++ b/src/protocol/kv_codec.cpp
@@ -1,35 +1,85 @@
 #include "protocol/kv_codec.hpp"
 
+#include <optional>
+
+#include "protocol/field_reader.hpp"
 #include "protocol/json.hpp"
 
 namespace sailreel {
 namespace {
 
-bool read_item(const json::Value& v, KvItem& item) {
-  const json::Value* value = json::member(v, "data");
-  if (!json::get(v, "path", item.key) || !json::get(v, "mark", item.version)) return false;
-  if (value != nullptr) item.value = json::text(*value);
-  return true;
+Decoded<KvItem> decode_item(const json::Value& object) {
+  KvItem item;
+  json::FieldReader fields(object);
+  fields.required("path", item.key).required("mark", item.version);
+  if (fields.error()) return *fields.error();
+  if (const json::Value* value = json::member(object, "data")) item.value = json::text(*value);
+  return item;
+}
+
+Decoded<KvItem> decode_event(const json::Value& object) {
+  KvItem item;
+  json::get(object, "mark", item.version);
+  if (json::get(object, "set", item.key)) {
+    if (const json::Value* value = json::member(object, "data")) item.value = json::text(*value);
+  } else if (json::get(object, "drop", item.key)) {
+    item.deleted = true;
+  } else {
+    return DecodeError{DecodeErrorKind::InvalidField, "set"};
+  }
+  return item;
+}
+
+using DecodeItem = Decoded<KvItem> (*)(const json::Value&);
+
+/// Appends the items of the list to `out`.
+std::optional<DecodeError> append_items(const json::Value& list, const char* field,
+                                        DecodeItem decode, std::vector<KvItem>& out) {
+  if (!list.IsArray()) return DecodeError{DecodeErrorKind::InvalidField, field};
+  for (const auto& value : list.GetArray()) {
+    if (!value.IsObject()) return DecodeError{DecodeErrorKind::InvalidField, field};
+    auto item = decode(value);
+    if (!item) return item.error();
+    out.push_back(std::move(*item));
+  }
+  return {};
 }
 
-bool read_events(const json::Document& doc, KvResponse& out) {
-  const json::Value* list = json::member(doc, "log");
-  if (list == nullptr) return true;
-  if (!list->IsArray()) return false;
-  for (const auto& v : list->GetArray()) {
-    if (!v.IsObject()) return false;
-    KvItem item;
-    json::get(v, "mark", item.version);
-    if (json::get(v, "set", item.key)) {
-      if (const json::Value* value = json::member(v, "data")) item.value = json::text(*value);
-    } else if (json::get(v, "drop", item.key)) {
-      item.deleted = true;
-    } else {
-      return false;
+/// Fills in what the response to that kind of request holds beside its revision.
+std::optional<DecodeError> decode_result(KvRequest::Kind kind, const json::Document& doc,
+                                         bool has_revision, KvResponse& out) {
+  using Kind = KvRequest::Kind;
+  const DecodeError no_revision{DecodeErrorKind::InvalidField, "tide"};
+  switch (kind) {
+    case Kind::Get: {
+      auto item = decode_item(doc);
+      if (!item) return item.error();
+      out.items.push_back(std::move(*item));
+      return {};
     }
-    out.items.push_back(std::move(item));
+    case Kind::List: {
+      if (!has_revision) return no_revision;
+      const json::Value* list = json::member(doc, "pairs");
+      if (list == nullptr) return DecodeError{DecodeErrorKind::InvalidField, "pairs"};
+      json::get(doc, "has_next", out.more);
+      return append_items(*list, "pairs", decode_item, out.items);
+    }
+    case Kind::Txn:
+      if (!has_revision) return no_revision;
+      return {};
+    case Kind::Grant:
+      return json::FieldReader(doc).required("mooring", out.lease).error();
+    case Kind::Watch: {
+      if (!has_revision) return no_revision;
+      const json::Value* events = json::member(doc, "log");
+      if (events == nullptr) return {};
+      return append_items(*events, "log", decode_event, out.items);
+    }
+    case Kind::Renew:
+    case Kind::Revoke:
+      return {};
   }
-  return true;
+  return {};
 }
 
 std::string encode_txn(const KvRequest& call) {
@@ -102,38 +152,18 @@
   return {};
 }
 
-KvResponse decode_kv_response(const KvRequest& call, int status, std::string_view body) {
-  using Kind = KvRequest::Kind;
+Decoded<KvResponse> decode_kv_response(const KvRequest& call, int status, std::string_view body) {
   KvResponse out;
   out.status = status;
   json::Document doc;
-  const bool object = json::parse_object(body, doc);
-  // A store that nobody has written to is at revision 0.
-  const bool dated = object && json::get(doc, "tide", out.revision);
-  if (status != 200 || call.kind == Kind::Renew || call.kind == Kind::Revoke) return out;
-  bool ok = object;
-  if (ok && call.kind == Kind::Get) {
-    KvItem item;
-    ok = read_item(doc, item);
-    out.items.push_back(std::move(item));
-  } else if (ok && call.kind == Kind::List) {
-    const json::Value* list = json::member(doc, "pairs");
-    ok = list != nullptr && list->IsArray() && dated;
-    if (ok)
-      for (const auto& v : list->GetArray()) {
-        KvItem item;
-        ok = ok && v.IsObject() && read_item(v, item);
-        out.items.push_back(std::move(item));
-      }
-    json::get(doc, "has_next", out.more);
-  } else if (ok && call.kind == Kind::Txn) {
-    ok = dated;
-  } else if (ok && call.kind == Kind::Grant) {
-    ok = json::get(doc, "mooring", out.lease);
-  } else if (ok && call.kind == Kind::Watch) {
-    ok = dated && read_events(doc, out);
-  }
-  if (!ok) out = KvResponse{};
+  const bool is_object = json::parse_object(body, doc);
+  // Present but 0 in a store that nobody has written to.
+  const bool has_revision = is_object && json::get(doc, "tide", out.revision);
+  const bool has_result =
+      call.kind != KvRequest::Kind::Renew && call.kind != KvRequest::Kind::Revoke;
+  if (status != 200 || !has_result) return out;
+  if (!is_object) return DecodeError{DecodeErrorKind::NotAnObject, {}};
+  if (const auto error = decode_result(call.kind, doc, has_revision, out)) return *error;
   return out;
 }
 
--- a/src/protocol/peer_frames.cpp
+++ b/src/protocol/peer_frames.cpp
@@ -81,54 +81,85 @@
   return true;
 }
 
-bool parse(PeerMessage::Kind kind, std::string_view payload, PeerMessage& m) {
-  m.kind = kind;
-  switch (kind) {
+Decoded<ControllerHeartbeat> decode_controller_heartbeat(std::string_view payload) {
+  HeartbeatBody body;
+  if (!take(payload, body)) return DecodeError{DecodeErrorKind::Truncated, "heartbeat"};
+  if (body.name_length > kMaxText || payload.size() != body.name_length)
+    return DecodeError{DecodeErrorKind::InvalidField, "node"};
+  ControllerHeartbeat heartbeat;
+  heartbeat.node = std::string(payload);
+  heartbeat.epoch = body.epoch;
+  heartbeat.leading = (body.flags & kLeading) != 0;
+  heartbeat.hears_leader = (body.flags & kHearsLeader) != 0;
+  heartbeat.holding = (body.flags & kHolding) != 0;
+  heartbeat.hears_workers = (body.flags & kHearsWorkers) != 0;
+  heartbeat.understands_gangs = (body.flags & kUnderstandsGangs) != 0;
+  heartbeat.shares_limits = (body.flags & kSharesLimits) != 0;
+  heartbeat.incarnation = body.incarnation;
+  heartbeat.clock = body.clock;
+  heartbeat.acknowledged_incarnation = body.acknowledged_incarnation;
+  heartbeat.acknowledged_clock = body.acknowledged_clock;
+  heartbeat.keep_ms = body.keep_ms;
+  if ((body.flags & kWasAlone) != 0) heartbeat.kept_alive_ms = body.kept_alive_ms;
+  return heartbeat;
+}
+
+Decoded<PeerRequest> decode_request(std::string_view payload, bool relay) {
+  RequestBody body;
+  if (!take(payload, body)) return DecodeError{DecodeErrorKind::Truncated, "request"};
+  if (body.op > static_cast<std::uint8_t>(UserOp::Heartbeat))
+    return DecodeError{DecodeErrorKind::Unsupported, "op"};
+  if (body.id_length > kMaxText) return DecodeError{DecodeErrorKind::InvalidField, "id"};
+  if (body.body_length > kMaxBody ||
+      payload.size() != std::size_t{body.id_length} + body.body_length)
+    return DecodeError{DecodeErrorKind::InvalidField, "body"};
+  return PeerRequest{body.call, static_cast<UserOp>(body.op),
+                     std::string(payload.substr(0, body.id_length)),
+                     std::string(payload.substr(body.id_length)), relay};
+}
+
+Decoded<PeerResponse> decode_response(std::string_view payload) {
+  ResponseBody body;
+  if (!take(payload, body)) return DecodeError{DecodeErrorKind::Truncated, "response"};
+  if (payload.size() != body.body_length) return DecodeError{DecodeErrorKind::InvalidField, "body"};
+  PeerResponse response{body.call, body.status, body.retry_after_s, {}, std::string(payload)};
+  if (body.valid_ms != kForEver) response.valid_ms = body.valid_ms;
+  return response;
+}
+
+Decoded<PeerMessage> decode_peer(const FrameHeader& header, std::string_view payload) {
+  PeerMessage message;
+  message.kind = static_cast<PeerMessage::Kind>(header.kind);
+  // The flag is of requests; it is kept with frames of every kind, as earlier versions did.
+  message.request.relay = (header.flags & kRelay) != 0;
+  switch (message.kind) {
     case PeerMessage::Kind::Heartbeat: {
-      HeartbeatBody b;
-      if (!take(payload, b) || b.name_length > kMaxText || payload.size() != b.name_length)
-        return false;
-      m.heartbeat.node = std::string(payload);
-      m.heartbeat.epoch = b.epoch;
-      m.heartbeat.leading = (b.flags & kLeading) != 0;
-      m.heartbeat.hears_leader = (b.flags & kHearsLeader) != 0;
-      m.heartbeat.holding = (b.flags & kHolding) != 0;
-      m.heartbeat.hears_workers = (b.flags & kHearsWorkers) != 0;
-      m.heartbeat.understands_gangs = (b.flags & kUnderstandsGangs) != 0;
-      m.heartbeat.shares_limits = (b.flags & kSharesLimits) != 0;
-      m.heartbeat.incarnation = b.incarnation;
-      m.heartbeat.clock = b.clock;
-      m.heartbeat.acknowledged_incarnation = b.acknowledged_incarnation;
-      m.heartbeat.acknowledged_clock = b.acknowledged_clock;
-      m.heartbeat.keep_ms = b.keep_ms;
-      if ((b.flags & kWasAlone) != 0) m.heartbeat.kept_alive_ms = b.kept_alive_ms;
-      return true;
+      auto heartbeat = decode_controller_heartbeat(payload);
+      if (!heartbeat) return heartbeat.error();
+      message.heartbeat = std::move(*heartbeat);
+      return message;
     }
     case PeerMessage::Kind::Request: {
-      RequestBody b;
-      if (!take(payload, b) || b.op > static_cast<std::uint8_t>(UserOp::Heartbeat) ||
-          b.id_length > kMaxText || b.body_length > kMaxBody ||
-          payload.size() != std::size_t{b.id_length} + b.body_length)
-        return false;
-      m.request = {b.call, static_cast<UserOp>(b.op), std::string(payload.substr(0, b.id_length)),
-                   std::string(payload.substr(b.id_length)), false};
-      return true;
+      auto request = decode_request(payload, message.request.relay);
+      if (!request) return request.error();
+      message.request = std::move(*request);
+      return message;
     }
     case PeerMessage::Kind::Response: {
-      ResponseBody b;
-      if (!take(payload, b) || payload.size() != b.body_length) return false;
-      m.response = {b.call, b.status, b.retry_after_s, {}, std::string(payload)};
-      if (b.valid_ms != kForEver) m.response.valid_ms = b.valid_ms;
-      return true;
+      auto response = decode_response(payload);
+      if (!response) return response.error();
+      message.response = std::move(*response);
+      return message;
     }
     case PeerMessage::Kind::Region: {
-      auto message = decode_region_message(payload);
-      // One of a later version is passed over; the link serves on.
-      if (message) m.region = std::move(*message);
-      return true;
+      // A message of a later version is ignored: it must not close the link that also carries the
+      // messages which this version understands.
+      auto region = decode_region_message(payload);
+      if (region) message.region = std::move(*region);
+      return message;
     }
   }
-  return false;
+  return DecodeError{DecodeErrorKind::Unsupported, "kind"};
 }
 
 std::string frame_region(const RegionMessage& message) {
@@ -139,6 +170,14 @@
   return out += payload;
 }
 
+/// The field by which a frame is not one of this version; nullptr if it is one.
+const char* invalid_field(const FrameHeader& header) {
+  if (header.magic != kMagic) return "magic";
+  if (header.version != kVersion) return "version";
+  if (header.length > kMaxPayload) return "length";
+  return nullptr;
+}
+
 }  // namespace
 
 std::string encode_peer(const PeerMessage& m) {
@@ -178,28 +217,26 @@
 }
 
 std::optional<PeerMessage> PeerReader::next() {
-  if (broken_) return {};
-  std::string_view rest = std::string_view(buffer_).substr(used_);
-  FrameHeader h;
-  std::string_view head = rest;
-  if (!take(head, h)) {
+  if (error_) return {};
+  std::string_view payload = std::string_view(buffer_).substr(used_);
+  FrameHeader header;
+  if (!take(payload, header)) {
     buffer_.erase(0, used_);
     used_ = 0;
     return {};
   }
-  if (h.magic != kMagic || h.version != kVersion || h.length > kMaxPayload) {
-    broken_ = true;
+  if (const char* field = invalid_field(header)) {
+    error_ = DecodeError{DecodeErrorKind::Unsupported, field};
     return {};
   }
-  if (head.size() < h.length) return {};
-  PeerMessage m;
-  if (!parse(static_cast<PeerMessage::Kind>(h.kind), head.substr(0, h.length), m)) {
-    broken_ = true;
+  if (payload.size() < header.length) return {};
+  auto message = decode_peer(header, payload.substr(0, header.length));
+  if (!message) {
+    error_ = message.error();
     return {};
   }
-  m.request.relay = (h.flags & kRelay) != 0;
-  used_ += sizeof h + h.length;
-  return m;
+  used_ += sizeof header + header.length;
+  return std::move(*message);
 }
 
 }  // namespace sailreel
--- a/src/protocol/peer_frames.hpp
+++ b/src/protocol/peer_frames.hpp
@@ -6,6 +6,7 @@
 #include <string>
 #include <string_view>
 
+#include "protocol/decoded.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/region_frames.hpp"
 
@@ -68,12 +69,15 @@
   void feed(std::string_view bytes) { buffer_.append(bytes); }
   /// The next whole message, or empty: more bytes are needed, or the stream is `broken`.
   std::optional<PeerMessage> next();
-  [[nodiscard]] bool broken() const { return broken_; }
+  [[nodiscard]] bool broken() const { return error_.has_value(); }
+  /// Why the stream is broken. No frame after the first that can't be decoded is read, as nothing
+  /// marks where the next one begins.
+  [[nodiscard]] const std::optional<DecodeError>& error() const { return error_; }
 
  private:
   std::string buffer_;
   std::size_t used_ = 0;
-  bool broken_ = false;
+  std::optional<DecodeError> error_;
 };
 
 }  // namespace sailreel
--- a/src/protocol/region_frames.cpp
+++ b/src/protocol/region_frames.cpp
@@ -40,11 +40,13 @@
   return true;
 }
 
-bool take_name(std::string_view& bytes, std::size_t length, std::string& name) {
-  if (length > kMaxName || bytes.size() < length) return false;
-  name.assign(bytes.substr(0, length));
+/// The text of that length at the beginning of `bytes`, which it is taken off.
+Decoded<std::string> take_name(std::string_view& bytes, std::size_t length, const char* field) {
+  if (length > kMaxName) return DecodeError{DecodeErrorKind::InvalidField, field};
+  if (bytes.size() < length) return DecodeError{DecodeErrorKind::Truncated, field};
+  std::string name(bytes.substr(0, length));
   bytes.remove_prefix(length);
-  return true;
+  return name;
 }
 
 /// An entry of any kind of message: a team and up to two amounts.
@@ -83,6 +85,19 @@
 
 bool negative(const Amounts& amounts) { return amounts.cpus < 0 || amounts.gpus < 0; }
 
+Decoded<Entry> take_entry(std::string_view& bytes) {
+  EntryBody body{};
+  if (!take(bytes, body)) return DecodeError{DecodeErrorKind::Truncated, "entry"};
+  auto team = take_name(bytes, body.name_length, "team");
+  if (!team) return team.error();
+  Entry entry{
+      std::move(*team), {body.first_cpus, body.first_gpus}, {body.second_cpus, body.second_gpus}};
+  if (negative(entry.first) || negative(entry.second))
+    return DecodeError{DecodeErrorKind::InvalidField, "amounts"};
+  return entry;
+}
+
+/// Moves the entries into the message; false if a message of its kind can't have that many.
 bool fill(RegionMessage& message, std::uint64_t number, std::vector<Entry> entries) {
   switch (message.kind) {
     case RegionMessage::Kind::Transfer:
@@ -123,24 +138,28 @@
   return out;
 }
 
-std::optional<RegionMessage> decode_region_message(std::string_view bytes) {
+Decoded<RegionMessage> decode_region_message(std::string_view bytes) {
   MessageHeader header{};
+  if (!take(bytes, header)) return DecodeError{DecodeErrorKind::Truncated, "header"};
+  if (header.version != kVersion) return DecodeError{DecodeErrorKind::Unsupported, "version"};
+  if (!known_kind(header.kind)) return DecodeError{DecodeErrorKind::Unsupported, "kind"};
+  if (header.entries > kMaxEntries) return DecodeError{DecodeErrorKind::InvalidField, "entries"};
+  auto from = take_name(bytes, header.name_length, "from");
+  if (!from) return from.error();
   RegionMessage message;
-  if (!take(bytes, header) || header.version != kVersion || !known_kind(header.kind) ||
-      header.entries > kMaxEntries || !take_name(bytes, header.name_length, message.from))
-    return {};
+  message.from = std::move(*from);
   message.kind = static_cast<RegionMessage::Kind>(header.kind);
   message.epoch = header.epoch;
   message.sequence = header.sequence;
   std::vector<Entry> entries(header.entries);
   for (Entry& entry : entries) {
-    EntryBody body{};
-    if (!take(bytes, body) || !take_name(bytes, body.name_length, entry.team)) return {};
-    entry.first = {body.first_cpus, body.first_gpus};
-    entry.second = {body.second_cpus, body.second_gpus};
-    if (negative(entry.first) || negative(entry.second)) return {};
+    auto decoded = take_entry(bytes);
+    if (!decoded) return decoded.error();
+    entry = std::move(*decoded);
   }
-  if (!bytes.empty() || !fill(message, header.number, std::move(entries))) return {};
+  if (!bytes.empty()) return DecodeError{DecodeErrorKind::TrailingBytes, {}};
+  if (!fill(message, header.number, std::move(entries)))
+    return DecodeError{DecodeErrorKind::InvalidField, "entries"};
   return message;
 }
 
--- a/src/protocol/region_frames.hpp
+++ b/src/protocol/region_frames.hpp
@@ -5,11 +5,11 @@
 
 #include <algorithm>
 #include <cstdint>
-#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "protocol/decoded.hpp"
 #include "protocol/messages.hpp"
 
 namespace sailreel {
@@ -108,7 +108,7 @@
 };
 
 std::string encode_region_message(const RegionMessage& message);
-/// Empty if it is malformed or of a kind or version that isn't known.
-std::optional<RegionMessage> decode_region_message(std::string_view bytes);
+/// An error of kind `Unsupported` if the sender is of a later version.
+Decoded<RegionMessage> decode_region_message(std::string_view bytes);
 
 }  // namespace sailreel
--- a/src/protocol/user_codec.cpp
+++ b/src/protocol/user_codec.cpp
@@ -1,5 +1,6 @@
 #include "protocol/user_codec.hpp"
 
+#include "protocol/field_reader.hpp"
 #include "protocol/json.hpp"
 
 namespace sailreel {
@@ -8,8 +9,8 @@
 constexpr std::size_t kMaxName = 200;
 constexpr std::size_t kMaxTypes = 64;
 
-bool name(const json::Value& v, const char* field, std::string& out) {
-  return json::get(v, field, out) && !out.empty() && out.size() <= kMaxName;
+bool get_name(const json::Value& object, const char* field, std::string& out) {
+  return json::get(object, field, out) && !out.empty() && out.size() <= kMaxName;
 }
 }  // namespace
 
@@ -47,73 +48,70 @@
   return {};
 }
 
-bool decode_types(const json::Document& doc, JobSpec& spec) {
-  const json::Value* types = json::member(doc, "hulls");
-  if (types == nullptr) return true;
-  if (!types->IsArray() || types->Size() > kMaxTypes) return false;
-  spec.any_type = false;
-  for (const auto& type : types->GetArray()) {
-    if (!type.IsString() || type.GetStringLength() > kMaxName) return false;
-    spec.types.emplace_back(type.GetString(), type.GetStringLength());
+/// The machine types that a job is bound to; there is a list of them.
+std::optional<std::vector<std::string>> decode_types(const json::Value& list) {
+  if (!list.IsArray() || list.Size() > kMaxTypes) return {};
+  std::vector<std::string> types;
+  for (const auto& type : list.GetArray()) {
+    if (!type.IsString() || type.GetStringLength() > kMaxName) return {};
+    types.emplace_back(type.GetString(), type.GetStringLength());
   }
-  return true;
+  return types;
 }
 
-bool decode_task_count(const json::Document& doc, JobSpec& spec) {
+std::optional<std::uint32_t> decode_task_count(const json::Document& doc) {
   std::uint64_t count = 0;
-  if (!json::get(doc, "hands", count) || count == 0 || count > kMaxTasks) return false;
-  spec.tasks = static_cast<std::uint32_t>(count);
-  return true;
+  if (!json::get(doc, "hands", count) || count == 0 || count > kMaxTasks) return {};
+  return static_cast<std::uint32_t>(count);
 }
 
-/// A field that may be null or missing.
-template <typename Decode>
-bool optional_field(const json::Document& doc, const char* key, const Decode& decode) {
-  return json::member(doc, key) == nullptr || decode();
+/// Stores the value, if there is one, and tells whether there is.
+template <typename T>
+bool store(std::optional<T> value, T& out) {
+  if (value) out = std::move(*value);
+  return value.has_value();
 }
 
 }  // namespace
 
-std::optional<JobSpec> decode_submission(std::string_view body, std::string& error) {
+Decoded<JobSpec> decode_submission(std::string_view body) {
   json::Document doc;
-  JobSpec s;
-  const auto valid = [&](bool ok, const char* field) {
-    if (!ok && error.empty()) error = field;
+  if (!json::parse_object(body, doc)) return DecodeError{DecodeErrorKind::NotAnObject, {}};
+  JobSpec spec;
+  json::FieldReader fields(doc);
+  const auto name = [&](const char* field, std::string& out) {
+    fields.check(field, [&] { return get_name(doc, field, out); });
   };
-  error.clear();
-  if (!json::parse_object(body, doc)) {
-    error = "not a JSON object";
-    return {};
+  fields.check("id", [&] { return json::get(doc, "id", spec.id) && valid_job_id(spec.id); });
+  name("berth", spec.job_class);
+  name("crew", spec.team);
+  fields.check("rig", [&] { return store(decode_kind(doc), spec.kind); })
+      .check("precedence", [&] { return store(decode_priority(doc), spec.priority); })
+      .check("hands", [&] { return store(decode_task_count(doc), spec.tasks); })
+      .required("cores", spec.need.cpus)
+      .required("cards", spec.need.gpus)
+      .required("ram_gb", spec.need.memory_gb);
+  name("cargo", spec.image);
+  fields.required("pull_gb", spec.image_gb);
+  if (const json::Value* types = json::member(doc, "hulls")) {
+    spec.any_type = false;
+    fields.check("hulls", [&] { return store(decode_types(*types), spec.types); });
   }
-  valid(json::get(doc, "id", s.id) && valid_job_id(s.id), "id");
-  valid(name(doc, "berth", s.job_class), "berth");
-  valid(name(doc, "crew", s.team), "crew");
-  const std::optional<JobKind> kind = decode_kind(doc);
-  valid(kind.has_value(), "rig");
-  const std::optional<Priority> priority = decode_priority(doc);
-  valid(priority.has_value(), "precedence");
-  valid(decode_task_count(doc, s), "hands");
-  valid(json::get(doc, "cores", s.need.cpus), "cores");
-  valid(json::get(doc, "cards", s.need.gpus), "cards");
-  valid(json::get(doc, "ram_gb", s.need.memory_gb), "ram_gb");
-  valid(name(doc, "cargo", s.image), "cargo");
-  valid(json::get(doc, "pull_gb", s.image_gb), "pull_gb");
-  valid(decode_types(doc, s), "hulls");
-  valid(optional_field(doc, "harbor", [&] { return name(doc, "harbor", s.zone); }), "harbor");
-  valid(json::get(doc, "together", s.one_zone), "together");
-  valid(json::get(doc, "spread", s.spread), "spread");
-  valid(json::get(doc, "driftwood", s.spot), "driftwood");
-  valid(json::get(doc, "voyage_s", s.estimate_s), "voyage_s");
-  valid(json::get(doc, "logbook_s", s.checkpoint_s), "logbook_s");
-  valid(json::get(doc, "stow_s", s.save_s), "stow_s");
-  double deadline = 0;
-  const bool has_deadline = json::member(doc, "landfall_s") != nullptr;
-  valid(!has_deadline || json::get(doc, "landfall_s", deadline), "landfall_s");
-  if (!error.empty()) return {};
-  s.kind = *kind;
-  s.priority = *priority;
-  if (has_deadline) s.deadline_s = deadline;
-  return s;
+  if (json::member(doc, "harbor") != nullptr) name("harbor", spec.zone);
+  fields.required("together", spec.one_zone)
+      .required("spread", spec.spread)
+      .required("driftwood", spec.spot)
+      .required("voyage_s", spec.estimate_s)
+      .required("logbook_s", spec.checkpoint_s)
+      .required("stow_s", spec.save_s);
+  if (json::member(doc, "landfall_s") != nullptr)
+    fields.required("landfall_s", spec.deadline_s.emplace());
+  if (fields.error()) return *fields.error();
+  return spec;
+}
+
+std::string_view describe_submission_error(const DecodeError& error) {
+  return error.kind == DecodeErrorKind::NotAnObject ? "not a JSON object" : error.field;
 }
 
 bool is_gang_submission(std::string_view body) {
@@ -122,32 +120,32 @@
 }
 
 std::string encode_job(const JobView& view) {
-  rapidjson::StringBuffer b;
-  json::Writer w(b);
-  w.StartObject();
-  w.Key("id");
-  json::put(w, view.id);
-  w.Key("heading");
-  w.String(view.phase == Phase::Done        ? "done"
-           : view.phase == Phase::Cancelled ? "cancelled"
-           : view.running > 0               ? "running"
-                                            : "pending");
-  w.Key("done");
-  w.Uint64(view.done);
-  w.Key("running");
-  w.Uint64(view.running);
-  w.EndObject();
-  return json::text(b);
+  rapidjson::StringBuffer buffer;
+  json::Writer writer(buffer);
+  writer.StartObject();
+  writer.Key("id");
+  json::put(writer, view.id);
+  writer.Key("heading");
+  writer.String(view.phase == Phase::Done        ? "done"
+                : view.phase == Phase::Cancelled ? "cancelled"
+                : view.running > 0               ? "running"
+                                                 : "pending");
+  writer.Key("done");
+  writer.Uint64(view.done);
+  writer.Key("running");
+  writer.Uint64(view.running);
+  writer.EndObject();
+  return json::text(buffer);
 }
 
 std::string encode_error(std::string_view text) {
-  rapidjson::StringBuffer b;
-  json::Writer w(b);
-  w.StartObject();
-  w.Key("error");
-  w.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
-  w.EndObject();
-  return json::text(b);
+  rapidjson::StringBuffer buffer;
+  json::Writer writer(buffer);
+  writer.StartObject();
+  writer.Key("error");
+  writer.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
+  writer.EndObject();
+  return json::text(buffer);
 }
 
 }  // namespace sailreel
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -1,25 +1,31 @@
 #include "protocol/worker_codec.hpp"
 
 #include <charconv>
+#include <optional>
 
+#include "protocol/field_reader.hpp"
 #include "protocol/json.hpp"
 
 namespace sailreel {
 namespace {
 
-bool parse_task(std::string_view text, TaskKey& key) {
+constexpr std::size_t kMaxMachineName = 200;
+
+/// The key of a task, which the wire writes as "<job>/<index>".
+std::optional<TaskKey> parse_task_key(std::string_view text) {
   const auto slash = text.rfind('/');
-  if (slash == std::string_view::npos || slash == 0) return false;
+  if (slash == std::string_view::npos || slash == 0) return {};
   const auto digits = text.substr(slash + 1);
   const auto* end = digits.data() + digits.size();
-  const auto [p, ec] = std::from_chars(digits.data(), end, key.index);
-  if (ec != std::errc() || p != end) return false;
+  TaskKey key;
+  const auto [parsed_to, error] = std::from_chars(digits.data(), end, key.index);
+  if (error != std::errc() || parsed_to != end) return {};
   key.job.assign(text.substr(0, slash));
-  return true;
+  return key;
 }
 
-// A state that isn't known is one of before the task runs.
-RunState decode_kv_response(std::string_view word) {
+// Later workers may know more states of a task that has not started yet: an unknown word is one.
+RunState decode_run_state(std::string_view word) {
   if (word == "running") return RunState::Running;
   if (word == "gathering") return RunState::Waiting;
   if (word == "flushing") return RunState::Saving;
@@ -38,102 +44,122 @@
   return ExitCause::Error;
 }
 
-std::optional<TaskStatus> decode_task(const json::Value& item) {
-  TaskStatus task;
-  std::string_view name, state, cause;
-  if (!item.IsObject() || !json::get(item, "hand", name) || !parse_task(name, task.key) ||
-      !json::get(item, "launch", task.attempt) || !json::get(item, "heading", state))
-    return {};
-  task.state = decode_kv_response(state);
-  if (task.state != RunState::Exited) return task;
-  json::get(item, "wake", cause);
-  task.cause = decode_cause(cause);
-  json::get(item, "kept", task.saved);
-  return task;
+Decoded<TaskStatus> decode_task_status(const json::Value& item) {
+  if (!item.IsObject()) return DecodeError{DecodeErrorKind::InvalidField, "hands"};
+  TaskStatus status;
+  std::string_view state;
+  json::FieldReader fields(item);
+  fields
+      .check("hand",
+             [&] {
+               std::string_view name;
+               if (!json::get(item, "hand", name)) return false;
+               auto key = parse_task_key(name);
+               if (key) status.key = std::move(*key);
+               return key.has_value();
+             })
+      .required("launch", status.attempt)
+      .required("heading", state);
+  if (fields.error()) return *fields.error();
+  status.state = decode_run_state(state);
+  if (status.state != RunState::Exited) return status;
+  std::string_view cause;
+  fields.optional("wake", cause).optional("kept", status.saved);
+  status.cause = decode_cause(cause);
+  return status;
 }
 
-void write_commands(json::Writer& w, const std::vector<Command>& commands) {
-  w.Key("orders");
-  w.StartArray();
-  for (const Command& c : commands) {
-    w.StartObject();
-    w.Key("signal");
-    w.String(c.op == Command::Op::Start ? "start" : c.op == Command::Op::Stop ? "kill" : "reap");
-    w.Key("hand");
-    json::put(w, c.key.job + "/" + std::to_string(c.key.index));
-    w.Key("launch");
-    w.Uint64(c.attempt);
-    if (c.op == Command::Op::Stop) {
-      w.Key("slack_s");
-      w.Double(c.grace_s);
+void write_commands(json::Writer& writer, const std::vector<Command>& commands) {
+  writer.Key("orders");
+  writer.StartArray();
+  for (const Command& command : commands) {
+    writer.StartObject();
+    writer.Key("signal");
+    writer.String(command.op == Command::Op::Start  ? "start"
+                  : command.op == Command::Op::Stop ? "kill"
+                                                    : "reap");
+    writer.Key("hand");
+    json::put(writer, command.key.job + "/" + std::to_string(command.key.index));
+    writer.Key("launch");
+    writer.Uint64(command.attempt);
+    if (command.op == Command::Op::Stop) {
+      writer.Key("slack_s");
+      writer.Double(command.grace_s);
     }
-    w.EndObject();
+    writer.EndObject();
   }
-  w.EndArray();
+  writer.EndArray();
 }
 
 }  // namespace
 
-std::optional<Heartbeat> decode_heartbeat(std::string_view body) {
+Decoded<Heartbeat> decode_heartbeat(std::string_view body) {
   json::Document doc;
-  Heartbeat r;
-  if (!json::parse_object(body, doc) || !json::get(doc, "vessel", r.machine) || r.machine.empty() ||
-      r.machine.size() > 200 || !json::get(doc, "endpoint", r.address) ||
-      !json::get(doc, "hull", r.type) || !json::get(doc, "harbor", r.zone) ||
-      !json::get(doc, "watch", r.incarnation) || !json::get(doc, "bell", r.seq) ||
-      !json::get(doc, "helm", r.fencing_token))
-    return {};
-  json::get(doc, "driftwood", r.spot);
-  double notice = 0;
-  if (json::get(doc, "recall_s", notice)) r.notice_s = notice;
+  if (!json::parse_object(body, doc)) return DecodeError{DecodeErrorKind::NotAnObject, {}};
+  Heartbeat heartbeat;
+  json::FieldReader fields(doc);
+  fields.required("vessel", heartbeat.machine)
+      .check(
+          "vessel",
+          [&] { return !heartbeat.machine.empty() && heartbeat.machine.size() <= kMaxMachineName; })
+      .required("endpoint", heartbeat.address)
+      .required("hull", heartbeat.type)
+      .required("harbor", heartbeat.zone)
+      .required("watch", heartbeat.incarnation)
+      .required("bell", heartbeat.seq)
+      .required("helm", heartbeat.fencing_token)
+      .optional("driftwood", heartbeat.spot);
+  if (fields.error()) return *fields.error();
+  double notice_s = 0;
+  if (json::get(doc, "recall_s", notice_s)) heartbeat.notice_s = notice_s;
   const json::Value* tasks = json::member(doc, "hands");
-  if (tasks == nullptr) return r;
-  if (!tasks->IsArray()) return {};
-  r.tasks.reserve(tasks->Size());
+  if (tasks == nullptr) return heartbeat;
+  if (!tasks->IsArray()) return DecodeError{DecodeErrorKind::InvalidField, "hands"};
+  heartbeat.tasks.reserve(tasks->Size());
   for (const auto& item : tasks->GetArray()) {
-    auto task = decode_task(item);
-    if (!task) return {};
-    r.tasks.push_back(std::move(*task));
+    auto status = decode_task_status(item);
+    if (!status) return status.error();
+    heartbeat.tasks.push_back(std::move(*status));
   }
-  return r;
+  return heartbeat;
 }
 
 std::string encode_heartbeat_response(std::uint64_t fencing_token,
                                       const std::vector<Command>& commands) {
-  rapidjson::StringBuffer b;
-  json::Writer w(b);
-  w.StartObject();
-  w.Key("helm");
-  w.Uint64(fencing_token);
-  write_commands(w, commands);
-  w.EndObject();
-  return json::text(b);
+  rapidjson::StringBuffer buffer;
+  json::Writer writer(buffer);
+  writer.StartObject();
+  writer.Key("helm");
+  writer.Uint64(fencing_token);
+  write_commands(writer, commands);
+  writer.EndObject();
+  return json::text(buffer);
 }
 
 std::string encode_direct(std::uint64_t fencing_token, std::uint64_t incarnation,
                           const std::vector<Command>& commands) {
-  rapidjson::StringBuffer b;
-  json::Writer w(b);
-  w.StartObject();
-  w.Key("helm");
-  w.Uint64(fencing_token);
-  w.Key("watch");
-  w.Uint64(incarnation);
-  write_commands(w, commands);
-  w.EndObject();
-  return json::text(b);
+  rapidjson::StringBuffer buffer;
+  json::Writer writer(buffer);
+  writer.StartObject();
+  writer.Key("helm");
+  writer.Uint64(fencing_token);
+  writer.Key("watch");
+  writer.Uint64(incarnation);
+  write_commands(writer, commands);
+  writer.EndObject();
+  return json::text(buffer);
 }
 
 std::string encode_redirect(const std::string& node) {
-  rapidjson::StringBuffer b;
-  json::Writer w(b);
-  w.StartObject();
+  rapidjson::StringBuffer buffer;
+  json::Writer writer(buffer);
+  writer.StartObject();
   if (!node.empty()) {
-    w.Key("harbormaster");
-    json::put(w, node);
+    writer.Key("harbormaster");
+    json::put(writer, node);
   }
-  w.EndObject();
-  return json::text(b);
+  writer.EndObject();
+  return json::text(buffer);
 }
 
 }  // namespace sailreel
--- a/src/protocol/worker_codec.hpp
+++ b/src/protocol/worker_codec.hpp
@@ -1,23 +1,25 @@
-// Workers' reports and the commands they take.
+// Codecs of workers' heartbeats and of the commands that they are sent.
 #pragma once
 
-#include <optional>
+#include <cstdint>
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "protocol/decoded.hpp"
 #include "protocol/messages.hpp"
 
 namespace sailreel {
 
-std::optional<Heartbeat> decode_heartbeat(std::string_view body);
-/// The answer to a report.
+/// An error names the first field at fault; of a task status, that status' field.
+Decoded<Heartbeat> decode_heartbeat(std::string_view body);
+/// The response to a heartbeat.
 std::string encode_heartbeat_response(std::uint64_t fencing_token,
                                       const std::vector<Command>& commands);
-/// The body of a direct command.
+/// The body of a request that the leader sends to a worker by itself.
 std::string encode_direct(std::uint64_t fencing_token, std::uint64_t incarnation,
                           const std::vector<Command>& commands);
-/// The body that sends a worker to another node; `node` may be empty.
+/// The response that redirects a worker to the leader; `node` is empty while there is none.
 std::string encode_redirect(const std::string& node);
 
 }  // namespace sailreel
--- /dev/null
+++ b/src/storage/bitmap.cpp
@@ -0,0 +1,43 @@
+#include "storage/bitmap.hpp"
+
+#include <algorithm>
+
+namespace sailreel {
+namespace {
+
+/// The value of a lower-case hex digit; 0 for any other character.
+unsigned digit_value(char digit) {
+  if (digit >= '0' && digit <= '9') return static_cast<unsigned>(digit - '0');
+  if (digit >= 'a' && digit <= 'f') return static_cast<unsigned>(digit - 'a' + 10);
+  return 0;
+}
+
+}  // namespace
+
+std::string Bitmap::hex(std::size_t first, std::size_t count) const {
+  static constexpr char kDigits[] = "0123456789abcdef";
+  std::string out;
+  const std::size_t end = std::min(size_, first + count);
+  out.reserve((end - std::min(end, first) + kBitsPerDigit - 1) / kBitsPerDigit);
+  for (std::size_t index = first; index < end; index += kBitsPerDigit) {
+    unsigned digit = 0;
+    for (std::size_t bit = 0; bit < kBitsPerDigit; ++bit)
+      if (test(index + bit)) digit |= 1U << bit;
+    out += kDigits[digit];
+  }
+  return out;
+}
+
+void Bitmap::merge_hex(std::size_t first, std::string_view digits) {
+  for (std::size_t i = 0; i < digits.size(); ++i) {
+    const unsigned digit = digit_value(digits[i]);
+    for (std::size_t bit = 0; bit < kBitsPerDigit; ++bit) {
+      const std::size_t index = first + i * kBitsPerDigit + bit;
+      if ((digit >> bit & 1) != 0 && index < size_) set(index);
+    }
+  }
+}
+
+std::string encode_piece(const std::string& digits) { return "{\"h\":\"" + digits + "\"}"; }
+
+}  // namespace sailreel
--- a/src/storage/share_records.cpp
+++ b/src/storage/share_records.cpp
@@ -2,14 +2,16 @@
 
 #include <array>
 #include <cctype>
+#include <optional>
 
+#include "protocol/field_reader.hpp"
 #include "protocol/json.hpp"
 #include "protocol/json_object.hpp"
 
 namespace sailreel {
 namespace {
 
-/// Keys have no spaces, and a slash would look like another level.
+/// Keys must not contain spaces, and a slash would separate levels of the key.
 std::string escaped(const std::string& name) {
   static constexpr char kDigits[] = "0123456789abcdef";
   std::string out;
@@ -32,41 +34,57 @@
               [&](std::int64_t amount) { writer.Int64(amount); });
 }
 
-bool read_amounts(const json::Value& object, const char* name, Amounts& out) {
+/// Two whole numbers that are not negative: CPUs and GPUs.
+std::optional<Amounts> get_amounts(const json::Value& object, const char* name) {
   const json::Value* list = json::member(object, name);
   if (list == nullptr || !list->IsArray() || list->Size() != 2 || !(*list)[0].IsInt64() ||
       !(*list)[1].IsInt64())
-    return false;
-  out = {(*list)[0].GetInt64(), (*list)[1].GetInt64()};
-  return out.cpus >= 0 && out.gpus >= 0;
+    return {};
+  const Amounts amounts{(*list)[0].GetInt64(), (*list)[1].GetInt64()};
+  if (amounts.cpus < 0 || amounts.gpus < 0) return {};
+  return amounts;
 }
 
-bool decode_share(const json::Document& doc, ShareLedger& ledger) {
-  std::string team;
-  ShareRecord record;
-  if (!json::get(doc, "team", team) || !read_amounts(doc, "share", record.share) ||
-      !read_amounts(doc, "limit", record.limit) || !read_amounts(doc, "excess", record.excess))
-    return false;
-  ledger.teams[team] = record;
-  return true;
+void require_amounts(json::FieldReader& fields, const json::Value& object, const char* name,
+                     Amounts& out) {
+  fields.check(name, [&] {
+    const auto amounts = get_amounts(object, name);
+    if (amounts) out = *amounts;
+    return amounts.has_value();
+  });
+}
+
+Decoded<QuotaShareValue> decode_share(const json::Document& doc) {
+  TeamShareValue value;
+  json::FieldReader fields(doc);
+  fields.required("team", value.team);
+  require_amounts(fields, doc, "share", value.record.share);
+  require_amounts(fields, doc, "limit", value.record.limit);
+  require_amounts(fields, doc, "excess", value.record.excess);
+  if (fields.error()) return *fields.error();
+  return QuotaShareValue(std::move(value));
 }
 
-bool decode_transfers(const json::Document& doc, ShareLedger& ledger) {
-  std::string region;
-  TransferRecord record;
-  const json::Value* transit = json::member(doc, "in_transit");
-  if (!json::get(doc, "region", region) || !json::get(doc, "sent", record.sent) ||
-      !json::get(doc, "credited", record.credited) || transit == nullptr || !transit->IsArray())
-    return false;
-  for (const auto& item : transit->GetArray()) {
+Decoded<QuotaShareValue> decode_transfers(const json::Document& doc) {
+  const DecodeError invalid_list{DecodeErrorKind::InvalidField, "in_transit"};
+  RegionTransfersValue value;
+  json::FieldReader fields(doc);
+  fields.required("region", value.region)
+      .required("sent", value.record.sent)
+      .required("credited", value.record.credited);
+  if (fields.error()) return *fields.error();
+  const json::Value* in_transit = json::member(doc, "in_transit");
+  if (in_transit == nullptr || !in_transit->IsArray()) return invalid_list;
+  for (const auto& item : in_transit->GetArray()) {
+    if (!item.IsObject()) return invalid_list;
     TeamAmounts entry;
-    if (!item.IsObject() || !json::get(item, "team", entry.team) ||
-        !read_amounts(item, "amounts", entry.amounts))
-      return false;
-    record.in_transit.push_back(std::move(entry));
+    json::FieldReader item_fields(item);
+    item_fields.required("team", entry.team);
+    require_amounts(item_fields, item, "amounts", entry.amounts);
+    if (item_fields.error()) return *item_fields.error();
+    value.record.in_transit.push_back(std::move(entry));
   }
-  ledger.regions[region] = std::move(record);
-  return true;
+  return QuotaShareValue(std::move(value));
 }
 
 }  // namespace
@@ -103,11 +121,19 @@
   return json::text(buffer);
 }
 
-bool decode_share_value(std::string_view key, std::string_view value, ShareLedger& ledger) {
+Decoded<QuotaShareValue> decode_quota_share_value(std::string_view key, std::string_view value) {
   json::Document doc;
-  if (!json::parse_object(value, doc)) return false;
-  if (key.starts_with(kSharePrefix)) return decode_share(doc, ledger);
-  return key.starts_with(kTransferPrefix) && decode_transfers(doc, ledger);
+  if (!json::parse_object(value, doc)) return DecodeError{DecodeErrorKind::NotAnObject, {}};
+  if (key.starts_with(kSharePrefix)) return decode_share(doc);
+  if (key.starts_with(kTransferPrefix)) return decode_transfers(doc);
+  return DecodeError{DecodeErrorKind::Unsupported, "key"};
+}
+
+void ShareLedger::add(QuotaShareValue value) {
+  if (auto* share = std::get_if<TeamShareValue>(&value))
+    teams[share->team] = share->record;
+  else if (auto* transfers = std::get_if<RegionTransfersValue>(&value))
+    regions[transfers->region] = std::move(transfers->record);
 }
 
 }  // namespace sailreel
--- a/tests/fake_server_codec_test.cpp
+++ b/tests/fake_server_codec_test.cpp
@@ -94,9 +94,8 @@
   spec.estimate_s = 12;
   spec.checkpoint_s = 4;
   spec.save_s = 1;
-  std::string error;
-  const auto read = decode_submission(encode_submission(spec), error);
-  ASSERT_TRUE(read) << error;
+  const auto read = decode_submission(encode_submission(spec));
+  ASSERT_TRUE(read) << read.error().field;
   EXPECT_EQ(read->id, spec.id);
   EXPECT_EQ(read->kind, JobKind::Gang);
   EXPECT_EQ(read->priority, Priority::High);
@@ -168,7 +167,7 @@
   reply.more = true;
   reply.items.push_back({"k/1", R"({"a":1})", 4, false});
   ServiceResponse response = encode_state_reply(list, reply);
-  KvResponse read = decode_kv_response(list, response.status, response.body);
+  KvResponse read = *decode_kv_response(list, response.status, response.body);
   EXPECT_EQ(read.revision, 9U);
   EXPECT_TRUE(read.more);
   ASSERT_EQ(read.items.size(), 1U);
@@ -178,7 +177,7 @@
   watch.kind = KvRequest::Kind::Watch;
   reply.items.push_back({"k/2", "", 5, true});
   response = encode_state_reply(watch, reply);
-  read = decode_kv_response(watch, response.status, response.body);
+  read = *decode_kv_response(watch, response.status, response.body);
   ASSERT_EQ(read.items.size(), 2U);
   EXPECT_TRUE(read.items[1].deleted);
 
@@ -186,7 +185,7 @@
   transaction.kind = KvRequest::Kind::Txn;
   reply.status = 409;
   response = encode_state_reply(transaction, reply);
-  EXPECT_EQ(decode_kv_response(transaction, response.status, response.body).status, 409);
+  EXPECT_EQ(decode_kv_response(transaction, response.status, response.body)->status, 409);
 }
 
 TEST(FakeServerCodec, CloudCallsAndRepliesAreReadAsTheyWereWritten) {
@@ -203,7 +202,7 @@
   refusal.status = 503;
   refusal.no_capacity = true;
   ServiceResponse response = encode_cloud_reply(scale_out, refusal);
-  EXPECT_TRUE(decode_cloud_response(scale_out, response.status, response.body).no_capacity);
+  EXPECT_TRUE(decode_cloud_response(scale_out, response.status, response.body)->no_capacity);
 
   CloudRequest list;
   list.kind = CloudRequest::Kind::List;
@@ -217,7 +216,7 @@
   machines.machines.push_back(
       {ListedMachine::State::Failed, "m-1", "127.10.0.1:9000", "g8", "a", true, 61.5});
   response = encode_cloud_reply(list, machines);
-  const CloudResponse listed = decode_cloud_response(list, response.status, response.body);
+  const CloudResponse listed = *decode_cloud_response(list, response.status, response.body);
   ASSERT_EQ(listed.machines.size(), 1U);
   EXPECT_EQ(listed.machines[0].state, ListedMachine::State::Failed);
   EXPECT_EQ(listed.machines[0].age_s, 61.5);
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -44,9 +44,8 @@
 }
 
 TEST(Submission, IsReadWhole) {
-  std::string error;
-  const auto s = decode_submission(job("", ""), error);
-  ASSERT_TRUE(s) << error;
+  const auto s = decode_submission(job("", ""));
+  ASSERT_TRUE(s) << s.error().field;
   EXPECT_EQ(s->id, "job-000412");
   EXPECT_EQ(s->kind, JobKind::Array);
   EXPECT_EQ(s->priority, Priority::High);
@@ -60,28 +59,35 @@
 }
 
 TEST(Submission, MayLeaveOutOnlyWhatMayBeNull) {
-  std::string error;
   for (const char* f : {"hulls", "harbor", "landfall_s"})
-    EXPECT_TRUE(decode_submission(job(f, ""), error)) << f;
+    EXPECT_TRUE(decode_submission(job(f, ""))) << f;
   for (const char* f :
        {"id", "berth", "crew", "rig", "precedence", "hands", "cores", "cards", "ram_gb", "cargo",
         "pull_gb", "together", "spread", "driftwood", "voyage_s", "logbook_s", "stow_s"}) {
-    EXPECT_FALSE(decode_submission(job(f, ""), error)) << f;
-    EXPECT_EQ(error, f);
-    EXPECT_FALSE(decode_submission(job(f, "null"), error)) << f;
+    const auto submission = decode_submission(job(f, ""));
+    ASSERT_FALSE(submission) << f;
+    EXPECT_EQ(submission.error(), (DecodeError{DecodeErrorKind::InvalidField, f}));
+    EXPECT_EQ(describe_submission_error(submission.error()), f);
+    EXPECT_FALSE(decode_submission(job(f, "null"))) << f;
   }
 }
 
+TEST(Submission, WhatIsNoObjectHasNoFieldAtFault) {
+  const auto submission = decode_submission("[]");
+  ASSERT_FALSE(submission);
+  EXPECT_EQ(submission.error(), (DecodeError{DecodeErrorKind::NotAnObject, ""}));
+  EXPECT_EQ(describe_submission_error(submission.error()), "not a JSON object");
+}
+
 TEST(Submission, NumbersAreReadStrictly) {
-  std::string error;
   for (const char* bad :
        {"0", "-1", "1.5", "100001", "18446744073709551616", "\"3\"", "1e3", "true"})
-    EXPECT_FALSE(decode_submission(job("hands", bad), error)) << bad;
+    EXPECT_FALSE(decode_submission(job("hands", bad))) << bad;
   for (const char* bad : {"-0.1", "NaN", "1e999", "\"8\"", "Infinity", "[]"})
-    EXPECT_FALSE(decode_submission(job("cores", bad), error)) << bad;
+    EXPECT_FALSE(decode_submission(job("cores", bad))) << bad;
   for (const char* bad : {"\"job-\"", "\"job-1x\"", "\"JOB-1\"", "\"\"", "17", "\"job-1/2\""})
-    EXPECT_FALSE(decode_submission(job("id", bad), error)) << bad;
-  EXPECT_TRUE(decode_submission(job("hands", "100000"), error));
+    EXPECT_FALSE(decode_submission(job("id", bad))) << bad;
+  EXPECT_TRUE(decode_submission(job("hands", "100000")));
 }
 
 TEST(Submission, ARepeatIsKnownByItsIdAlone) {
@@ -111,6 +117,19 @@
     EXPECT_FALSE(decode_heartbeat(text.substr(0, n))) << n;
   EXPECT_FALSE(decode_heartbeat(R"({"vessel":"m","endpoint":"x","hull":"g","harbor":"a","watch":1,)"
                                 R"("bell":-1,"helm":1})"));
+  const auto error_with = [&](const std::string& before, const std::string& after) {
+    std::string changed = text;
+    changed.replace(changed.find(before), before.size(), after);
+    return decode_heartbeat(changed).error();
+  };
+  const auto invalid = [](std::string_view field) {
+    return DecodeError{DecodeErrorKind::InvalidField, field};
+  };
+  EXPECT_EQ(decode_heartbeat("[]").error(), (DecodeError{DecodeErrorKind::NotAnObject, ""}));
+  EXPECT_EQ(error_with("m-000231", ""), invalid("vessel"));
+  EXPECT_EQ(error_with("\"bell\":88", "\"bell\":-1"), invalid("bell"));
+  EXPECT_EQ(error_with("job-000412/3", "job-000412/x"), invalid("hand"));
+  EXPECT_EQ(error_with("\"launch\":2", "\"launch\":\"2\""), invalid("launch"));
 }
 
 TEST(Reports, CommandsHaveTheWiresForm) {
@@ -132,25 +151,33 @@
   EXPECT_EQ(encode_kv_request(txn).body,
             R"({"when":[{"path":"a/b","mark":0}],"then":[{"set":"a/b","data":{"x":1},"mooring":7},)"
             R"({"drop":"c/d"}]})");
-  EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":432})").revision, 432U);
-  EXPECT_EQ(decode_kv_response(txn, 409, R"({"failed":["a/b"],"tide":431})").status, 409);
+  EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":432})")->revision, 432U);
+  EXPECT_EQ(decode_kv_response(txn, 409, R"({"failed":["a/b"],"tide":431})")->status, 409);
   // What can't be read tells nothing of what was done.
-  EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":)").status, 0);
+  EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":)").value_or({}).status, 0);
+  EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":)").error(),
+            (DecodeError{DecodeErrorKind::NotAnObject, ""}));
+  EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":-1})").error(),
+            (DecodeError{DecodeErrorKind::InvalidField, "tide"}));
   KvRequest list;
   list.kind = KvRequest::Kind::List;
   list.key = "sr/";
   list.from = "sr/m";
   EXPECT_EQ(encode_kv_request(list).path, "/store?prefix=sr/&from=sr/m&limit=200");
   // A store that nobody has written to is at revision 0.
-  EXPECT_EQ(decode_kv_response(list, 200, R"({"pairs":[],"has_next":false,"tide":0})").status, 200);
+  EXPECT_EQ(decode_kv_response(list, 200, R"({"pairs":[],"has_next":false,"tide":0})")->status,
+            200);
+  EXPECT_EQ(decode_kv_response(list, 200, R"({"pairs":[{"path":"a"}],"tide":0})").error(),
+            (DecodeError{DecodeErrorKind::InvalidField, "mark"}));
   KvRequest watch;
   watch.kind = KvRequest::Kind::Watch;
   const auto w = decode_kv_response(
       watch, 200,
       R"({"tide":9,"log":[{"set":"c/9","data":{"y":2},"mark":8},{"drop":"c/d","mark":9}]})");
-  ASSERT_EQ(w.items.size(), 2U);
-  EXPECT_EQ(w.items[0].value, R"({"y":2})");
-  EXPECT_TRUE(w.items[1].deleted);
+  ASSERT_TRUE(w);
+  ASSERT_EQ(w->items.size(), 2U);
+  EXPECT_EQ(w->items[0].value, R"({"y":2})");
+  EXPECT_TRUE(w->items[1].deleted);
 }
 
 TEST(FakeCloud, ARefusalForWantOfMachinesDiffersFromAFault) {
@@ -159,9 +186,11 @@
   scale_out.scale_out = {"r-1-1", "g8", "a", true, 12};
   EXPECT_EQ(encode_cloud_request(scale_out).body,
             R"({"charter":"r-1-1","hull":"g8","harbor":"a","driftwood":true,"how_many":12})");
-  EXPECT_TRUE(decode_cloud_response(scale_out, 503, R"({"error":"no capacity"})").no_capacity);
-  EXPECT_FALSE(decode_cloud_response(scale_out, 503, R"({"error":"trouble"})").no_capacity);
-  EXPECT_EQ(decode_cloud_response(scale_out, 200, "gibberish").status, 0);
+  EXPECT_TRUE(decode_cloud_response(scale_out, 503, R"({"error":"no capacity"})")->no_capacity);
+  EXPECT_FALSE(decode_cloud_response(scale_out, 503, R"({"error":"trouble"})")->no_capacity);
+  EXPECT_EQ(decode_cloud_response(scale_out, 200, "gibberish").value_or({}).status, 0);
+  EXPECT_EQ(decode_cloud_response(scale_out, 200, "{}").error(),
+            (DecodeError{DecodeErrorKind::InvalidField, "vessels"}));
 }
 
 TEST(PeerFrames, RoundTripInAnyPieces) {
@@ -236,6 +265,19 @@
     EXPECT_FALSE(reader.next()) << byte;
     EXPECT_TRUE(reader.broken()) << byte;
   }
+  const auto error_at = [&](std::size_t byte) {
+    std::string bad = good;
+    bad[byte] = static_cast<char>(bad[byte] ^ 0x41);
+    PeerReader reader;
+    reader.feed(bad + std::string(100, '\0'));
+    EXPECT_FALSE(reader.next());
+    return reader.error();
+  };
+  EXPECT_EQ(error_at(0), (DecodeError{DecodeErrorKind::Unsupported, "magic"}));
+  EXPECT_EQ(error_at(4), (DecodeError{DecodeErrorKind::Unsupported, "version"}));
+  EXPECT_EQ(error_at(5), (DecodeError{DecodeErrorKind::Unsupported, "kind"}));
+  EXPECT_EQ(error_at(11), (DecodeError{DecodeErrorKind::Unsupported, "length"}));
+  EXPECT_EQ(error_at(62), (DecodeError{DecodeErrorKind::InvalidField, "node"}));
   for (int i = 0; i < 2000; ++i) {
     std::string noise = good;
     for (int k = 0; k < 3; ++k)
--- a/tests/share_codec_test.cpp
+++ b/tests/share_codec_test.cpp
@@ -65,16 +65,20 @@
   std::string bytes = encode_region_message(sample(RegionMessage::Kind::Transfer));
   std::string other = bytes;
   other[0] = 2;
-  EXPECT_FALSE(decode_region_message(other));
+  EXPECT_EQ(decode_region_message(other).error(),
+            (DecodeError{DecodeErrorKind::Unsupported, "version"}));
   other = bytes;
   other[1] = 9;
-  EXPECT_FALSE(decode_region_message(other));
+  EXPECT_EQ(decode_region_message(other).error(),
+            (DecodeError{DecodeErrorKind::Unsupported, "kind"}));
   RegionMessage negative = sample(RegionMessage::Kind::Transfer);
   negative.transfer.amounts[0].amounts.gpus = -1;
-  EXPECT_FALSE(decode_region_message(encode_region_message(negative)));
+  EXPECT_EQ(decode_region_message(encode_region_message(negative)).error(),
+            (DecodeError{DecodeErrorKind::InvalidField, "amounts"}));
   RegionMessage empty = sample(RegionMessage::Kind::Transfer);
   empty.transfer.amounts.clear();
-  EXPECT_FALSE(decode_region_message(encode_region_message(empty)));
+  EXPECT_EQ(decode_region_message(encode_region_message(empty)).error(),
+            (DecodeError{DecodeErrorKind::InvalidField, "entries"}));
 }
 
 // A message of a later version is passed over, and the link serves on.
@@ -115,19 +119,28 @@
   TransferRecord transfers{7, 5, {{team, {0, 1500}}}};
   EXPECT_EQ(share_key(team), "sr/q/mesa%20soporte%2f00");
   ShareLedger ledger;
-  ASSERT_TRUE(decode_share_value(share_key(team), encode_share(team, share), ledger));
-  ASSERT_TRUE(
-      decode_share_value(transfer_key("south"), encode_transfers("south", transfers), ledger));
+  auto held = decode_quota_share_value(share_key(team), encode_share(team, share));
+  auto moved =
+      decode_quota_share_value(transfer_key("south"), encode_transfers("south", transfers));
+  ASSERT_TRUE(held);
+  ASSERT_TRUE(moved);
+  ledger.add(std::move(*held));
+  ledger.add(std::move(*moved));
   EXPECT_EQ(ledger.teams.at(team), share);
   EXPECT_EQ(ledger.regions.at("south"), transfers);
 }
 
 TEST(ShareRecords, WhatCannotBeReadIsSaidSo) {
-  ShareLedger ledger;
-  EXPECT_FALSE(decode_share_value("sr/q/red", "gibberish", ledger));
-  EXPECT_FALSE(decode_share_value("sr/q/red", R"({"team":"red","share":[0,-1]})", ledger));
-  EXPECT_FALSE(decode_share_value("sr/t/south", R"({"region":"south","sent":1})", ledger));
-  EXPECT_FALSE(decode_share_value("sr/other", "{}", ledger));
+  const auto error_of = [](std::string_view key, std::string_view value) {
+    return decode_quota_share_value(key, value).error();
+  };
+  const auto invalid = [](std::string_view field) {
+    return DecodeError{DecodeErrorKind::InvalidField, field};
+  };
+  EXPECT_EQ(error_of("sr/q/red", "gibberish"), (DecodeError{DecodeErrorKind::NotAnObject, ""}));
+  EXPECT_EQ(error_of("sr/q/red", R"({"team":"red","share":[0,-1]})"), invalid("share"));
+  EXPECT_EQ(error_of("sr/t/south", R"({"region":"south","sent":1})"), invalid("credited"));
+  EXPECT_EQ(error_of("sr/other", "{}"), (DecodeError{DecodeErrorKind::Unsupported, "key"}));
 }
 
 // With names as long as they come, the largest values stay far below 2 KiB.
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -85,6 +85,23 @@
   EXPECT_EQ(image.unreadable.size(), 1U);
 }
 
+TEST(Checkpoint, ARecordThatCannotBeDecodedNamesItsField) {
+  const auto error_of = [](std::string_view record) {
+    json::Document doc;
+    EXPECT_TRUE(json::parse_object("{\"r\":" + std::string(record) + "}", doc));
+    return decode_record(doc["r"]).error();
+  };
+  const auto invalid = [](std::string_view field) {
+    return DecodeError{DecodeErrorKind::InvalidField, field};
+  };
+  EXPECT_EQ(error_of("[\"job-1\",1,7]"), invalid("record"));
+  EXPECT_EQ(error_of("[\"\",1,7,1]"), invalid("id"));
+  EXPECT_EQ(error_of("[\"job-1\",1,7,0]"), invalid("tasks"));
+  EXPECT_EQ(error_of("[\"job-1\",0,7,1]"), invalid("phase"));
+  EXPECT_EQ(decode_leader("[]").error(), (DecodeError{DecodeErrorKind::NotAnObject, ""}));
+  EXPECT_EQ(decode_leader(R"({"node":"n"})").error(), invalid("epoch"));
+}
+
 TEST(Checkpoint, MachinesKeepTheirImages) {
   Snapshot image;
   image.apply(item(machines_key(3), encode_machines({{"m-000025", "10.0.0.1:1", {{"img-1", 42.5}}},
--- a/tests/work_cost_test.cpp
+++ b/tests/work_cost_test.cpp
@@ -146,7 +146,7 @@
   }
   text += "]}";
   const Allocations before = allocations;
-  const std::optional<Heartbeat> heartbeat = decode_heartbeat(text);
+  const Decoded<Heartbeat> heartbeat = decode_heartbeat(text);
   const Allocations after = allocations;
   ASSERT_TRUE(heartbeat);
   EXPECT_EQ(heartbeat->tasks.size(), kTasks);
