--- a/sim/simulated_federation.cpp
+++ b/sim/simulated_federation.cpp
@@ -110,10 +110,11 @@
 ShareLedger SimulatedFederation::ledger(std::size_t region) const {
   ShareLedger out;
   const FakeKvStore& store = regions_[region]->kv_store();
-  for (const auto& [team, limit] : limits_)
-    decode_share_value(share_key(team), store.value_of(share_key(team)), out);
-  for (const std::string& name : names_)
-    decode_share_value(transfer_key(name), store.value_of(transfer_key(name)), out);
+  const auto add = [&](const std::string& key) {
+    if (auto value = decode_quota_share_value(key, store.value_of(key))) out.add(std::move(*value));
+  };
+  for (const auto& [team, limit] : limits_) add(share_key(team));
+  for (const std::string& name : names_) add(transfer_key(name));
   return out;
 }
 
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -73,9 +73,11 @@
     if (const Job* job = tables_.job(*id)) return respond_committed(r.source, 200, *job);
   }
   if (id && unknown_jobs_) return respond_unknown(r.source, unknown_jobs_, command_until());
-  std::string error;
-  auto spec = decode_submission(r.body, error);
-  if (!spec) return outbox_.respond(r.source, 400, encode_error("invalid: " + error));
+  auto spec = decode_submission(r.body);
+  if (!spec)
+    return outbox_.respond(
+        r.source, 400,
+        encode_error("invalid: " + std::string(describe_submission_error(spec.error()))));
   if (tables_.types.empty()) return outbox_.reject(r.source, RejectReason::MachineTypesUnknown);
   if (const auto cause = infeasibility(*spec))
     return outbox_.respond(r.source, 422, encode_error(to_string(*cause)));
