--- a/sim/fake_cloud.hpp
+++ b/sim/fake_cloud.hpp
@@ -2,12 +2,12 @@
 // be repeated, instances that boot slowly or never, and lists that are some seconds old.
 #pragma once
 
-#include <compare>
 #include <functional>
 #include <list>
 #include <map>
 #include <pcg_random.hpp>
 #include <string>
+#include <tuple>
 #include <vector>
 
 #include "protocol/messages.hpp"
@@ -19,7 +19,9 @@
   std::string zone;
   bool spot = false;
 
-  auto operator<=>(const InstancePool&) const = default;
+  bool operator<(const InstancePool& other) const {
+    return std::tie(zone, spot) < std::tie(other.zone, other.spot);
+  }
 };
 
 struct CloudMachine {
--- a/sim/network_cuts.hpp
+++ b/sim/network_cuts.hpp
@@ -2,10 +2,10 @@
 #pragma once
 
 #include <algorithm>
-#include <compare>
 #include <functional>
 #include <map>
 #include <string>
+#include <tuple>
 #include <utility>
 
 #include "protocol/messages.hpp"
@@ -22,7 +22,10 @@
   /// Whether what is sent meanwhile arrives afterwards, or is lost.
   bool hold = false;
 
-  auto operator<=>(const NetworkCut&) const = default;
+  /// By its end; of two that end together, the one that holds is the larger.
+  bool operator<(const NetworkCut& other) const {
+    return std::tie(until, hold) < std::tie(other.until, other.hold);
+  }
 };
 
 class NetworkCuts {
--- a/sim/simulated_region.hpp
+++ b/sim/simulated_region.hpp
@@ -221,7 +221,9 @@
     std::string job;
     std::uint64_t attempt = 0;
 
-    auto operator<=>(const GangAttempt&) const = default;
+    bool operator<(const GangAttempt& other) const {
+      return std::tie(job, attempt) < std::tie(other.job, other.attempt);
+    }
   };
   /// One attempt of a gang, by the protocol's table of its phases.
   struct GangRun {
