--- a/src/app/daemon.hpp
+++ b/src/app/daemon.hpp
@@ -1,4 +1,4 @@
-// Wires the core to the network: inputs in, actions out.
+// Connects the controller to the network.
 #pragma once
 
 #include <memory>
@@ -7,12 +7,15 @@
 
 namespace sailreel {
 
+/// Feeds what arrives to the controller, and carries out the actions that it returns.
 class Daemon {
  public:
+  /// Throws std::runtime_error if it cannot listen on the settings' addresses.
   Daemon(const Settings& settings, const Options& options);
   ~Daemon();
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
+  /// Does not return.
   void run();
 
  private:
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -53,10 +53,10 @@
   app.add_flag("--check-config", check, "Check both files and stop");
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kBadUsage;
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? 0 : kBadUsage;
   }
-  // A peer that closes while we write is seen by the write's result.
+  // A connection that is closed during a write is reported by the write itself.
   std::signal(SIGPIPE, SIG_IGN);
   try {
     set_up_log();
@@ -69,11 +69,11 @@
       return 0;
     }
     sailreel::Daemon(settings, options).run();
-  } catch (const sailreel::SettingsError& e) {
-    std::cerr << "sailreel: " << e.what() << '\n';
+  } catch (const sailreel::SettingsError& error) {
+    std::cerr << "sailreel: " << error.what() << '\n';
     return kBadUsage;
-  } catch (const std::exception& e) {
-    std::cerr << "sailreel: " << e.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "sailreel: " << error.what() << '\n';
     return 1;
   }
   return 0;
--- /dev/null
+++ b/src/app/peer_network.cpp
@@ -0,0 +1,131 @@
+#include "app/peer_network.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace sailreel {
+namespace {
+
+constexpr std::int64_t kReconnectMs = 500;
+/// What a link may hold of a controller's memory, but at least a MiB.
+constexpr double kLinkMemoryShare = 1.0 / 32;
+constexpr double kMiB = 1024.0 * 1024;
+/// Forwarded heartbeats and queries wait for others for this part of a heartbeat interval: as long
+/// as a pass of placement waits for heartbeats that come close together. While the leader hasn't
+/// responded to the last of them, they wait for the larger part.
+constexpr double kBatchesPerHeartbeat = 40, kSlowBatchesPerHeartbeat = 8;
+
+std::size_t link_backlog(const Settings& settings) {
+  return static_cast<std::size_t>(std::max(1.0, settings.limits.memory_mb * kLinkMemoryShare) *
+                                  kMiB);
+}
+
+PeerLinks::Batching batching(const Settings& settings) {
+  const auto part = [&](double parts) {
+    return std::max<std::int64_t>(1, ms(settings.workers.heartbeat_interval_s / parts));
+  };
+  return {part(kBatchesPerHeartbeat), part(kSlowBatchesPerHeartbeat)};
+}
+
+// The worker's next heartbeat, or the user's next query, is seconds away, and whatever this one
+// leads to would be waiting for that. Submissions, cancellations and controllers' heartbeats are
+// urgent.
+Urgency urgency_of(const PeerMessage& message) {
+  if (message.kind != PeerMessage::Kind::Request) return Urgency::Now;
+  const UserOp op = message.request.op;
+  return op == UserOp::Heartbeat || op == UserOp::Query ? Urgency::MayWait : Urgency::Now;
+}
+
+}  // namespace
+
+std::vector<std::vector<PeerNetwork::OutgoingLink>> PeerNetwork::region_links(
+    const FederationOptions& options) {
+  std::vector<std::vector<OutgoingLink>> out;
+  for (const FederatedRegion& region : options.regions) {
+    if (region.name == options.region) continue;
+    out.emplace_back();
+    for (const std::string& address : region.addresses) out.back().push_back({address});
+  }
+  return out;
+}
+
+std::size_t PeerNetwork::region_link_count(const FederationOptions& options) {
+  std::size_t count = 0;
+  for (const auto& links : region_links(options)) count += 2 * links.size();
+  return count;
+}
+
+PeerNetwork::PeerNetwork(EventLoop& loop, const Settings& settings,
+                         const FederationOptions& options, std::size_t max_incoming, Events events)
+    : loop_(loop),
+      events_(std::move(events)),
+      links_(loop, settings.peer_listen, max_incoming, link_backlog(settings), batching(settings),
+             {[this](std::uint64_t link, std::string_view bytes) { return receive(link, bytes); },
+              [this](std::uint64_t link) { handle_closed(link); }}),
+      regions_(region_links(options)) {
+  for (const PeerSettings& peer : settings.peers) peers_.push_back({peer.address});
+}
+
+void PeerNetwork::send_to_peer(std::size_t peer, const PeerMessage& message) {
+  send(peers_[peer], message);
+}
+
+void PeerNetwork::send_to_region(std::size_t region, const PeerMessage& message) {
+  for (OutgoingLink& link : regions_[region]) send(link, message);
+}
+
+void PeerNetwork::send(OutgoingLink& to, const PeerMessage& message) {
+  if (to.link == 0) {
+    if (EventLoop::now_ms() < to.retry_at) return;
+    to.retry_at = EventLoop::now_ms() + kReconnectMs;
+    to.link = links_.connect(to.address);
+  }
+  links_.send(to.link, encode_peer(message), urgency_of(message));
+}
+
+void PeerNetwork::respond(std::uint64_t link, const PeerMessage& response) {
+  // Responses to requests that arrived together are sent together, once all of them are handled.
+  links_.send(link, encode_peer(response),
+              link == reading_link_ ? Urgency::UntilFlush : Urgency::Now);
+}
+
+std::size_t PeerNetwork::peer_of(std::uint64_t link) const {
+  const auto leads_there = [link](const OutgoingLink& peer) { return peer.link == link; };
+  return static_cast<std::size_t>(std::find_if(peers_.begin(), peers_.end(), leads_there) -
+                                  peers_.begin());
+}
+
+bool PeerNetwork::receive(std::uint64_t link, std::string_view bytes) {
+  PeerReader& reader = readers_[link];
+  reader.feed(bytes);
+  reading_link_ = link;
+  while (auto message = reader.next()) {
+    events_.message(link, std::move(*message));
+    if (!readers_.contains(link)) break;  // closed meanwhile
+  }
+  reading_link_ = 0;
+  links_.flush(link);
+  const auto it = readers_.find(link);
+  return it == readers_.end() || !it->second.broken();
+}
+
+void PeerNetwork::handle_closed(std::uint64_t link) {
+  readers_.erase(link);
+  for (auto& links : regions_)
+    for (OutgoingLink& region : links)
+      if (region.link == link) region.link = 0;
+  for (std::size_t peer = 0; peer < peers_.size(); ++peer)
+    if (peers_[peer].link == link) {
+      peers_[peer].link = 0;
+      lost_peers_.push_back(peer);
+    }
+  if (lost_peers_.empty()) return;
+  // Reported from the loop's next iteration: a link may be closed within a step of the controller.
+  if (!lost_timer_)
+    lost_timer_ = std::make_unique<Timer>(loop_, [this] {
+      for (const std::size_t peer : std::exchange(lost_peers_, {})) events_.disconnected(peer);
+    });
+  lost_timer_->set(0);
+}
+
+}  // namespace sailreel
--- a/src/federation/ledger.hpp
+++ b/src/federation/ledger.hpp
@@ -1,11 +1,12 @@
-// The rules by which shares of teams' limits move between regions. Each function is one change of
-// one region's ledger, to be written in one transaction; none of them has any other effect.
+// The rules by which quota shares move between regions. Each function is one change of one region's
+// ledger, to be stored by one compare-and-swap; none of them has any other effect.
 //
 // Over all regions, for each team: what is held plus what is in transit is the limit, plus the
 // excess that is left after the limit was lowered. A transfer is in transit until the receiver's
 // `credited` reaches its number. docs/federation.md has the proofs.
 #pragma once
 
+#include <cstdint>
 #include <string>
 #include <vector>
 
@@ -19,9 +20,9 @@
   Refused,   // not the next one: one of the two regions has lost its records
 };
 
-/// Takes the amounts from the ledger's shares and puts them on their way to a region. False, and
-/// nothing is changed, if the ledger doesn't hold as much. The caller has to know that the last
-/// transfer to that region was acknowledged.
+/// Takes the amounts from the ledger's shares and records them as in transit to the region. False,
+/// with nothing changed, if the ledger holds less. The last transfer to that region must have been
+/// acknowledged, as this one takes its place.
 bool give(ShareLedger& ledger, const std::string& region, const std::vector<TeamAmounts>& amounts);
 
 /// Adds a transfer from a region to the ledger's shares, unless that was done before.
@@ -31,7 +32,7 @@
 bool acknowledges(const ShareLedger& ledger, const std::string& region,
                   const TransferAcknowledgement& acknowledgement);
 
-/// Brings a team's limit to a new value, in the region that is in charge of limits. What a lower
+/// Changes a team's quota limit, in the region that administers the limits. What a lower
 /// limit takes away becomes excess; what a higher one adds pays off excess before it is added to
 /// the share.
 void set_limit(ShareLedger& ledger, const std::string& team, const Amounts& limit);
--- a/src/federation/units.hpp
+++ b/src/federation/units.hpp
@@ -1,4 +1,5 @@
-// Between CPUs and GPUs as decimals and the thousandths that shares are counted in.
+// Conversions between CPUs or GPUs, which are decimals, and the thousandths that quota shares are
+// counted in.
 #pragma once
 
 #include <cmath>
@@ -13,7 +14,8 @@
 /// The nearest number of thousandths.
 inline std::int64_t thousandths(double units) { return std::llround(units * kThousandthsPerUnit); }
 
-/// Rounded up, but for what sums of decimals carry as errors: never less than that much.
+/// Rounded up, so that a use is never counted as less than it is; the rounding error of a sum of
+/// decimals is not a use.
 inline std::int64_t thousandths_at_least(double units) {
   constexpr double kRoundingError = 1e-3;
   return static_cast<std::int64_t>(std::ceil(units * kThousandthsPerUnit - kRoundingError));
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -35,7 +35,7 @@
   }
 
   void on_bytes(std::string_view bytes) override {
-    if (!done_) return close();  // bytes that nobody asked for
+    if (!done_) return close();  // no request is open
     http_parser_execute(&parser_, &handlers(), bytes.data(), bytes.size());
     if (closing()) return;
     if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) {
@@ -61,17 +61,17 @@
  private:
   static const http_parser_settings& handlers() {
     static const http_parser_settings kHandlers = [] {
-      http_parser_settings s;
-      http_parser_settings_init(&s);
-      s.on_body = [](http_parser* p, const char* at, std::size_t n) {
-        static_cast<Connection*>(p->data)->body_.append(at, n);
+      http_parser_settings settings;
+      http_parser_settings_init(&settings);
+      settings.on_body = [](http_parser* parser, const char* at, std::size_t length) {
+        static_cast<Connection*>(parser->data)->body_.append(at, length);
         return 0;
       };
-      s.on_message_complete = [](http_parser* p) {
-        http_parser_pause(p, 1);
+      settings.on_message_complete = [](http_parser* parser) {
+        http_parser_pause(parser, 1);
         return 0;
       };
-      return s;
+      return settings;
     }();
     return kHandlers;
   }
@@ -113,37 +113,38 @@
   text.append("\r\n\r\n").append(body);
 
   auto& idle = idle_[address];
-  Connection* c = nullptr;
+  Connection* connection = nullptr;
   if (!idle.empty()) {
-    c = idle.back();
+    connection = idle.back();
     idle.pop_back();
   } else {
     const auto endpoint = parse_endpoint(address);
     if (!endpoint || open_ >= max_connections_) return done(0, {});
-    c = new Connection(*this, address);
-    busy_[c] = EventLoop::now_ms() + timeout_ms;
-    c->send(std::move(text), keep, std::move(done));
-    c->connect(*endpoint);
+    connection = new Connection(*this, address);
+    busy_[connection] = EventLoop::now_ms() + timeout_ms;
+    connection->send(std::move(text), keep, std::move(done));
+    connection->connect(*endpoint);
     return;
   }
-  busy_[c] = EventLoop::now_ms() + timeout_ms;
-  c->send(std::move(text), keep, std::move(done));
+  busy_[connection] = EventLoop::now_ms() + timeout_ms;
+  connection->send(std::move(text), keep, std::move(done));
 }
 
 void HttpClient::close_idle(const std::string& address) {
   const auto it = idle_.find(address);
   if (it == idle_.end()) return;
   const std::vector<Connection*> idle = it->second;
-  for (Connection* c : idle) c->close();
+  for (Connection* connection : idle) connection->close();
 }
 
 void HttpClient::sweep() {
   const std::int64_t now = EventLoop::now_ms();
-  std::vector<Connection*> late;
-  for (const auto& [c, until] : busy_)
-    if (until <= now) late.push_back(c);
-  for (Connection* c : late)
-    if (busy_.contains(c)) c->close();
+  std::vector<Connection*> timed_out;
+  for (const auto& [connection, times_out_at] : busy_)
+    if (times_out_at <= now) timed_out.push_back(connection);
+  // Closing one calls its requester, which may close others.
+  for (Connection* connection : timed_out)
+    if (busy_.contains(connection)) connection->close();
 }
 
 }  // namespace sailreel
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -13,20 +13,24 @@
 
 namespace sailreel {
 
+/// Used from the loop's thread only; the loop must outlive it.
 class HttpClient {
  public:
-  /// Status 0: no answer in time; the request may still be carried out.
+  /// Called once per request. Status 0: no response in time, or no connection; the server may still
+  /// carry out the request. The body is valid during the call.
   using Done = std::function<void(int status, std::string_view body)>;
 
   HttpClient(EventLoop& loop, std::size_t max_connections)
       : loop_(loop), max_connections_(max_connections) {}
   ~HttpClient();
 
+  /// Above `max_connections` a request fails at once, with status 0. A connection is reused for
+  /// later requests to the address if `keep` is set and the server agrees.
   void request(const std::string& address, const std::string& method, const std::string& path,
                const std::string& body, std::int64_t timeout_ms, bool keep, Done done);
-  /// Ends the requests whose time is over.
+  /// Ends the requests that have timed out; to be called at intervals.
   void sweep();
-  /// Closes the connections to that address on which no request is open.
+  /// Closes the connections to that address that are kept for reuse.
   void close_idle(const std::string& address);
   [[nodiscard]] std::size_t connections() const { return open_; }
   [[nodiscard]] const Traffic& traffic() const { return traffic_; }
@@ -38,7 +42,7 @@
   std::size_t open_ = 0;
   Traffic traffic_;
   std::unordered_map<std::string, std::vector<Connection*>> idle_;
-  std::unordered_map<Connection*, std::int64_t> busy_;  // and when its time is over
+  std::unordered_map<Connection*, std::int64_t> busy_;  // and when its request times out
 };
 
 }  // namespace sailreel
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t kMaxUrl = 1024;
-/// Unread input that a client may pile up while its request is being answered.
+/// Bytes that a client may send ahead while its request is open.
 constexpr std::size_t kMaxHeld = std::size_t{128} * 1024;
 
 const char* reason(int status) { return http_status_str(static_cast<http_status>(status)); }
@@ -24,7 +24,7 @@
       : Stream(server.loop_, &server.traffic_),
         server_(server),
         id_(id),
-        last_(EventLoop::now_ms()) {
+        last_active_ms_(EventLoop::now_ms()) {
     http_parser_init(&parser_, HTTP_REQUEST);
     parser_.data = this;
   }
@@ -33,7 +33,7 @@
     if (!busy_) return;
     ++server_.traffic_.messages_out;
     busy_ = false;
-    last_ = EventLoop::now_ms();
+    last_active_ms_ = EventLoop::now_ms();
     std::string out;
     out.reserve(160 + body.size());
     out.append("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(reason(status));
@@ -44,15 +44,16 @@
     out.append("\r\n\r\n").append(body);
     write(std::move(out));
     if (!keep_) {
-      drain_ = true;
+      closing_after_write_ = true;
       if (backlog() == 0) close();
       return;
     }
     if (!in_turn_) take_held();
   }
 
-  // What came while a request was being answered. A loop, not a recursion: a hostile client can
-  // send thousands of requests at once, each answered before the next is looked at.
+  // Parses what arrived while a request was open. A loop, not a recursion: a hostile client can
+  // send thousands of requests at once, each of which may be responded to before the next is
+  // parsed.
   void take_held() {
     in_turn_ = true;
     while (!busy_ && !held_.empty() && !closing()) {
@@ -62,11 +63,13 @@
     in_turn_ = false;
   }
 
-  [[nodiscard]] bool idle_since(std::int64_t t) const { return (!busy_ || drain_) && last_ < t; }
+  [[nodiscard]] bool idle_since(std::int64_t time_ms) const {
+    return (!busy_ || closing_after_write_) && last_active_ms_ < time_ms;
+  }
 
  protected:
   void on_bytes(std::string_view bytes) override {
-    if (drain_) return close();
+    if (closing_after_write_) return close();
     if (busy_) {
       held_.append(bytes);
       if (held_.size() > kMaxHeld) close();
@@ -79,8 +82,8 @@
 
  private:
   void take(std::string_view bytes) {
-    // `last_` isn't moved here: a client that sends a byte now and then must not hold its socket
-    // for ever.
+    // Bytes alone don't count as activity: a client that sends one now and then must not keep its
+    // socket for ever.
     const std::size_t used = http_parser_execute(&parser_, &handlers(), bytes.data(), bytes.size());
     if (closing()) return;
     const auto error = HTTP_PARSER_ERRNO(&parser_);
@@ -97,36 +100,37 @@
 
   static const http_parser_settings& handlers() {
     static const http_parser_settings kHandlers = [] {
-      http_parser_settings s;
-      http_parser_settings_init(&s);
-      s.on_message_begin = [](http_parser* p) {
-        self(p)->request_ = {};
+      http_parser_settings settings;
+      http_parser_settings_init(&settings);
+      settings.on_message_begin = [](http_parser* parser) {
+        self(parser)->request_ = {};
         return 0;
       };
-      s.on_url = [](http_parser* p, const char* at, std::size_t n) {
-        auto& url = self(p)->request_.path;
-        url.append(at, n);
+      settings.on_url = [](http_parser* parser, const char* at, std::size_t length) {
+        auto& url = self(parser)->request_.path;
+        url.append(at, length);
         return url.size() > kMaxUrl ? 1 : 0;
       };
-      s.on_body = [](http_parser* p, const char* at, std::size_t n) {
-        auto* c = self(p);
-        // An oversize body is read to its end, so that its sender gets the answer, but not kept.
-        if (c->request_.body.size() + n > c->server_.max_body_) c->request_.oversize = true;
-        if (!c->request_.oversize) c->request_.body.append(at, n);
+      settings.on_body = [](http_parser* parser, const char* at, std::size_t length) {
+        auto* connection = self(parser);
+        // Read to its end, so that its sender gets the response, but not kept.
+        if (connection->request_.body.size() + length > connection->server_.max_body_)
+          connection->request_.oversize = true;
+        if (!connection->request_.oversize) connection->request_.body.append(at, length);
         return 0;
       };
-      s.on_message_complete = [](http_parser* p) {
-        auto* c = self(p);
-        c->request_.method = http_method_str(static_cast<http_method>(p->method));
-        c->keep_ = http_should_keep_alive(p) != 0;
-        http_parser_pause(p, 1);
+      settings.on_message_complete = [](http_parser* parser) {
+        auto* connection = self(parser);
+        connection->request_.method = http_method_str(static_cast<http_method>(parser->method));
+        connection->keep_ = http_should_keep_alive(parser) != 0;
+        http_parser_pause(parser, 1);
         return 0;
       };
-      return s;
+      return settings;
     }();
     return kHandlers;
   }
-  static Connection* self(http_parser* p) { return static_cast<Connection*>(p->data); }
+  static Connection* self(http_parser* parser) { return static_cast<Connection*>(parser->data); }
 
   void deliver() {
     ++server_.traffic_.messages_in;
@@ -137,11 +141,11 @@
 
   HttpServer& server_;
   std::uint64_t id_;
-  std::int64_t last_;
+  std::int64_t last_active_ms_;
   http_parser parser_{};
   ServerRequest request_;
   std::string held_;
-  bool busy_ = false, keep_ = true, drain_ = false, in_turn_ = false;
+  bool busy_ = false, keep_ = true, closing_after_write_ = false, in_turn_ = false;
 };
 
 HttpServer::HttpServer(EventLoop& loop, const std::string& address, std::size_t max_connections,
@@ -151,17 +155,17 @@
       max_body_(max_body),
       idle_ms_(idle_ms),
       handler_(std::move(handler)),
-      listener_(loop, address, max_connections, [this](uv_stream_t* s) { accept(s); }) {}
+      listener_(loop, address, max_connections, [this](uv_stream_t* stream) { accept(stream); }) {}
 
 HttpServer::~HttpServer() = default;
 
 void HttpServer::accept(uv_stream_t* server) {
-  auto* c = new Connection(*this, next_++);
-  connections_.emplace(next_ - 1, c);
-  if (uv_accept(server, c->raw()) != 0 || connections_.size() > max_connections_)
-    c->close();
+  auto* connection = new Connection(*this, next_++);
+  connections_.emplace(next_ - 1, connection);
+  if (uv_accept(server, connection->raw()) != 0 || connections_.size() > max_connections_)
+    connection->close();
   else
-    c->start();
+    connection->start();
 }
 
 void HttpServer::respond(std::uint64_t connection, int status, const std::string& body,
@@ -173,9 +177,9 @@
 void HttpServer::sweep() {
   const std::int64_t limit = EventLoop::now_ms() - idle_ms_;
   std::vector<Connection*> idle;
-  for (const auto& [id, c] : connections_)
-    if (c->idle_since(limit)) idle.push_back(c);
-  for (Connection* c : idle) c->close();
+  for (const auto& [id, connection] : connections_)
+    if (connection->idle_since(limit)) idle.push_back(connection);
+  for (Connection* connection : idle) connection->close();
 }
 
 }  // namespace sailreel
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -14,12 +14,15 @@
 
 namespace sailreel {
 
+/// Listens from construction to destruction.
 class Listener {
  public:
+  /// Called with the listening stream, of which the callee must accept one connection.
   using Arrived = std::function<void(uv_stream_t*)>;
 
-  /// After a controller's end, all that had a connection to it may come at once: `connections` says
-  /// how many that can be.
+  /// Throws std::runtime_error if the address cannot be listened on. The backlog is sized for
+  /// `connections` at once, since after a failover all clients of the old leader may connect
+  /// together.
   Listener(EventLoop& loop, const std::string& address, std::size_t connections, Arrived arrived)
       : handle_(new Handle) {
     handle_->arrived = std::move(arrived);
@@ -34,7 +37,7 @@
   Listener& operator=(const Listener&) = delete;
 
  private:
-  /// Lives until the loop has closed it.
+  /// On the heap, as it must live until the loop has closed it.
   struct Handle {
     uv_tcp_t tcp{};
     Arrived arrived;
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -34,13 +34,13 @@
 
 Timer::~Timer() {
   uv_close(reinterpret_cast<uv_handle_t*>(&handle_->timer),
-           [](uv_handle_t* h) { delete static_cast<Handle*>(h->data); });
+           [](uv_handle_t* handle) { delete static_cast<Handle*>(handle->data); });
 }
 
 void Timer::set(std::int64_t in_ms) {
   uv_update_time(handle_->timer.loop);
   uv_timer_start(
-      &handle_->timer, [](uv_timer_t* t) { static_cast<Handle*>(t->data)->fire(); },
+      &handle_->timer, [](uv_timer_t* timer) { static_cast<Handle*>(timer->data)->fire(); },
       static_cast<std::uint64_t>(in_ms < 0 ? 0 : in_ms), 0);
 }
 
--- a/src/transport/loop.hpp
+++ b/src/transport/loop.hpp
@@ -9,6 +9,7 @@
 
 namespace sailreel {
 
+/// One thread runs the loop and everything that uses it.
 class EventLoop {
  public:
   EventLoop();
@@ -17,6 +18,7 @@
   EventLoop& operator=(const EventLoop&) = delete;
 
   uv_loop_t* raw() { return &loop_; }
+  /// Returns when nothing is left to wait for.
   void run() { uv_run(&loop_, UV_RUN_DEFAULT); }
   /// Milliseconds of the steady clock, read at this moment (not the loop's cached time).
   static std::int64_t now_ms();
@@ -27,7 +29,7 @@
   uv_loop_t loop_{};
 };
 
-/// A one-shot timer that can be set again.
+/// Calls `fire` once for each `set`; setting it again replaces the earlier time.
 class Timer {
  public:
   Timer(EventLoop& loop, std::function<void()> fire);
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -21,10 +21,9 @@
     ++links_.writes_;
     write(std::exchange(waiting_, {}));
   }
-  /// Sends the batch, unless the other side is slow to answer the last one. False if it still
-  /// waits.
+  /// Sends the batch, unless nothing has come back since the last one. False if it still waits.
   bool send_batch(std::int64_t now) {
-    // What there is without a connection leaves as soon as that stands.
+    // Without a connection, what waits is sent by `on_connected`.
     const bool has_batch = connected_ && !waiting_.empty();
     if (has_batch && now < answer_due_at_) return false;
     in_batch_ = false;
@@ -69,32 +68,32 @@
       batching_(batching),
       events_(std::move(events)),
       batch_timer_(loop, [this] { send_batches(); }),
-      listener_(loop, listen, max_incoming, [this](uv_stream_t* s) { accept(s); }) {}
+      listener_(loop, listen, max_incoming, [this](uv_stream_t* stream) { accept(stream); }) {}
 
 PeerLinks::~PeerLinks() {
-  // Their owner may be half gone already.
+  // The owner may be partly destroyed by now.
   events_.closed = [](std::uint64_t) {};
   const auto links = links_;
   for (const auto& [number, connection] : links) connection->close();
 }
 
 void PeerLinks::accept(uv_stream_t* server) {
-  auto* c = new Connection(*this, next_);
-  links_.emplace(next_++, c);
-  if (uv_accept(server, c->raw()) != 0 || links_.size() > max_incoming_)
-    c->close();
+  auto* connection = new Connection(*this, next_);
+  links_.emplace(next_++, connection);
+  if (uv_accept(server, connection->raw()) != 0 || links_.size() > max_incoming_)
+    connection->close();
   else
-    c->accepted();
+    connection->accepted();
 }
 
 std::uint64_t PeerLinks::connect(const std::string& address) {
   const std::uint64_t id = next_++;
-  auto* c = new Connection(*this, id);
-  links_.emplace(id, c);
+  auto* connection = new Connection(*this, id);
+  links_.emplace(id, connection);
   if (const auto endpoint = parse_endpoint(address))
-    c->connect(*endpoint);
+    connection->connect(*endpoint);
   else
-    c->close();
+    connection->close();
   return id;
 }
 
@@ -103,7 +102,7 @@
   if (it == links_.end()) return;
   Connection& connection = *it->second;
   connection.add(bytes);
-  // Too much of it waits, and it was closed.
+  // Closed by `add`, as too much waits.
   if (connection.closing()) return;
   if (urgency == Urgency::Now) connection.flush();
   if (urgency == Urgency::MayWait) join_batch(link, connection);
--- a/src/transport/peer_link.hpp
+++ b/src/transport/peer_link.hpp
@@ -1,4 +1,4 @@
-// Frames between nodes: an outgoing connection to each sibling, and the incoming ones.
+// Connections between controllers: an outgoing one to each peer, and the incoming ones.
 #pragma once
 
 #include <cstdint>
@@ -23,14 +23,15 @@
   UntilFlush,
 };
 
-/// Knows bytes only; cutting them into frames is the receiver's part.
+/// Transports bytes; splitting them into frames is the receiver's part.
 ///
-/// What a controller pays for is packets more than bytes: frames that may wait leave together,
-/// after a while, with the next frame that may not, or when `flush` is called. Their order is kept.
+/// Processor time goes into packets more than into bytes. So frames that may wait are sent
+/// together: after a while, with the next frame that may not wait, or by `flush`. Their order is
+/// kept.
 class PeerLinks {
  public:
   struct Events {
-    /// Bytes arrived; false closes the connection.
+    /// Bytes arrived; they are valid during the call. Returning false closes the connection.
     std::function<bool(std::uint64_t link, std::string_view bytes)> bytes;
     std::function<void(std::uint64_t link)> closed;
   };
@@ -40,14 +41,16 @@
     /// For as long as nothing has come back since the last batch: the other side is slow.
     std::int64_t most_ms = 1;
   };
-  /// A link that has fallen `max_backlog` bytes behind is closed: what it holds is too old to be of
-  /// use.
+  /// A link with more than `max_backlog` unsent bytes is closed: its frames are too old to be of
+  /// use. Throws std::runtime_error if `listen` is an address that cannot be listened on.
   PeerLinks(EventLoop& loop, const std::string& listen, std::size_t max_incoming,
             std::size_t max_backlog, Batching batching, Events events);
   ~PeerLinks();
 
-  /// Opens a connection; its frames and its end come under the number returned.
+  /// Opens a connection and returns its number, under which `Events` are reported. A failure is
+  /// reported by `closed`.
   std::uint64_t connect(const std::string& address);
+  /// Ignored if the link was closed meanwhile.
   void send(std::uint64_t link, const std::string& bytes, Urgency urgency = Urgency::Now);
   /// Sends what waits on the link.
   void flush(std::uint64_t link);
--- a/src/transport/stream.hpp
+++ b/src/transport/stream.hpp
@@ -12,11 +12,11 @@
 
 namespace sailreel {
 
-/// Lives on the heap and deletes itself once libuv has closed it. Owners drop their pointer in
-/// on_closed.
+/// Must be made with `new`; deletes itself once libuv has closed it. Owners forget their pointer in
+/// `on_closed`, which is called once.
 class Stream {
  public:
-  /// The bytes that pass are added to `traffic`, which must outlive the stream; null: to nothing.
+  /// Bytes are counted in `traffic`, which must outlive the stream, or not at all if it is null.
   explicit Stream(EventLoop& loop, Traffic* traffic = nullptr) : traffic_(traffic) {
     uv_tcp_init(loop.raw(), &tcp_);
     tcp_.data = this;
@@ -33,9 +33,9 @@
     request->data = this;
     if (uv_ip4_addr(to.host.c_str(), to.port, &address) != 0 ||
         uv_tcp_connect(request, &tcp_, reinterpret_cast<const sockaddr*>(&address),
-                       [](uv_connect_t* r, int status) {
-                         auto* self = static_cast<Stream*>(r->data);
-                         delete r;
+                       [](uv_connect_t* connected, int status) {
+                         auto* self = static_cast<Stream*>(connected->data);
+                         delete connected;
                          if (self->closing_) return;
                          if (status != 0) return self->close();
                          self->start();
@@ -46,25 +46,27 @@
     }
   }
 
-  /// Begins to read.
+  /// Starts reading; for accepted connections, as `connect` does it by itself.
   void start() {
     uv_tcp_nodelay(&tcp_, 1);
     uv_read_start(
         raw(),
         [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-          // One loop, one read at a time: every connection can share the buffer.
+          // Shared by all connections: a loop reads from one at a time.
           static char shared[64 * 1024];
           *buffer = uv_buf_init(shared, sizeof shared);
         },
-        [](uv_stream_t* s, ssize_t n, const uv_buf_t* buffer) {
-          auto* self = static_cast<Stream*>(s->data);
-          if (self->closing_ || n == 0) return;
-          if (n < 0) return self->close();
-          if (self->traffic_ != nullptr) self->traffic_->bytes_in += static_cast<std::uint64_t>(n);
-          self->on_bytes({buffer->base, static_cast<std::size_t>(n)});
+        [](uv_stream_t* stream, ssize_t length, const uv_buf_t* buffer) {
+          auto* self = static_cast<Stream*>(stream->data);
+          if (self->closing_ || length == 0) return;
+          if (length < 0) return self->close();
+          if (self->traffic_ != nullptr)
+            self->traffic_->bytes_in += static_cast<std::uint64_t>(length);
+          self->on_bytes({buffer->base, static_cast<std::size_t>(length)});
         });
   }
 
+  /// Sends what the system takes at once, and queues the rest.
   void write(std::string bytes) {
     if (closing_) return;
     if (traffic_ != nullptr) traffic_->bytes_out += bytes.size();
@@ -77,9 +79,9 @@
     pending->request.data = pending;
     uv_buf_t rest =
         uv_buf_init(pending->bytes.data(), static_cast<unsigned>(pending->bytes.size()));
-    if (uv_write(&pending->request, raw(), &rest, 1, [](uv_write_t* r, int status) {
-          auto* stream = static_cast<Stream*>(r->handle->data);
-          delete static_cast<Pending*>(r->data);
+    if (uv_write(&pending->request, raw(), &rest, 1, [](uv_write_t* written, int status) {
+          auto* stream = static_cast<Stream*>(written->handle->data);
+          delete static_cast<Pending*>(written->data);
           if (status != 0) stream->close();
         }) != 0) {
       delete pending;
@@ -87,7 +89,7 @@
     }
   }
 
-  /// Bytes accepted for writing and not yet handed to the system.
+  /// Queued bytes.
   [[nodiscard]] std::size_t backlog() const { return tcp_.write_queue_size; }
   [[nodiscard]] bool closing() const { return closing_; }
 
@@ -96,7 +98,7 @@
     closing_ = true;
     on_closed();
     uv_close(reinterpret_cast<uv_handle_t*>(&tcp_),
-             [](uv_handle_t* h) { delete static_cast<Stream*>(h->data); });
+             [](uv_handle_t* handle) { delete static_cast<Stream*>(handle->data); });
   }
 
  protected:
--- a/src/transport/traffic.hpp
+++ b/src/transport/traffic.hpp
@@ -1,11 +1,11 @@
-// What has passed over a group of connections.
+// Counters of what a group of connections has carried.
 #pragma once
 
 #include <cstdint>
 
 namespace sailreel {
 
-/// Counts since the group was made. A message is a whole request or answer.
+/// Since the start. A message is a whole request or response.
 struct Traffic {
   std::uint64_t messages_in = 0, messages_out = 0;
   std::uint64_t bytes_in = 0, bytes_out = 0;
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -1,5 +1,5 @@
-// Links between controllers over loopback sockets: frames leave in their order and together, and no
-// frame is left behind.
+// Links between controllers over loopback sockets: frames are sent in order and in batches, and
+// none is lost.
 #include "transport/peer_link.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 constexpr std::int64_t kPatienceMs = 20'000;
 constexpr std::size_t kBacklog = std::size_t{1} << 20;
 
-/// An address of this process alone: test cases run side by side.
+/// An address that no other process uses: test cases run in parallel.
 std::string own_address(const char* port) {
   const int pid = getpid();
   return "127.88." + std::to_string(pid / 250 % 250) + "." + std::to_string(pid % 250 + 1) + port;
@@ -56,7 +56,7 @@
     set_alarm(span_ms);
     while (!rang_) uv_run(loop_.raw(), UV_RUN_ONCE);
   }
-  /// Runs until that has arrived, or patience is over.
+  /// Runs until that has arrived, or a time limit is over.
   void wait_for(const std::string& bytes) {
     set_alarm(kPatienceMs);
     while (!rang_ && received_.size() < bytes.size()) uv_run(loop_.raw(), UV_RUN_ONCE);
@@ -84,7 +84,8 @@
   const std::uint64_t link_;
 };
 
-// A ceiling on what a report that is handed on costs: 20 of them took 20 writes before, one now.
+// A ceiling on the cost of a forwarded heartbeat: 20 of them took 20 writes before, and take one
+// now.
 TEST(PeerLink, FramesThatMayWaitLeaveTogether) {
   PeerLinkPair links({30, 30});
   std::string sent;
@@ -97,7 +98,7 @@
   EXPECT_EQ(links.writes(), 1U);
 }
 
-TEST(PeerLink, AFrameThatMayNotWaitTakesTheOthersAlong) {
+TEST(PeerLink, AnUrgentFrameIsSentTogetherWithThoseThatWait) {
   PeerLinkPair links({kPatienceMs, kPatienceMs});
   links.send("report;", Urgency::MayWait);
   links.send("question;", Urgency::MayWait);
@@ -110,7 +111,7 @@
   links.wait_for("report;question;submission;answer;");
 }
 
-// What a slow leader hasn't answered yet isn't added to, packet by packet.
+// A slow leader must not get more packets before it has responded to the last ones.
 TEST(PeerLink, BatchesGrowWhileTheOtherSideIsSlow) {
   PeerLinkPair links({5, kPatienceMs * 10});
   links.send("1", Urgency::MayWait);
@@ -124,7 +125,7 @@
   EXPECT_EQ(links.writes(), 2U);
 }
 
-TEST(PeerLink, ABatchLeavesWithoutAnAnswerInTheEnd) {
+TEST(PeerLink, ABatchIsSentWithoutAResponseInTheEnd) {
   PeerLinkPair links({5, 50});
   links.send("1", Urgency::MayWait);
   links.wait_for("1");
@@ -141,7 +142,7 @@
   return {};
 }
 
-// Whatever comes in whatever order, all of it arrives, once and in its order.
+// For any sequence of urgencies, every frame arrives, once and in order.
 TEST(PeerLink, NoFrameIsLostOrOvertaken) {
   fix_cases(200);
   const bool held = rc::check("frames arrive in order", [] {
--- a/tests/share_manager_test.cpp
+++ b/tests/share_manager_test.cpp
@@ -1,4 +1,4 @@
-// The share manager on its own: what it gives, takes and refuses, input by input.
+// The share manager without a controller: its actions for each input.
 #include "federation/share_manager.hpp"
 
 #include <gtest/gtest.h>
@@ -45,7 +45,7 @@
     for (const ShareWrite& write : manager_.writes(4)) stored_[write.key] = write.value;
     return manager_.step(now_, CheckpointCommitted{});
   }
-  /// Another leader of the region, with what was written.
+  /// A failover within the region: the next leader starts from what was committed.
   void next_leader() { manager_.load(stored_, ++epoch_, now_); }
   void wait(Time span) { now_ += span; }
 
@@ -95,8 +95,8 @@
   EXPECT_EQ(Region("south").cap(), 4);
 }
 
-// By the last view, all was unused; by now it isn't. Found by reading: a demand was once served by
-// the view of the load of up to a tenth of a report's interval before.
+// At the last observation all was unused; by now it isn't. Found by review: demands used to be
+// served by a load that was observed up to a tenth of a heartbeat interval before.
 TEST(ShareManager, ADemandIsServedByAFreshViewOfTheLoadOnly) {
   Region north("north");
   north.observe(0);
@@ -183,7 +183,7 @@
   EXPECT_TRUE(north.manager().wants_commit());
 }
 
-TEST(ShareManager, WhatLessImportantTasksUseIsGivenOnceTheyAreGone) {
+TEST(ShareManager, WhatTasksOfLowerPriorityUseIsGivenOnceTheyHaveExited) {
   Region north("north");
   north.arrive(demand(2, 2, 0, 1));
   const auto actions = north.observe(6, 0, 6);
