--- a/src/protocol/cloud_codec.cpp
+++ b/src/protocol/cloud_codec.cpp
@@ -11,21 +11,22 @@
   const json::Value* list = json::member(doc, "hulls");
   if (list == nullptr || !list->IsArray())
     return DecodeError{DecodeErrorKind::InvalidField, "hulls"};
-  for (const auto& v : list->GetArray()) {
-    MachineType t;
-    if (!v.IsObject() || !json::get(v, "sku", t.name) || !json::get(v, "cores", t.size.cpus) ||
-        !json::get(v, "ram_gb", t.size.memory_gb) || !json::get(v, "rate", t.price))
+  for (const auto& item : list->GetArray()) {
+    MachineType type;
+    if (!item.IsObject() || !json::get(item, "sku", type.name) ||
+        !json::get(item, "cores", type.size.cpus) ||
+        !json::get(item, "ram_gb", type.size.memory_gb) || !json::get(item, "rate", type.price))
       continue;
-    json::get(v, "cards", t.size.gpus);
-    json::get(v, "cache_gb", t.cache_gb);
-    json::get(v, "pull_gb_per_s", t.fetch_gb_per_s);
-    t.spot_price = t.price;
-    json::get(v, "market_price", t.spot_price);
-    json::get(v, "ready_s", t.boot_s);
-    if (const json::Value* zones = json::member(v, "harbors"); zones && zones->IsArray())
-      for (const auto& z : zones->GetArray())
-        if (z.IsString()) t.zones.emplace_back(z.GetString(), z.GetStringLength());
-    out.types.push_back(std::move(t));
+    json::get(item, "cards", type.size.gpus);
+    json::get(item, "cache_gb", type.cache_gb);
+    json::get(item, "pull_gb_per_s", type.fetch_gb_per_s);
+    type.spot_price = type.price;
+    json::get(item, "market_price", type.spot_price);
+    json::get(item, "ready_s", type.boot_s);
+    if (const json::Value* zones = json::member(item, "harbors"); zones && zones->IsArray())
+      for (const auto& zone : zones->GetArray())
+        if (zone.IsString()) type.zones.emplace_back(zone.GetString(), zone.GetStringLength());
+    out.types.push_back(std::move(type));
   }
   return {};
 }
@@ -34,8 +35,8 @@
   const json::Value* list = json::member(doc, "vessels");
   if (list == nullptr || !list->IsArray())
     return DecodeError{DecodeErrorKind::InvalidField, "vessels"};
-  for (const auto& v : list->GetArray())
-    if (v.IsString()) out.names.emplace_back(v.GetString(), v.GetStringLength());
+  for (const auto& item : list->GetArray())
+    if (item.IsString()) out.names.emplace_back(item.GetString(), item.GetStringLength());
   return {};
 }
 
@@ -44,18 +45,20 @@
   if (list == nullptr || !list->IsArray())
     return DecodeError{DecodeErrorKind::InvalidField, "vessels"};
   std::string state;
-  for (const auto& v : list->GetArray()) {
-    ListedMachine m;
-    if (!v.IsObject() || !json::get(v, "id", m.name) || !json::get(v, "heading", state)) continue;
-    json::get(v, "endpoint", m.address);
-    json::get(v, "hull", m.type);
-    json::get(v, "harbor", m.zone);
-    json::get(v, "driftwood", m.spot);
-    json::get(v, "age_s", m.age_s);
-    m.state = state == "running"  ? ListedMachine::State::Running
-              : state == "failed" ? ListedMachine::State::Failed
-                                  : ListedMachine::State::Booting;
-    out.machines.push_back(std::move(m));
+  for (const auto& item : list->GetArray()) {
+    ListedMachine machine;
+    if (!item.IsObject() || !json::get(item, "id", machine.name) ||
+        !json::get(item, "heading", state))
+      continue;
+    json::get(item, "endpoint", machine.address);
+    json::get(item, "hull", machine.type);
+    json::get(item, "harbor", machine.zone);
+    json::get(item, "driftwood", machine.spot);
+    json::get(item, "age_s", machine.age_s);
+    machine.state = state == "running"  ? ListedMachine::State::Running
+                    : state == "failed" ? ListedMachine::State::Failed
+                                        : ListedMachine::State::Booting;
+    out.machines.push_back(std::move(machine));
   }
   json::get(doc, "has_next", out.more);
   return {};
@@ -73,32 +76,32 @@
                   "limit=" + std::to_string(call.limit),
               ""};
     case CloudRequest::Kind::ScaleOut: {
-      rapidjson::StringBuffer b;
-      json::Writer w(b);
-      w.StartObject();
-      w.Key("charter");
-      json::put(w, call.scale_out.request);
-      w.Key("hull");
-      json::put(w, call.scale_out.type);
-      w.Key("harbor");
-      json::put(w, call.scale_out.zone);
-      w.Key("driftwood");
-      w.Bool(call.scale_out.spot);
-      w.Key("how_many");
-      w.Uint(call.scale_out.count);
-      w.EndObject();
-      return {"POST", "/machines", json::text(b)};
+      rapidjson::StringBuffer buffer;
+      json::Writer writer(buffer);
+      writer.StartObject();
+      writer.Key("charter");
+      json::put(writer, call.scale_out.request);
+      writer.Key("hull");
+      json::put(writer, call.scale_out.type);
+      writer.Key("harbor");
+      json::put(writer, call.scale_out.zone);
+      writer.Key("driftwood");
+      writer.Bool(call.scale_out.spot);
+      writer.Key("how_many");
+      writer.Uint(call.scale_out.count);
+      writer.EndObject();
+      return {"POST", "/machines", json::text(buffer)};
     }
     case CloudRequest::Kind::Terminate: {
-      rapidjson::StringBuffer b;
-      json::Writer w(b);
-      w.StartObject();
-      w.Key("vessels");
-      w.StartArray();
-      for (const auto& n : call.names) json::put(w, n);
-      w.EndArray();
-      w.EndObject();
-      return {"POST", "/machines/release", json::text(b)};
+      rapidjson::StringBuffer buffer;
+      json::Writer writer(buffer);
+      writer.StartObject();
+      writer.Key("vessels");
+      writer.StartArray();
+      for (const std::string& name : call.names) json::put(writer, name);
+      writer.EndArray();
+      writer.EndObject();
+      return {"POST", "/machines/release", json::text(buffer)};
     }
   }
   return {};
--- a/src/protocol/fake_server_codec.hpp
+++ b/src/protocol/fake_server_codec.hpp
@@ -1,5 +1,5 @@
-// What the other side of each protocol writes and reads: workers, users, the cloud and the state
-// service. Stand-ins for them are built on it; the daemon itself needs none of it.
+// The other side of each protocol: that of workers, users, the cloud and the key-value store. For
+// fakes of them; not used by the daemon.
 #pragma once
 
 #include <optional>
@@ -13,17 +13,17 @@
 
 // ---- workers ----
 
-/// The body of a worker's report.
+/// The body of a worker's heartbeat.
 std::string encode_heartbeat(const Heartbeat& heartbeat);
 
-/// The commands of a report's answer or of a direct command.
+/// The commands of a response to a heartbeat, or of a request that the leader sends by itself.
 struct CommandBatch {
   std::uint64_t fencing_token = 0;
-  /// Only direct commands carry one.
+  /// Only in requests that the leader sends by itself.
   std::optional<std::uint64_t> incarnation;
   std::vector<Command> commands;
 };
-/// Empty if the body carries no token, or names a task that can't be read.
+/// Empty if the body has no fencing token, or a command is malformed.
 std::optional<CommandBatch> decode_commands(std::string_view body);
 
 /// The node that a redirect names; empty if it names none.
@@ -33,26 +33,26 @@
 
 /// The body of a submission.
 std::string encode_submission(const JobSpec& spec);
-/// What an answer says of a job's state; empty if it says nothing that can be read.
+/// The job's state in a response; empty if there is none.
 std::string decode_job_state(std::string_view body);
 
-// ---- services: an answer's status and body ----
+// ---- the cloud and the key-value store ----
 
 struct ServiceResponse {
   int status = 0;
   std::string body;
 };
 
-/// A request to the state service; empty if it is malformed.
+/// A request to the key-value store; empty if it is malformed.
 std::optional<KvRequest> decode_state_call(std::string_view method, std::string_view path,
                                            std::string_view body);
-/// The answer to such a request.
+/// The response to such a request.
 ServiceResponse encode_state_reply(const KvRequest& call, const KvResponse& reply);
 
 /// A request to the cloud; empty if it is malformed.
 std::optional<CloudRequest> decode_cloud_call(std::string_view method, std::string_view path,
                                               std::string_view body);
-/// The answer to such a request.
+/// The response to such a request.
 ServiceResponse encode_cloud_reply(const CloudRequest& call, const CloudResponse& reply);
 
 }  // namespace sailreel
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -4,12 +4,12 @@
 
 namespace sailreel::json {
 namespace {
-/// What the parser may read beyond the end of a text, as it looks at sixteen bytes at a time.
+/// How far the parser may read beyond the end of a text, as it scans sixteen bytes at a time.
 constexpr std::size_t kPadding = 16;
-/// The iterative parser: nested brackets from a hostile sender must not exhaust the stack.
+/// The iterative parser, as nested brackets from a hostile sender must not exhaust the stack.
 constexpr unsigned kFlags = rapidjson::kParseIterativeFlag | rapidjson::kParseFullPrecisionFlag;
 
-// Without a branch for each byte, which would cost more than it saves.
+// Without a branch for each byte, which would cost more time than it saves.
 bool is_ascii(std::string_view text) {
   constexpr unsigned kHighBit = 0x80;
   unsigned bits = 0;
@@ -20,11 +20,11 @@
 }  // namespace
 
 bool parse_object(std::string_view text, Document& out) {
-  // No JSON text has a zero byte in it, and the parser takes one for the end.
+  // The parser would take a zero byte for the end; no valid JSON contains one.
   if (text.find('\0') != std::string_view::npos) return false;
   out.text.reserve(text.size() + kPadding);
   out.text.assign(text);
-  // Checking each character's encoding is a quarter of the work, and texts are rarely but ASCII.
+  // Validating the encoding is a quarter of the work, and most texts are plain ASCII.
   if (is_ascii(text))
     out.ParseInsitu<kFlags>(out.text.data());
   else
--- a/src/protocol/json_object.hpp
+++ b/src/protocol/json_object.hpp
@@ -1,4 +1,4 @@
-// Writes JSON objects, each member's name beside its value.
+// Writes JSON objects, so that each member's name is beside its value in the code.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,8 @@
 
 namespace sailreel::json {
 
-/// One object, from its construction to `end`.
+/// Writes one object, which is open from construction until `end` is called. The writer must
+/// outlive it.
 class ObjectWriter {
  public:
   explicit ObjectWriter(Writer& writer) : writer_(writer) { writer_.StartObject(); }
@@ -35,7 +36,7 @@
     writer_.Key(name);
     writer_.Bool(value);
   }
-  /// A value that is JSON already.
+  /// A value that is JSON text, which is not checked.
   void raw(const char* name, const std::string& value) {
     writer_.Key(name);
     writer_.RawValue(value.data(), value.size(), rapidjson::kObjectType);
--- a/src/protocol/kv_codec.cpp
+++ b/src/protocol/kv_codec.cpp
@@ -82,71 +82,71 @@
   return {};
 }
 
-std::string encode_txn(const KvRequest& call) {
-  rapidjson::StringBuffer b;
-  json::Writer w(b);
-  w.StartObject();
-  w.Key("when");
-  w.StartArray();
-  for (const auto& c : call.conditions) {
-    w.StartObject();
-    w.Key("path");
-    json::put(w, c.key);
-    w.Key("mark");
-    w.Uint64(c.version);
-    w.EndObject();
+std::string encode_compare_and_swap(const KvRequest& call) {
+  rapidjson::StringBuffer buffer;
+  json::Writer writer(buffer);
+  writer.StartObject();
+  writer.Key("when");
+  writer.StartArray();
+  for (const KvRequest::Condition& condition : call.conditions) {
+    writer.StartObject();
+    writer.Key("path");
+    json::put(writer, condition.key);
+    writer.Key("mark");
+    writer.Uint64(condition.version);
+    writer.EndObject();
   }
-  w.EndArray();
-  w.Key("then");
-  w.StartArray();
-  for (const auto& p : call.puts) {
-    w.StartObject();
-    w.Key("set");
-    json::put(w, p.key);
-    w.Key("data");
-    w.RawValue(p.value.data(), p.value.size(), rapidjson::kObjectType);
-    if (p.lease != 0) {
-      w.Key("mooring");
-      w.Uint64(p.lease);
+  writer.EndArray();
+  writer.Key("then");
+  writer.StartArray();
+  for (const KvRequest::Put& put : call.puts) {
+    writer.StartObject();
+    writer.Key("set");
+    json::put(writer, put.key);
+    writer.Key("data");
+    writer.RawValue(put.value.data(), put.value.size(), rapidjson::kObjectType);
+    if (put.lease != 0) {
+      writer.Key("mooring");
+      writer.Uint64(put.lease);
     }
-    w.EndObject();
+    writer.EndObject();
   }
-  for (const auto& d : call.deletes) {
-    w.StartObject();
-    w.Key("drop");
-    json::put(w, d);
-    w.EndObject();
+  for (const std::string& key : call.deletes) {
+    writer.StartObject();
+    writer.Key("drop");
+    json::put(writer, key);
+    writer.EndObject();
   }
-  w.EndArray();
-  w.EndObject();
-  return json::text(b);
+  writer.EndArray();
+  writer.EndObject();
+  return json::text(buffer);
 }
 
 }  // namespace
 
 HttpRequest encode_kv_request(const KvRequest& call) {
   using Kind = KvRequest::Kind;
-  const auto num = [](auto v) { return std::to_string(v); };
+  const auto digits = [](auto number) { return std::to_string(number); };
   switch (call.kind) {
     case Kind::Get:
       return {"GET", "/store/" + call.key, ""};
     case Kind::List:
       return {"GET",
               "/store?prefix=" + call.key + (call.from.empty() ? "" : "&from=" + call.from) +
-                  "&limit=" + num(call.limit),
+                  "&limit=" + digits(call.limit),
               ""};
     case Kind::Txn:
-      return {"POST", "/multi", encode_txn(call)};
+      return {"POST", "/multi", encode_compare_and_swap(call)};
     case Kind::Grant:
-      return {"POST", "/leases", "{\"ttl_ms\":" + num(call.ttl_ms) + "}"};
+      return {"POST", "/leases", "{\"ttl_ms\":" + digits(call.ttl_ms) + "}"};
     case Kind::Renew:
-      return {"POST", "/leases/" + num(call.lease) + "/renew", "{}"};
+      return {"POST", "/leases/" + digits(call.lease) + "/renew", "{}"};
     case Kind::Revoke:
-      return {"DELETE", "/leases/" + num(call.lease), ""};
+      return {"DELETE", "/leases/" + digits(call.lease), ""};
     case Kind::Watch:
       return {"GET",
-              "/follow?prefix=" + call.key + "&from=" + num(call.revision) +
-                  "&hold_ms=" + num(call.wait_ms),
+              "/follow?prefix=" + call.key + "&from=" + digits(call.revision) +
+                  "&hold_ms=" + digits(call.wait_ms),
               ""};
   }
   return {};
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -1,7 +1,8 @@
-// What the service and the outside say to each other, in the field's own words. The codecs beside
-// this file translate to and from the wire.
+// Messages between the service, its workers, users, the cloud and the key-value store, in standard
+// terms. The codecs beside this file map them to the names of the wire, which appear nowhere else.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -9,14 +10,14 @@
 
 namespace sailreel {
 
-/// Milliseconds on this process's steady clock.
+/// Milliseconds on this process's steady clock: not comparable between processes.
 using Time = std::int64_t;
 constexpr Time kNever = INT64_MAX / 4;
 
 inline Time ms(double seconds) { return static_cast<Time>(seconds * 1000.0); }
 
 enum class JobKind : std::uint8_t { Array, Service, Gang };
-/// In falling order of importance.
+/// From the highest to the lowest.
 enum class Priority : std::uint8_t { Production, High, Normal, Low };
 constexpr std::size_t kPriorities = 4;
 enum class Phase : std::uint8_t { Active, Done, Cancelled };
@@ -25,18 +26,18 @@
   double cpus = 0, gpus = 0, memory_gb = 0;
 
   bool operator==(const Resources&) const = default;
-  Resources& operator+=(const Resources& o) {
-    cpus += o.cpus, gpus += o.gpus, memory_gb += o.memory_gb;
+  Resources& operator+=(const Resources& other) {
+    cpus += other.cpus, gpus += other.gpus, memory_gb += other.memory_gb;
     return *this;
   }
-  Resources& operator-=(const Resources& o) {
-    cpus -= o.cpus, gpus -= o.gpus, memory_gb -= o.memory_gb;
+  Resources& operator-=(const Resources& other) {
+    cpus -= other.cpus, gpus -= other.gpus, memory_gb -= other.memory_gb;
     return *this;
   }
   [[nodiscard]] Resources times(double count) const {
     return {cpus * count, gpus * count, memory_gb * count};
   }
-  /// Sums of decimals carry rounding errors; a millionth of a core is nobody's loss.
+  /// Tolerates the rounding errors of sums of decimals.
   [[nodiscard]] bool fits_in(const Resources& room) const {
     constexpr double kSlack = 1e-6;
     return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack &&
@@ -44,20 +45,25 @@
   }
 };
 
+/// The user's description of a job. Times are in seconds.
 struct JobSpec {
   std::string id, job_class, team;
   JobKind kind = JobKind::Array;
   Priority priority = Priority::Low;
   std::uint32_t tasks = 1;
-  Resources need;
+  Resources need;  // of each task
   std::string image;
   double image_gb = 0;
+  /// Whether machines of any type will do; otherwise only those of `types`.
   bool any_type = true;
   std::vector<std::string> types;
   std::string zone;  // empty: any
+  /// All tasks in one zone; at most half of them, rounded up, in one zone; spot instances allowed.
   bool one_zone = false, spread = false, spot = false;
+  /// The user's estimate of a task's run time; the progress between two checkpoints of a task, 0:
+  /// it never saves; the time that saving takes when it is stopped.
   double estimate_s = 0, checkpoint_s = 0, save_s = 0;
-  std::optional<double> deadline_s;
+  std::optional<double> deadline_s;  // from the submission on
 };
 
 struct TaskKey {
@@ -68,10 +74,10 @@
   return key.job + "/" + std::to_string(key.index);
 }
 
-/// Waiting: a task of a gang that waits for the others of its attempt.
+/// Waiting: a task that gang scheduling has started and that waits for the gang's other tasks.
 enum class RunState : std::uint8_t { Fetching, Running, Saving, Exited, Waiting };
-/// Of a task of a gang: PeersGone, another task of the gang is gone; Incomplete, the gang was not
-/// complete in time.
+/// PeersGone: another task of the gang has exited. Incomplete: not all tasks of the gang started in
+/// time.
 enum class ExitCause : std::uint8_t {
   None,
   Done,
@@ -92,10 +98,12 @@
   bool saved = false;
 };
 
+/// A worker's periodic message, with the status of each of its tasks.
 struct Heartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
   std::uint64_t incarnation = 0, seq = 0, fencing_token = 0;
+  /// Seconds until the cloud takes the spot instance back, once that was announced.
   std::optional<double> notice_s;
   std::vector<TaskStatus> tasks;
 };
@@ -104,7 +112,7 @@
   enum class Op : std::uint8_t { Start, Stop, Forget } op = Op::Start;
   TaskKey key;
   std::uint64_t attempt = 0;
-  double grace_s = 0;
+  double grace_s = 0;  // Stop: how long the task may take to exit
 };
 
 struct MachineType {
@@ -130,18 +138,18 @@
 struct CloudRequest {
   enum class Kind : std::uint8_t { Types, ScaleOut, Terminate, List } kind = Kind::Types;
   ScaleOutRequest scale_out;
-  std::vector<std::string> names;  // Release
+  std::vector<std::string> names;  // Terminate
   std::string after;               // List
   std::uint32_t limit = 500;
 };
 
 struct CloudResponse {
-  int status = 0;  // 0: no answer
+  int status = 0;  // 0: no response; the request may still be carried out
   std::vector<MachineType> types;
   std::vector<std::string> names;
   std::vector<ListedMachine> machines;
   bool more = false;
-  bool no_capacity = false;  // a refusal for want of machines, not for trouble
+  bool no_capacity = false;  // rejected as there are no such machines now, not for an error
 };
 
 struct KvRequest {
@@ -172,7 +180,7 @@
 };
 
 struct KvResponse {
-  int status = 0;  // 0: no answer; the request may still be carried out
+  int status = 0;  // 0: no response; the request may still be carried out
   std::uint64_t revision = 0, lease = 0;
   std::vector<KvItem> items;
   bool more = false;
--- a/src/protocol/peer_frames.cpp
+++ b/src/protocol/peer_frames.cpp
@@ -14,14 +14,14 @@
 constexpr std::uint32_t kMagic = 0x4c525331;  // "1SRL"
 constexpr std::uint8_t kVersion = 4;
 constexpr std::size_t kMaxText = 256;
-/// A request's body and its id, with room for the fixed part.
+/// A request's body and id, and its fixed part.
 constexpr std::size_t kMaxPayload = kMaxBody + 1024;
 
 #pragma pack(push, 1)
 struct FrameHeader {
   std::uint32_t magic;
   std::uint8_t version, kind;
-  std::uint16_t flags;   // 0 and not looked at in versions before gangs
+  std::uint16_t flags;   // 0, and ignored, in versions from before gang scheduling
   std::uint32_t length;  // of what follows
 };
 struct HeartbeatBody {
@@ -50,25 +50,26 @@
 static_assert(sizeof(RequestBody) == 15);
 static_assert(sizeof(ResponseBody) == 20);
 
-/// An answer that may be passed on for ever.
+/// Of a response that may be passed on without limit.
 constexpr std::uint32_t kForEver = UINT32_MAX;
 
-/// Of the header.
+/// A flag of the header.
 constexpr std::uint16_t kRelay = 1;
 
 constexpr std::uint8_t kLeading = 1, kHearsLeader = 2, kHolding = 4, kHearsWorkers = 8,
                        kWasAlone = 16, kUnderstandsGangs = 32, kSharesLimits = 64;
 
 template <typename Body>
-std::string frame(PeerMessage::Kind kind, const Body& body, std::string_view a,
-                  std::string_view b = {}, std::uint16_t flags = 0) {
-  const FrameHeader h{kMagic, kVersion, static_cast<std::uint8_t>(kind), flags,
-                      static_cast<std::uint32_t>(sizeof(Body) + a.size() + b.size())};
+std::string frame(PeerMessage::Kind kind, const Body& body, std::string_view text,
+                  std::string_view more_text = {}, std::uint16_t flags = 0) {
+  const FrameHeader header{
+      kMagic, kVersion, static_cast<std::uint8_t>(kind), flags,
+      static_cast<std::uint32_t>(sizeof(Body) + text.size() + more_text.size())};
   std::string out;
-  out.reserve(sizeof h + h.length);
-  out.append(reinterpret_cast<const char*>(&h), sizeof h);
+  out.reserve(sizeof header + header.length);
+  out.append(reinterpret_cast<const char*>(&header), sizeof header);
   out.append(reinterpret_cast<const char*>(&body), sizeof body);
-  out.append(a).append(b);
+  out.append(text).append(more_text);
   return out;
 }
 
@@ -180,38 +181,41 @@
 
 }  // namespace
 
-std::string encode_peer(const PeerMessage& m) {
-  switch (m.kind) {
+std::string encode_peer(const PeerMessage& message) {
+  switch (message.kind) {
     case PeerMessage::Kind::Heartbeat: {
-      const ControllerHeartbeat& b = m.heartbeat;
+      const ControllerHeartbeat& heartbeat = message.heartbeat;
       const auto flag = [](bool on, std::uint8_t bit) { return on ? unsigned{bit} : 0U; };
-      const unsigned flags = flag(b.leading, kLeading) | flag(b.hears_leader, kHearsLeader) |
-                             flag(b.holding, kHolding) | flag(b.hears_workers, kHearsWorkers) |
-                             flag(b.kept_alive_ms.has_value(), kWasAlone) |
-                             flag(b.understands_gangs, kUnderstandsGangs) |
-                             flag(b.shares_limits, kSharesLimits);
-      return frame(m.kind,
-                   HeartbeatBody{b.epoch, b.incarnation, b.clock, b.acknowledged_incarnation,
-                                 b.acknowledged_clock, b.keep_ms, b.kept_alive_ms.value_or(0),
+      const unsigned flags =
+          flag(heartbeat.leading, kLeading) | flag(heartbeat.hears_leader, kHearsLeader) |
+          flag(heartbeat.holding, kHolding) | flag(heartbeat.hears_workers, kHearsWorkers) |
+          flag(heartbeat.kept_alive_ms.has_value(), kWasAlone) |
+          flag(heartbeat.understands_gangs, kUnderstandsGangs) |
+          flag(heartbeat.shares_limits, kSharesLimits);
+      return frame(message.kind,
+                   HeartbeatBody{heartbeat.epoch, heartbeat.incarnation, heartbeat.clock,
+                                 heartbeat.acknowledged_incarnation, heartbeat.acknowledged_clock,
+                                 heartbeat.keep_ms, heartbeat.kept_alive_ms.value_or(0),
                                  static_cast<std::uint8_t>(flags), 0,
-                                 static_cast<std::uint16_t>(b.node.size())},
-                   b.node);
+                                 static_cast<std::uint16_t>(heartbeat.node.size())},
+                   heartbeat.node);
     }
     case PeerMessage::Kind::Request:
-      return frame(m.kind,
-                   RequestBody{m.request.call, static_cast<std::uint8_t>(m.request.op),
-                               static_cast<std::uint16_t>(m.request.id.size()),
-                               static_cast<std::uint32_t>(m.request.body.size())},
-                   m.request.id, m.request.body, m.request.relay ? kRelay : 0);
+      return frame(message.kind,
+                   RequestBody{message.request.call, static_cast<std::uint8_t>(message.request.op),
+                               static_cast<std::uint16_t>(message.request.id.size()),
+                               static_cast<std::uint32_t>(message.request.body.size())},
+                   message.request.id, message.request.body, message.request.relay ? kRelay : 0);
     case PeerMessage::Kind::Response:
-      return frame(m.kind,
-                   ResponseBody{m.response.call, static_cast<std::uint16_t>(m.response.status),
-                                static_cast<std::uint16_t>(m.response.retry_after_s),
-                                m.response.valid_ms.value_or(kForEver),
-                                static_cast<std::uint32_t>(m.response.body.size())},
-                   m.response.body);
+      return frame(
+          message.kind,
+          ResponseBody{message.response.call, static_cast<std::uint16_t>(message.response.status),
+                       static_cast<std::uint16_t>(message.response.retry_after_s),
+                       message.response.valid_ms.value_or(kForEver),
+                       static_cast<std::uint32_t>(message.response.body.size())},
+          message.response.body);
     case PeerMessage::Kind::Region:
-      return frame_region(m.region);
+      return frame_region(message.region);
   }
   return {};
 }
--- a/src/protocol/region_frames.cpp
+++ b/src/protocol/region_frames.cpp
@@ -57,10 +57,12 @@
 
 std::vector<Entry> entries_of(const RegionMessage& message) {
   std::vector<Entry> out;
-  for (const TeamAmounts& e : message.transfer.amounts) out.push_back({e.team, e.amounts, {}});
-  for (const DemandEntry& e : message.demand.entries) out.push_back({e.team, e.wanted, e.urgent});
-  for (const SurplusEntry& e : message.surplus.entries)
-    out.push_back({e.team, e.unused, e.stoppable});
+  for (const TeamAmounts& entry : message.transfer.amounts)
+    out.push_back({entry.team, entry.amounts, {}});
+  for (const DemandEntry& entry : message.demand.entries)
+    out.push_back({entry.team, entry.wanted, entry.urgent});
+  for (const SurplusEntry& entry : message.surplus.entries)
+    out.push_back({entry.team, entry.unused, entry.stoppable});
   return out;
 }
 
@@ -102,19 +104,20 @@
   switch (message.kind) {
     case RegionMessage::Kind::Transfer:
       message.transfer.number = number;
-      for (Entry& e : entries) message.transfer.amounts.push_back({std::move(e.team), e.first});
+      for (Entry& entry : entries)
+        message.transfer.amounts.push_back({std::move(entry.team), entry.first});
       return !message.transfer.amounts.empty();
     case RegionMessage::Kind::Acknowledgement:
       message.acknowledgement.number = number;
       return entries.empty();
     case RegionMessage::Kind::Demand:
       message.demand.credited = number;
-      for (Entry& e : entries)
-        message.demand.entries.push_back({std::move(e.team), e.first, e.second});
+      for (Entry& entry : entries)
+        message.demand.entries.push_back({std::move(entry.team), entry.first, entry.second});
       return true;
     case RegionMessage::Kind::Surplus:
-      for (Entry& e : entries)
-        message.surplus.entries.push_back({std::move(e.team), e.first, e.second});
+      for (Entry& entry : entries)
+        message.surplus.entries.push_back({std::move(entry.team), entry.first, entry.second});
       return true;
   }
   return false;
@@ -130,10 +133,10 @@
                             static_cast<std::uint16_t>(entries.size()), message.epoch,
                             message.sequence, number_of(message)});
   out += message.from;
-  for (const Entry& e : entries) {
-    append(out, EntryBody{static_cast<std::uint16_t>(e.team.size()), e.first.cpus, e.first.gpus,
-                          e.second.cpus, e.second.gpus});
-    out += e.team;
+  for (const Entry& entry : entries) {
+    append(out, EntryBody{static_cast<std::uint16_t>(entry.team.size()), entry.first.cpus,
+                          entry.first.gpus, entry.second.cpus, entry.second.gpus});
+    out += entry.team;
   }
   return out;
 }
--- a/src/protocol/region_frames.hpp
+++ b/src/protocol/region_frames.hpp
@@ -1,5 +1,5 @@
-// Messages between the leaders of different regions: packed structs, little-endian, lengths
-// checked. They travel as frames of their own kind over the links between controllers
+// Messages between the leaders of different regions: packed structs, little-endian, with checked
+// lengths. They are sent as frames of their own kind over the links between controllers
 // (peer_frames.hpp).
 #pragma once
 
@@ -19,34 +19,36 @@
   std::int64_t cpus = 0, gpus = 0;
 
   bool operator==(const Amounts&) const = default;
-  Amounts& operator+=(const Amounts& o) {
-    cpus += o.cpus;
-    gpus += o.gpus;
+  Amounts& operator+=(const Amounts& other) {
+    cpus += other.cpus;
+    gpus += other.gpus;
     return *this;
   }
-  Amounts& operator-=(const Amounts& o) {
-    cpus -= o.cpus;
-    gpus -= o.gpus;
+  Amounts& operator-=(const Amounts& other) {
+    cpus -= other.cpus;
+    gpus -= other.gpus;
     return *this;
   }
   friend Amounts operator+(Amounts a, const Amounts& b) { return a += b; }
   friend Amounts operator-(Amounts a, const Amounts& b) { return a -= b; }
-  /// What is not negative of it, by dimension.
+  /// With 0 in place of what is negative, in each dimension.
   [[nodiscard]] Amounts positive() const {
     return {std::max<std::int64_t>(0, cpus), std::max<std::int64_t>(0, gpus)};
   }
-  [[nodiscard]] Amounts at_most(const Amounts& o) const {
-    return {std::min(cpus, o.cpus), std::min(gpus, o.gpus)};
+  [[nodiscard]] Amounts at_most(const Amounts& other) const {
+    return {std::min(cpus, other.cpus), std::min(gpus, other.gpus)};
   }
-  [[nodiscard]] Amounts at_least(const Amounts& o) const {
-    return {std::max(cpus, o.cpus), std::max(gpus, o.gpus)};
+  [[nodiscard]] Amounts at_least(const Amounts& other) const {
+    return {std::max(cpus, other.cpus), std::max(gpus, other.gpus)};
   }
   [[nodiscard]] Amounts times(double ratio) const {
     return {static_cast<std::int64_t>(static_cast<double>(cpus) * ratio),
             static_cast<std::int64_t>(static_cast<double>(gpus) * ratio)};
   }
   [[nodiscard]] bool none() const { return cpus <= 0 && gpus <= 0; }
-  [[nodiscard]] bool fits_in(const Amounts& o) const { return cpus <= o.cpus && gpus <= o.gpus; }
+  [[nodiscard]] bool fits_in(const Amounts& other) const {
+    return cpus <= other.cpus && gpus <= other.gpus;
+  }
 };
 
 struct TeamAmounts {
@@ -56,14 +58,14 @@
   bool operator==(const TeamAmounts&) const = default;
 };
 
-/// Share of teams' limits that the sender has given up, and the receiver may add to its own. The
-/// number rises by one with each transfer between the two; one that was credited is never again.
+/// Quota shares that the sender has given up and the receiver may add to its own. The number rises
+/// by one with each transfer from one region to another, so that none is credited twice.
 struct ShareTransfer {
   std::uint64_t number = 0;
   std::vector<TeamAmounts> amounts;
 };
 
-/// The transfer with that number is written down as credited.
+/// The receiver has committed the credit of the transfer with that number.
 struct TransferAcknowledgement {
   std::uint64_t number = 0;
 };
@@ -71,25 +73,24 @@
 struct DemandEntry {
   std::string team;
   Amounts wanted;
-  /// The part of it that urgent work waits for: for this, reserves are given and less important
-  /// work of the same team is stopped.
+  /// The part of it that urgent work waits for: for this, reserves are given, and work of the same
+  /// team with a lower priority is preempted.
   Amounts urgent;
 };
-/// What the sender's waiting work lacks. It stands until the next one; the part asked for is of
-/// this receiver alone.
+/// What the sender asks this receiver for. Replaces the receiver's earlier demand.
 struct ShareDemand {
-  /// Of the receiver's transfers, the last that the sender has credited: a demand that crosses a
-  /// transfer is not served again.
+  /// The last of the receiver's transfers that the sender has credited: tells a demand that crossed
+  /// a transfer, and may be satisfied by it, from a later one.
   std::uint64_t credited = 0;
   std::vector<DemandEntry> entries;
 };
 
 struct SurplusEntry {
   std::string team;
-  /// What is neither used nor waited for, and what less important running work uses.
+  /// What is neither used nor waited for, and what running work of lower priority uses.
   Amounts unused, stoppable;
 };
-/// What the sender could give, as far as it has changed.
+/// What the sender could give; teams whose amounts have not changed may be left out.
 struct ShareSurplus {
   std::vector<SurplusEntry> entries;
 };
@@ -98,8 +99,8 @@
   enum class Kind : std::uint8_t { Transfer = 1, Acknowledgement = 2, Demand = 3, Surplus = 4 };
   Kind kind = Kind::Transfer;
   std::string from;  // region
-  /// Rises with each message of a leader and with each leader of the region; older demands and
-  /// surpluses are ignored.
+  /// Of the sending leader, and of its messages: demands and surpluses that are older than the last
+  /// one received are ignored.
   std::uint64_t epoch = 0, sequence = 0;
   ShareTransfer transfer;
   TransferAcknowledgement acknowledgement;
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -13,67 +13,71 @@
   throw SettingsError("settings: " + field + ": " + what);
 }
 
-const json::Value& object(const json::Value& v, const char* name, const std::string& path) {
-  const json::Value* m = json::member(v, name);
-  if (m == nullptr || !m->IsObject()) fail(path, "missing or not an object");
-  return *m;
+const json::Value& object(const json::Value& parent, const char* name, const std::string& path) {
+  const json::Value* member = json::member(parent, name);
+  if (member == nullptr || !member->IsObject()) fail(path, "missing or not an object");
+  return *member;
 }
 
-const json::Value* list(const json::Value& v, const char* name, const std::string& path) {
-  const json::Value* m = json::member(v, name);
-  if (m != nullptr && !m->IsArray()) fail(path, "not a list");
-  return m;
+const json::Value* list(const json::Value& parent, const char* name, const std::string& path) {
+  const json::Value* member = json::member(parent, name);
+  if (member != nullptr && !member->IsArray()) fail(path, "not a list");
+  return member;
 }
 
-std::string text(const json::Value& v, const char* name, const std::string& path) {
-  std::string s;
-  if (!v.IsObject() || !json::get(v, name, s) || s.empty())
+std::string text(const json::Value& parent, const char* name, const std::string& path) {
+  std::string value;
+  if (!parent.IsObject() || !json::get(parent, name, value) || value.empty())
     fail(path, "missing or not a non-empty string");
-  return s;
+  return value;
 }
 
-double number(const json::Value& v, const char* name, const std::string& path, bool positive) {
-  double d = 0;
-  if (!v.IsObject() || !json::get(v, name, d)) fail(path, "missing or not a non-negative number");
-  if (positive && d <= 0) fail(path, "must be above 0");
-  return d;
+double number(const json::Value& parent, const char* name, const std::string& path, bool positive) {
+  double value = 0;
+  if (!parent.IsObject() || !json::get(parent, name, value))
+    fail(path, "missing or not a non-negative number");
+  if (positive && value <= 0) fail(path, "must be above 0");
+  return value;
 }
 
-std::string endpoint(const json::Value& v, const char* name, const std::string& path) {
-  std::string s = text(v, name, path);
-  if (!parse_endpoint(s)) fail(path, "not an address of the form 10.0.0.1:8080");
-  return s;
+std::string endpoint(const json::Value& parent, const char* name, const std::string& path) {
+  std::string value = text(parent, name, path);
+  if (!parse_endpoint(value)) fail(path, "not an address of the form 10.0.0.1:8080");
+  return value;
 }
 
-std::string at(const char* base, std::size_t i, const char* field) {
-  return std::string(base) + "[" + std::to_string(i) + "]." + field;
+/// The path of a field of a list's item, as errors name it.
+std::string at(const char* list, std::size_t index, const char* field) {
+  return std::string(list) + "[" + std::to_string(index) + "]." + field;
 }
 
 }  // namespace
 
 std::optional<Endpoint> parse_endpoint(std::string_view text) {
+  constexpr int kMaxPort = 65535;
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos || colon == 0) return {};
-  Endpoint e;
-  e.host.assign(text.substr(0, colon));
-  if (e.host.find_first_not_of("0123456789.") != std::string::npos) return {};
+  Endpoint endpoint;
+  endpoint.host.assign(text.substr(0, colon));
+  if (endpoint.host.find_first_not_of("0123456789.") != std::string::npos) return {};
   const auto digits = text.substr(colon + 1);
   const auto* end = digits.data() + digits.size();
-  const auto [p, ec] = std::from_chars(digits.data(), end, e.port);
-  if (ec != std::errc() || p != end || e.port < 1 || e.port > 65535) return {};
-  return e;
+  const auto [parsed_to, error] = std::from_chars(digits.data(), end, endpoint.port);
+  if (error != std::errc() || parsed_to != end) return {};
+  if (endpoint.port < 1 || endpoint.port > kMaxPort) return {};
+  return endpoint;
 }
 
 namespace {
 
-/// The least that a checkpoint can be kept in: a head and one shard a round, with a few records.
+/// The least that checkpoints work with: a commit writes the manifest and a shard of a few records.
 constexpr double kLeastNextValueKb = 1;
 constexpr std::uint64_t kLeastNextOperations = 3;
-/// Without the fields that time gangs, these shares of the workers' lease stand for them.
+/// Ratios to the workers' lease that replace the gang scheduling times where these are not set.
 constexpr double kDefaultGangWaitLeases = 2;
 constexpr double kDefaultGangPeerLeases = 0.25;
 
-// Lowers the limits to those that the state service will have later, as far as they are given.
+// Lowers the limits to those that the key-value store will have later, as far as these are given.
 void lower_to_next_limits(const json::Value& state, Settings& settings) {
   const json::Value* next = json::member(state, "next");
   if (next == nullptr) return;
@@ -94,108 +98,150 @@
   settings.store.txn_ops = std::min(settings.store.txn_ops, operations);
 }
 
-double optional_span(const json::Value& v, const char* name, const std::string& path,
-                     double fallback) {
-  return json::member(v, name) == nullptr ? fallback : number(v, name, path, true);
+double optional_duration(const json::Value& parent, const char* name, const std::string& path,
+                         double fallback) {
+  return json::member(parent, name) == nullptr ? fallback : number(parent, name, path, true);
 }
 
-}  // namespace
+std::vector<PeerSettings> parse_peers(const json::Value& file, const std::string& own_name) {
+  std::vector<PeerSettings> peers;
+  const json::Value* items = list(file, "siblings", "siblings");
+  if (items == nullptr) return peers;
+  std::set<std::string> names{own_name};
+  for (rapidjson::SizeType i = 0; i < items->Size(); ++i) {
+    const json::Value& item = (*items)[i];
+    PeerSettings peer{text(item, "label", at("siblings", i, "label")),
+                      text(item, "area", at("siblings", i, "area")),
+                      endpoint(item, "endpoint", at("siblings", i, "endpoint"))};
+    if (!names.insert(peer.name).second) fail(at("siblings", i, "label"), "used twice");
+    peers.push_back(std::move(peer));
+  }
+  return peers;
+}
 
-Settings parse_settings(std::string_view input) {
-  json::Document doc;
-  if (!json::parse_object(input, doc)) fail("(file)", "not a JSON object");
-  Settings s;
-  s.name = text(doc, "label", "label");
-  s.zone = text(doc, "area", "area");
-  s.listen = endpoint(doc, "listen", "listen");
-  s.peer_listen = endpoint(doc, "peer_listen", "peer_listen");
-  if (s.listen == s.peer_listen) fail("peer_listen", "same address as listen");
-  std::set<std::string> names{s.name};
-  if (const json::Value* l = list(doc, "siblings", "siblings"))
-    for (rapidjson::SizeType i = 0; i < l->Size(); ++i) {
-      const auto& v = (*l)[i];
-      PeerSettings p{text(v, "label", at("siblings", i, "label")),
-                     text(v, "area", at("siblings", i, "area")),
-                     endpoint(v, "endpoint", at("siblings", i, "endpoint"))};
-      if (!names.insert(p.name).second) fail(at("siblings", i, "label"), "used twice");
-      s.peers.push_back(std::move(p));
-    }
-  const auto& external = object(doc, "external", "external");
-  s.cloud = endpoint(external, "cloud", "external.cloud");
-  s.state = endpoint(external, "state", "external.state");
-
-  const auto& p = object(doc, "settings", "settings");
-  if (const json::Value* l = list(p, "zones", "settings.zones"))
-    for (const auto& z : l->GetArray()) {
-      if (!z.IsString()) fail("settings.zones", "not a list of strings");
-      s.zones.emplace_back(z.GetString(), z.GetStringLength());
+std::vector<std::string> parse_zones(const json::Value& settings) {
+  std::vector<std::string> zones;
+  if (const json::Value* items = list(settings, "zones", "settings.zones"))
+    for (const auto& zone : items->GetArray()) {
+      if (!zone.IsString()) fail("settings.zones", "not a list of strings");
+      zones.emplace_back(zone.GetString(), zone.GetStringLength());
     }
-  if (s.zones.empty()) fail("settings.zones", "missing or empty");
-  if (const json::Value* l = list(p, "teams", "settings.teams")) {
-    std::set<std::string> teams;
-    for (rapidjson::SizeType i = 0; i < l->Size(); ++i) {
-      const auto& v = (*l)[i];
-      const auto num = [&](const char* f) {
-        return number(v, f, at("settings.teams", i, f), false);
+  if (zones.empty()) fail("settings.zones", "missing or empty");
+  return zones;
+}
+
+std::vector<Team> parse_teams(const json::Value& settings) {
+  std::vector<Team> teams;
+  if (const json::Value* items = list(settings, "teams", "settings.teams")) {
+    std::set<std::string> names;
+    for (rapidjson::SizeType i = 0; i < items->Size(); ++i) {
+      const json::Value& item = (*items)[i];
+      const auto amount = [&](const char* field) {
+        return number(item, field, at("settings.teams", i, field), false);
       };
-      Team t{text(v, "name", at("settings.teams", i, "name")), num("cpus"), num("cpus_max"),
-             num("gpus"), num("gpus_max")};
-      if (!teams.insert(t.name).second) fail(at("settings.teams", i, "name"), "used twice");
-      s.teams.push_back(std::move(t));
+      Team team{text(item, "name", at("settings.teams", i, "name")), amount("cpus"),
+                amount("cpus_max"), amount("gpus"), amount("gpus_max")};
+      if (!names.insert(team.name).second) fail(at("settings.teams", i, "name"), "used twice");
+      teams.push_back(std::move(team));
     }
   }
-  if (s.teams.empty()) fail("settings.teams", "missing or empty");
-  if (const json::Value* l = list(p, "objectives", "settings.objectives"))
-    for (rapidjson::SizeType i = 0; i < l->Size(); ++i) {
-      const auto& v = (*l)[i];
-      ServiceLevelObjective o;
-      o.kind = text(v, "kind", at("settings.objectives", i, "kind"));
-      json::get(v, "class", o.job_class);
-      json::get(v, "within_s", o.within_s);
-      json::get(v, "share", o.share);
-      s.objectives.push_back(std::move(o));
-    }
-  const auto& w = object(p, "workers", "settings.workers");
-  s.workers.heartbeat_interval_s = number(w, "report_s", "settings.workers.report_s", true);
-  s.workers.lease_s = number(w, "lease_s", "settings.workers.lease_s", true);
-  s.workers.cancel_s = number(w, "cancel_s", "settings.workers.cancel_s", true);
-  if (s.workers.cancel_s <= s.workers.lease_s)
+  if (teams.empty()) fail("settings.teams", "missing or empty");
+  return teams;
+}
+
+std::vector<ServiceLevelObjective> parse_objectives(const json::Value& settings) {
+  std::vector<ServiceLevelObjective> objectives;
+  const json::Value* items = list(settings, "objectives", "settings.objectives");
+  if (items == nullptr) return objectives;
+  for (rapidjson::SizeType i = 0; i < items->Size(); ++i) {
+    const json::Value& item = (*items)[i];
+    ServiceLevelObjective objective;
+    objective.kind = text(item, "kind", at("settings.objectives", i, "kind"));
+    json::get(item, "class", objective.job_class);
+    json::get(item, "within_s", objective.within_s);
+    json::get(item, "share", objective.share);
+    objectives.push_back(std::move(objective));
+  }
+  return objectives;
+}
+
+void parse_worker_times(const json::Value& settings, Settings& out) {
+  const auto& workers = object(settings, "workers", "settings.workers");
+  auto& times = out.workers;
+  times.heartbeat_interval_s = number(workers, "report_s", "settings.workers.report_s", true);
+  times.lease_s = number(workers, "lease_s", "settings.workers.lease_s", true);
+  times.cancel_s = number(workers, "cancel_s", "settings.workers.cancel_s", true);
+  if (times.cancel_s <= times.lease_s)
     fail("settings.workers.cancel_s", "must be above settings.workers.lease_s");
-  s.workers.gang_wait_s = optional_span(w, "gang_wait_s", "settings.workers.gang_wait_s",
-                                        kDefaultGangWaitLeases * s.workers.lease_s);
-  s.workers.gang_peer_s = optional_span(w, "gang_peer_s", "settings.workers.gang_peer_s",
-                                        kDefaultGangPeerLeases * s.workers.lease_s);
-  const auto& st = object(p, "state", "settings.state");
-  s.store.rps = number(st, "rps", "settings.state.rps", true);
-  s.store.write_rps = number(st, "write_rps", "settings.state.write_rps", true);
-  s.store.value_kb = number(st, "value_kb", "settings.state.value_kb", true);
-  if (s.store.value_kb < 4) fail("settings.state.value_kb", "must be at least 4");
-  if (!json::get(st, "txn_ops", s.store.txn_ops) || s.store.txn_ops < 4)
+  times.gang_wait_s = optional_duration(workers, "gang_wait_s", "settings.workers.gang_wait_s",
+                                        kDefaultGangWaitLeases * times.lease_s);
+  times.gang_peer_s = optional_duration(workers, "gang_peer_s", "settings.workers.gang_peer_s",
+                                        kDefaultGangPeerLeases * times.lease_s);
+}
+
+void parse_store_limits(const json::Value& settings, Settings& out) {
+  constexpr double kLeastValueKb = 4;
+  constexpr std::uint64_t kLeastOperations = 4;
+  const auto& state = object(settings, "state", "settings.state");
+  out.store.rps = number(state, "rps", "settings.state.rps", true);
+  out.store.write_rps = number(state, "write_rps", "settings.state.write_rps", true);
+  out.store.value_kb = number(state, "value_kb", "settings.state.value_kb", true);
+  if (out.store.value_kb < kLeastValueKb) fail("settings.state.value_kb", "must be at least 4");
+  if (!json::get(state, "txn_ops", out.store.txn_ops) || out.store.txn_ops < kLeastOperations)
     fail("settings.state.txn_ops", "missing or not a whole number of at least 4");
-  lower_to_next_limits(st, s);
-  const auto& c = object(p, "cloud", "settings.cloud");
-  s.cloud_limits.rps = number(c, "rps", "settings.cloud.rps", true);
-  s.cloud_limits.list_lag_s = number(c, "list_lag_s", "settings.cloud.list_lag_s", false);
-  const auto& r = object(p, "resources", "settings.resources");
-  s.limits.cpu = number(r, "cpu", "settings.resources.cpu", true);
-  s.limits.memory_mb = number(r, "memory_mb", "settings.resources.memory_mb", true);
-  if (!json::get(r, "fd_limit", s.limits.sockets) || s.limits.sockets < 32)
+  lower_to_next_limits(state, out);
+}
+
+void parse_own_limits(const json::Value& settings, Settings& out) {
+  constexpr std::uint64_t kLeastSockets = 32;
+  const auto& resources = object(settings, "resources", "settings.resources");
+  out.limits.cpu = number(resources, "cpu", "settings.resources.cpu", true);
+  out.limits.memory_mb = number(resources, "memory_mb", "settings.resources.memory_mb", true);
+  if (!json::get(resources, "fd_limit", out.limits.sockets) || out.limits.sockets < kLeastSockets)
     fail("settings.resources.fd_limit", "missing or not a whole number of at least 32");
-  return s;
 }
 
-void check_options(const Options& o) {
-  const auto range = [](double v, double low, double high, const char* name) {
-    if (!(v >= low && v <= high))
+}  // namespace
+
+Settings parse_settings(std::string_view input) {
+  json::Document file;
+  if (!json::parse_object(input, file)) fail("(file)", "not a JSON object");
+  Settings out;
+  out.name = text(file, "label", "label");
+  out.zone = text(file, "area", "area");
+  out.listen = endpoint(file, "listen", "listen");
+  out.peer_listen = endpoint(file, "peer_listen", "peer_listen");
+  if (out.listen == out.peer_listen) fail("peer_listen", "same address as listen");
+  out.peers = parse_peers(file, out.name);
+  const auto& external = object(file, "external", "external");
+  out.cloud = endpoint(external, "cloud", "external.cloud");
+  out.state = endpoint(external, "state", "external.state");
+
+  const auto& settings = object(file, "settings", "settings");
+  out.zones = parse_zones(settings);
+  out.teams = parse_teams(settings);
+  out.objectives = parse_objectives(settings);
+  parse_worker_times(settings, out);
+  parse_store_limits(settings, out);
+  const auto& cloud = object(settings, "cloud", "settings.cloud");
+  out.cloud_limits.rps = number(cloud, "rps", "settings.cloud.rps", true);
+  out.cloud_limits.list_lag_s = number(cloud, "list_lag_s", "settings.cloud.list_lag_s", false);
+  parse_own_limits(settings, out);
+  return out;
+}
+
+void check_options(const Options& options) {
+  const auto range = [](double value, double low, double high, const char* name) {
+    if (!(value >= low && value <= high))
       throw SettingsError(std::string("options: ") + name + ": must lie between " +
                           std::to_string(low) + " and " + std::to_string(high));
   };
-  range(o.leader_lease_ratio, 0.05, 1.0, "leader_lease_ratio");
-  range(o.headroom_ratio, 0.0, 1.0, "headroom_ratio");
-  range(o.idle_ratio, 0.0, 100.0, "idle_ratio");
-  range(o.state_share, 0.1, 1.0, "state_share");
-  range(o.write_share, 0.1, 1.0, "write_share");
-  range(o.federation.reserve_ratio, 0.0, 1.0, "federation.reserve_ratio");
+  range(options.leader_lease_ratio, 0.05, 1.0, "leader_lease_ratio");
+  range(options.headroom_ratio, 0.0, 1.0, "headroom_ratio");
+  range(options.idle_ratio, 0.0, 100.0, "idle_ratio");
+  range(options.state_share, 0.1, 1.0, "state_share");
+  range(options.write_share, 0.1, 1.0, "write_share");
+  range(options.federation.reserve_ratio, 0.0, 1.0, "federation.reserve_ratio");
 }
 
 std::vector<std::string> other_regions(const FederationOptions& options) {
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -21,7 +21,7 @@
   double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;
 };
 
-/// An aim on starting or finishing, as the settings state it.
+/// A service-level objective on starting or finishing jobs, as the settings state it.
 struct ServiceLevelObjective {
   std::string kind, job_class;
   double within_s = 0, share = 0;
@@ -36,12 +36,13 @@
   std::vector<ServiceLevelObjective> objectives;
   struct {
     double heartbeat_interval_s = 0, lease_s = 0, cancel_s = 0;
-    /// How long a task of a gang waits for the others, and within what time the tasks of a running
-    /// gang notice that one is gone.
+    /// How long a task waits for the other tasks of its gang to start, and how soon the tasks of a
+    /// running gang notice that one has exited.
     double gang_wait_s = 0, gang_peer_s = 0;
   } workers;
-  /// What the state service takes: the smaller of its present limits and of those announced for
-  /// later (`state.next`), which come without notice.
+  /// Limits of the key-value store: the smaller of the present ones and of those announced for
+  /// later
+  /// (`state.next`), which may apply at any time.
   struct {
     double rps = 0, write_rps = 0, value_kb = 0;
     std::uint64_t txn_ops = 0;
@@ -55,54 +56,55 @@
   } limits;
 };
 
-/// A region whose leaders share the limits of teams with the others.
+/// A region that has a share of the teams' quota limits.
 struct FederatedRegion {
   std::string name;
-  /// Where its controllers take the other controllers' messages.
+  /// Where its controllers listen for other controllers.
   std::vector<std::string> addresses;
 };
 
-/// What a region begins with of a team's limit, or adopts of a region that is lost for good.
+/// The share of a team's quota limit that a region starts with, or takes over from a region that is
+/// lost for good.
 struct ShareOption {
   std::string team, region;
   double cpus = 0, gpus = 0;
 };
 
-/// Limits of teams that span regions. Without regions, each region has the whole limit for itself.
+/// Quota limits that span regions. Without regions, each region has the whole limit for itself.
 struct FederationOptions {
   std::string region;  // this one
-  /// In the same order everywhere: the first is in charge of limits.
+  /// In the same order everywhere: the first one administers the limits.
   std::vector<FederatedRegion> regions;
-  /// What the regions but the first begin with; the rest is the first one's.
+  /// What all regions but the first start with; the first one gets the rest.
   std::vector<ShareOption> shares;
   std::vector<ShareOption> adopted;
-  /// Share kept for the work that follows, as a part of what is used; urgent work gets it too.
+  /// Reserve for work to come, as a ratio to what is used; urgent work of other regions gets it.
   double reserve_ratio = 0.05;
 
   [[nodiscard]] bool enabled() const { return !regions.empty(); }
 };
-/// The regions but this one, in their order.
+/// All regions but this one, in the same order.
 std::vector<std::string> other_regions(const FederationOptions& options);
 
-/// An attempt's number has the epoch above so many bits.
+/// The number of a task attempt has the leader's epoch above this many bits.
 inline constexpr unsigned kAttemptBits = 28;
-/// More than one pass of placement takes before its leader looks at what is left.
+/// More attempts than one pass of placement starts before the leader checks how many are left.
 inline constexpr std::uint64_t kSpareAttempts = std::uint64_t{1} << 24;
 
-/// What operators may set beside the platform's file. Each is a ratio to a figure of that file.
+/// Settings of the operators, beside the platform's file. Each is a ratio to a value of that file.
 struct Options {
-  /// Length of the leader's lease, as a share of the workers' lease.
+  /// Duration of the leader's lease, as a share of that of the workers' lease.
   double leader_lease_ratio = 0.1;
-  /// Ordinary room kept free for work to come, as a share of the room in use.
+  /// On-demand capacity kept free for work to come, as a share of what services use and wait for.
   double headroom_ratio = 0.20;
-  /// How long a machine stays without work before it is returned, as a share of its boot time.
+  /// Idle time before a machine is terminated, as a share of its boot time.
   double idle_ratio = 1.5;
-  /// Share of the state service's requests that a controller uses.
+  /// Share of the key-value store's request rate that a controller uses.
   double state_share = 0.7;
-  /// Share of its writes that a leader uses. The others write only when they claim the lease.
+  /// Share of its write rate that a leader uses. The other nodes write only in elections.
   double write_share = 0.9;
-  /// Starts under one epoch, after which the leader makes room for the next. Not in the operators'
-  /// file: attempt numbers hold no more than the default.
+  /// Task attempts in one epoch, after which the leader resigns and a new epoch begins. Not in the
+  /// operators' file: attempt numbers have no room for more than the default.
   std::uint64_t attempts_per_epoch = (std::uint64_t{1} << kAttemptBits) - kSpareAttempts;
   FederationOptions federation;
 };
--- a/src/storage/compare_and_swap_builder.hpp
+++ b/src/storage/compare_and_swap_builder.hpp
@@ -1,24 +1,30 @@
-// A checkpoint transaction while it is put together, within the limits of the state service.
+// Builds the compare-and-swap of a checkpoint commit within the limits of the key-value store.
 #pragma once
 
+#include <cstddef>
 #include <string>
 #include <utility>
+#include <vector>
 
 #include "protocol/messages.hpp"
 
 namespace sailreel {
 
-/// Collects the writes of a transaction. What doesn't fit is left to a later one. One operation and
-/// `reserved_bytes` are set aside from the beginning, for the head and the conditions.
+/// Collects writes for as long as they fit; what doesn't is left to a later commit. Owns the keys
+/// and values that it was given.
 class CompareAndSwapBuilder {
  public:
+  /// One operation and `reserved_bytes` are set aside for the manifest and the conditions, which
+  /// are known last.
   CompareAndSwapBuilder(std::size_t max_operations, std::size_t reserved_bytes)
       : max_operations_(max_operations), bytes_(reserved_bytes) {}
 
+  /// Replaces the limit; operations that were taken before stay.
   void limit_operations(std::size_t most) { max_operations_ = most; }
+  /// Including the one that is set aside.
   [[nodiscard]] std::size_t operations() const { return operations_; }
 
-  /// False if there is no room for it.
+  /// False, with nothing changed, if the write doesn't fit.
   bool put(std::string key, std::string value) {
     if (!has_room(value.size())) return false;
     ++operations_;
@@ -27,6 +33,7 @@
     return true;
   }
 
+  /// The same for a deletion.
   bool erase(std::string key) {
     if (!has_room(0)) return false;
     ++operations_;
@@ -35,13 +42,13 @@
     return true;
   }
 
-  /// The transaction, with the head as its first write.
+  /// The request, with the manifest as its first write. The builder is used up.
   KvRequest finish(std::vector<KvRequest::Condition> conditions, KvRequest::Put manifest) && {
     puts_.insert(puts_.begin(), std::move(manifest));
     return std::move(*this).finish(std::move(conditions));
   }
 
-  /// The transaction without a head.
+  /// The request without a manifest. The builder is used up.
   KvRequest finish(std::vector<KvRequest::Condition> conditions) && {
     KvRequest call;
     call.kind = KvRequest::Kind::Txn;
@@ -52,8 +59,9 @@
   }
 
  private:
+  /// Of a request's body.
   static constexpr std::size_t kMaxBytes = std::size_t{64} * 1024;
-  /// What a key and its punctuation take, at most.
+  /// What the key of an operation and its JSON punctuation take, at most.
   static constexpr std::size_t kBytesPerOperation = 64;
   static constexpr std::size_t kSpareBytes = 256;
 
--- a/src/storage/incarnation_fence.hpp
+++ b/src/storage/incarnation_fence.hpp
@@ -1,4 +1,4 @@
-// Which of a worker's sessions are proved to be over.
+// Which of a worker's incarnations are known to have ended.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,13 @@
 
 namespace sailreel {
 
-/// Keeps reports of a session that is over from being taken for present. A session is over once its
-/// lease has surely expired; the network may deliver what the worker reported in it minutes later.
-/// What shows a session to be alive is a later number, or an answer to a command that was sent
-/// after the proof.
+/// Keeps delayed heartbeats of an incarnation that has ended from being taken for the present
+/// state. An incarnation has ended once its lease has certainly expired, but the network may
+/// deliver its heartbeats minutes later. A worker is admitted again by a higher incarnation number,
+/// or by its response to a request that was sent after the incarnation was closed.
 class IncarnationFence {
  public:
-  /// All sessions up to this one are over.
+  /// Incarnations up to this one have ended, as is known since `now`.
   void close(std::uint64_t incarnation, Time now) {
     if (!unknown_ && incarnation <= last_closed_) return;
     last_closed_ = incarnation;
@@ -21,22 +21,23 @@
     closed_at_ = now;
   }
 
-  /// The session that the worker was in is over, and wasn't heard of: the first that a report shows
-  /// from now on is taken for it.
+  /// The worker's incarnation has ended, but no heartbeat has told its number: the first number
+  /// seen from now on is taken to be that incarnation's.
   void close_unheard(Time now) {
     if (closed_at_ != 0) return;
     unknown_ = true;
     closed_at_ = now;
   }
 
-  /// Whether a report of that session may tell of the present.
+  /// Whether heartbeats of that incarnation may be believed.
   bool admits(std::uint64_t incarnation) {
     if (unknown_) last_closed_ = incarnation;
     unknown_ = false;
     return incarnation > last_closed_;
   }
 
-  /// The worker answered in that session a command that left at `asked`.
+  /// The worker responded, in that incarnation, to a request that was sent at `asked`: only a
+  /// response to a request that is later than the close proves the incarnation alive.
   void answered(std::uint64_t incarnation, Time asked) {
     if (closed_at_ == 0 || asked < closed_at_) return;
     if (!unknown_ && incarnation > last_closed_) return;
@@ -44,13 +45,13 @@
     unknown_ = false;
   }
 
-  /// Sessions up to this one are over; 0: none is known to be.
-  [[nodiscard]] std::uint64_t last_closed() const { return last_closed_; }
-  /// When that was last proved; 0: never.
+  /// When an incarnation was last closed; 0: never.
   [[nodiscard]] Time closed_at() const { return closed_at_; }
 
  private:
+  /// Incarnations up to this one have ended; 0: none.
   std::uint64_t last_closed_ = 0;
+  /// An incarnation has ended whose number is not known yet.
   bool unknown_ = false;
   Time closed_at_ = 0;
 };
--- a/src/storage/job_shards.hpp
+++ b/src/storage/job_shards.hpp
@@ -1,4 +1,4 @@
-// Which shard of the checkpoint each job lies in, and how full the shards are.
+// Which shard of the checkpoint each job is stored in, and how full the shards are.
 #pragma once
 
 #include <cstddef>
@@ -9,24 +9,28 @@
 
 namespace sailreel {
 
-/// Jobs are not moved from one open shard to another; a job of a closed shard goes to a new one
-/// when it changes, and its later record counts. The new one's number is always above that of every
-/// closed shard: a reader that goes by the order of keys, as versions before gangs do, then takes
-/// the latest record's shard for the job's.
+/// A job stays in its shard while that is open. A job of a closed shard gets another one when it
+/// changes, and the later of its two records counts. The new shard's number is above that of every
+/// closed shard: a reader that goes by the order of keys, as versions from before gang scheduling
+/// do, then takes the shard of the later record for the job's.
+///
+/// Sizes are in bytes of the stored value.
 class JobShards {
  public:
-  /// A shard is filled up to `limit_bytes` of what its jobs reserve.
+  /// A shard takes jobs for as long as their reserves stay within `limit_bytes`.
   explicit JobShards(std::size_t limit_bytes) : limit_bytes_(limit_bytes) {}
 
   void clear();
-  /// Takes no job and isn't written any more: its value could not be read, or is larger than may be
-  /// written.
+  /// The shard is neither given jobs nor written any more: its value could not be decoded, or is
+  /// larger than the store accepts. Its jobs have no shard until they are assigned one.
   void close(std::size_t shard);
-  /// A job lies there as the checkpoint has it.
+  /// The checkpoint has the job in that shard. Ignored if the shard is closed.
   void add(const std::string& id, std::size_t shard, std::size_t reserve);
-  /// The job's shard; one with room for it is chosen if it has none yet.
+  /// The job's shard; one with room for it is assigned if it has none yet.
   std::size_t place(const std::string& id, std::size_t reserve);
+  /// The job must have a shard.
   void set_reserve(const std::string& id, std::size_t reserve);
+  /// The shard must have been named by one of the other functions. Valid until the next change.
   [[nodiscard]] const std::set<std::string>& jobs_in(std::size_t shard) const {
     return shards_[shard].jobs;
   }
--- a/tests/fake_server_codec_test.cpp
+++ b/tests/fake_server_codec_test.cpp
@@ -1,4 +1,4 @@
-// What stand-ins write is read by the daemon's own codecs as it was meant, and the other way round.
+// The fakes' codecs and the daemon's decode what the other encodes.
 #include "protocol/fake_server_codec.hpp"
 
 #include <gtest/gtest.h>
@@ -106,13 +106,13 @@
   EXPECT_EQ(read->save_s, 1);
 }
 
-// The request as the daemon's codec writes it, as the stand-in reads it.
+// A request, encoded by the daemon's codec and decoded by the fake's.
 std::optional<KvRequest> through_the_wire(const KvRequest& call) {
   const HttpRequest request = encode_kv_request(call);
   return decode_state_call(request.method, request.path, request.body);
 }
 
-TEST(FakeServerCodec, EachKindOfStateCallIsReadAsItWasWritten) {
+TEST(FakeServerCodec, EachKindOfKvRequestIsReadAsItWasWritten) {
   using Kind = KvRequest::Kind;
   for (const Kind kind :
        {Kind::Get, Kind::List, Kind::Txn, Kind::Grant, Kind::Renew, Kind::Revoke, Kind::Watch}) {
@@ -158,7 +158,7 @@
   }
 }
 
-TEST(FakeServerCodec, StateRepliesAreReadAsTheyWereWritten) {
+TEST(FakeServerCodec, KvResponsesAreReadAsTheyWereWritten) {
   KvRequest list;
   list.kind = KvRequest::Kind::List;
   KvResponse reply;
@@ -188,7 +188,7 @@
   EXPECT_EQ(decode_kv_response(transaction, response.status, response.body)->status, 409);
 }
 
-TEST(FakeServerCodec, CloudCallsAndRepliesAreReadAsTheyWereWritten) {
+TEST(FakeServerCodec, CloudRequestsAndResponsesAreReadAsTheyWereWritten) {
   CloudRequest scale_out;
   scale_out.kind = CloudRequest::Kind::ScaleOut;
   scale_out.scale_out = {"r-17", "g8", "a", true, 12};
@@ -222,7 +222,7 @@
   EXPECT_EQ(listed.machines[0].age_s, 61.5);
 }
 
-TEST(FakeServerCodec, MalformedRequestsAreRefused) {
+TEST(FakeServerCodec, MalformedRequestsAreRejected) {
   EXPECT_FALSE(decode_state_call("POST", "/multi", "[]"));
   EXPECT_FALSE(decode_state_call("POST", "/multi", R"({"then":[{"put":"a"}]})"));
   EXPECT_FALSE(decode_state_call("POST", "/leases", "{}"));
--- a/tests/fixtures_test.cpp
+++ b/tests/fixtures_test.cpp
@@ -44,7 +44,7 @@
   EXPECT_EQ(read(fixture("answer.bin")).response.valid_ms, 2'500U);
 }
 
-// What is new in a heartbeat lies in one bit that the version in production doesn't look at.
+// What is new in a heartbeat is one bit that the version in production ignores.
 TEST(ProductionFrames, DifferFromThePresentOnesByOneIgnoredBit) {
   const std::string before = fixture("heartbeat.bin");
   PeerMessage message = read(before);
--- a/tests/incarnation_fence_test.cpp
+++ b/tests/incarnation_fence_test.cpp
@@ -1,5 +1,6 @@
-// What is over stays over: a session whose lease has expired by the leader's reckoning, a machine
-// that was returned, and places that what is known by now forbids.
+// What has ended stays ended, whatever late heartbeats say: an incarnation whose lease has expired
+// by the leader's clock, a machine that was terminated, and attempts that placement no longer
+// allows.
 #include <gtest/gtest.h>
 
 #include "support/controller_driver.hpp"
@@ -57,8 +58,8 @@
   return heartbeat;
 }
 
-/// A leader that has taken over four machines, m-1 to m-4. Too many fall silent at once to be
-/// returned: only m-4 goes on to report, and answers no inquiry.
+/// A leader after a failover, with four machines, m-1 to m-4. Too many fall silent at once for them
+/// to be terminated: only m-4 keeps sending heartbeats, and it responds to no inquiry.
 class IncarnationsExpired : public ::testing::Test {
  protected:
   IncarnationsExpired() : driver_(settings_without_peers()) { driver_.set_types({sample_type()}); }
@@ -82,7 +83,7 @@
     driver_.run_for(2'000);
     ASSERT_TRUE(driver_.controller().leading());
   }
-  /// The last machine reports every second.
+  /// The last machine sends a heartbeat every second.
   void run_with_heartbeats_of_the_last(Time span, const std::vector<TaskStatus>& tasks = {}) {
     for (Time passed = 0; passed < span; passed += 1'000) {
       last_commands_ += driver_.heartbeat(incarnation_heartbeat("m-4", 1, ++last_seq_, tasks));
@@ -104,7 +105,8 @@
 
 constexpr Time kBeyondLease = 13'000;
 
-// m-1 has a task that is placed anew while it is silent, and one that nobody else has room for.
+// m-1 has a task that is started elsewhere while it is silent, and one that fits on no other
+// machine.
 class SilentBeyondItsLease : public IncarnationsExpired {
  protected:
   SilentBeyondItsLease() {
@@ -132,7 +134,7 @@
   EXPECT_EQ(m.last_heartbeat, heard);
   EXPECT_EQ(m.answered, answered);
   EXPECT_EQ(job("job-2").tasks[0].state, TaskState::Queued);
-  // Nor does it while the leader's own lease may have lapsed.
+  // Nor does it while the leader's own lease may have expired.
   driver_.state().outage = true;
   driver_.run_for(3'000);
   ASSERT_TRUE(driver_.controller().leading());
@@ -151,8 +153,9 @@
       << "it gets work";
 }
 
-// If the proof was wrong, the worker says so itself when it is asked: it comes back within one
-// question, keeps the task that nobody else has, and is told to end the one that has a new place.
+// If the incarnation has not ended after all, the worker's response to an inquiry says so: it is
+// admitted after one inquiry, keeps the task that was not started elsewhere, and is told to stop
+// the other.
 TEST_F(SilentBeyondItsLease, AHealthyIncarnationComesBackByItself) {
   driver_.on_direct = [](const std::string& address) -> std::optional<Heartbeat> {
     if (address != "10.1.0.1:1") return {};
@@ -169,7 +172,7 @@
   EXPECT_EQ(response.body.find("job-2/0"), std::string::npos);
 }
 
-// A machine that was never heard by this leader: nobody knows which of its sessions was over.
+// A machine that this leader never heard: the number of the incarnation that has ended is unknown.
 TEST_F(IncarnationsExpired, AlsoOfAMachineThatTheLeaderNeverHeard) {
   add_job("job-1", 1, {});
   failover();
@@ -183,7 +186,7 @@
   EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-1", 6, 10, {})).status, 200);
 }
 
-// Returned machines are remembered for a while, and forgotten in the end.
+// Terminated machines are remembered for a limited time.
 TEST_F(IncarnationsExpired, TasksOfAMachineThatNobodyKnowsAreNotTaken) {
   add_job("job-1", 2, {});
   failover();
@@ -197,8 +200,8 @@
   EXPECT_EQ(driver_.answer_to(incarnation_heartbeat("m-9", 1, 10, {})).status, 200) << "a new one";
 }
 
-// The second line of defence: a job that is bound to one zone and known in two gets no further
-// place until one is left, and what was placed there before doesn't start.
+// A second safeguard: a job that is bound to one zone and found in two gets no further attempt
+// until it is in one only, and attempts placed there before are not started.
 TEST_F(IncarnationsExpired, AJobKnownInTwoZonesGetsNoPlaceUntilOneIsLeft) {
   add_job("job-1", 3, [](JobSpec& s) { s.one_zone = true; });
   failover();
@@ -230,8 +233,7 @@
   EXPECT_NE((commands + last_commands_).find("job-1/2"), std::string::npos);
 }
 
-// An attempt that is on a machine beside its task's place counts until it is gone: the task isn't
-// started again before.
+// An orphaned attempt counts until it is gone: its task isn't started again before.
 TEST_F(IncarnationsExpired, ATaskIsNotStartedWhileAnotherAttemptOfItMayRun) {
   add_job("job-1", 1, {});
   failover();
@@ -251,7 +253,7 @@
   run_with_heartbeats_of_the_last(1'000);
   ASSERT_FALSE(driver_.controller().reconciling());
   EXPECT_EQ(job("job-1").orphans.size(), 1U);
-  driver_.heartbeat(incarnation_heartbeat("m-1", 2, 2, {}));  // and loses its own place
+  driver_.heartbeat(incarnation_heartbeat("m-1", 2, 2, {}));  // and loses its own attempt
   EXPECT_EQ(job("job-1").tasks[0].state, TaskState::Queued);
   for (std::uint64_t seq = 2; seq < 5; ++seq) {
     orphan(seq, RunState::Running);
--- a/tests/json_test.cpp
+++ b/tests/json_test.cpp
@@ -1,5 +1,5 @@
-// Texts are read in place: what is accepted, and what is read of it, is what the library's plain
-// parser says of them.
+// Texts are parsed in place: which texts are accepted, and their values, must agree with the
+// library's ordinary parser.
 #include "protocol/json.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 namespace sailreel {
 namespace {
 
-/// The text as the plain parser reads it and the writer writes it; empty if it isn't an object.
+/// The text as the ordinary parser reads it and the writer writes it; empty if it isn't an object.
 std::optional<std::string> read_plainly(const std::string& text) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseFullPrecisionFlag |
@@ -29,7 +29,7 @@
   return json::text(document);
 }
 
-TEST(Json, WhatMayNotBeReadIsRefused) {
+TEST(Json, InvalidTextsAreRejected) {
   using namespace std::string_literals;
   for (const std::string& text :
        {""s, "{"s, "[]"s, "{} {}"s, "{\"a\":\"b\0\"}"s, "{\"a\":\"\xff\"}"s, "{\"a\":\"\xc3\"}"s,
@@ -39,8 +39,8 @@
   }
 }
 
-// The plain parser takes a zero byte for the end of the text, whatever follows it.
-TEST(Json, ATextWithAZeroByteIsRefused) {
+// The ordinary parser takes a zero byte for the end of the text, whatever follows it.
+TEST(Json, ATextWithAZeroByteIsRejected) {
   using namespace std::string_literals;
   EXPECT_EQ(read_in_place("{}"s), "{}");
   EXPECT_EQ(read_in_place("{}\0"s), std::nullopt);
@@ -52,7 +52,7 @@
   EXPECT_EQ(read_in_place(open), std::nullopt);
 }
 
-/// Words of plain and other characters, some of which need an escape.
+/// Words of ASCII and other characters, some of which need an escape.
 rc::Gen<std::string> any_word() {
   return rc::gen::map(rc::gen::container<std::vector<std::string>>(rc::gen::element<std::string>(
                           "a", "z", "0", " ", "\"", "\\", "/", "\n", "\x7f", "ä", "€")),
@@ -63,7 +63,7 @@
                       });
 }
 
-/// Texts that are objects or nearly so, with whatever strings and numbers.
+/// Texts that are objects or nearly so, with random strings and numbers.
 rc::Gen<std::string> any_text() {
   return rc::gen::exec([] {
     json::Value object(rapidjson::kObjectType);
@@ -83,7 +83,7 @@
       object.AddMember(name, value, memory);
     }
     std::string text = json::text(object);
-    // A byte that isn't what it was, or an end that is missing. No zero byte: see above.
+    // A changed byte, or a truncated end. No zero byte: see above.
     if (*rc::gen::inRange(0, 3) == 0)
       text[*rc::gen::inRange<std::size_t>(0, text.size())] = *rc::gen::nonZero<char>();
     if (*rc::gen::inRange(0, 6) == 0) text.resize(*rc::gen::inRange<std::size_t>(0, text.size()));
@@ -91,7 +91,7 @@
   });
 }
 
-TEST(Json, ReadsWhatThePlainParserReads) {
+TEST(Json, AgreesWithTheOrdinaryParser) {
   fix_cases(2'000);
   int objects = 0;
   const bool held = rc::check([&] {
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -90,7 +90,7 @@
   EXPECT_TRUE(decode_submission(job("hands", "100000")));
 }
 
-TEST(Submission, ARepeatIsKnownByItsIdAlone) {
+TEST(Submission, IsIdempotentByItsIdAlone) {
   EXPECT_EQ(submission_id(job("crew", "7")), "job-000412");
   EXPECT_FALSE(submission_id("[\"id\"]"));
   EXPECT_FALSE(submission_id("{\"id\":\"job-1\""));
@@ -98,7 +98,7 @@
   EXPECT_FALSE(submission_id(std::string(60'000, '[')));
 }
 
-TEST(Reports, AreReadAndTruncatedOnesRefused) {
+TEST(Heartbeats, AreDecodedAndTruncatedOnesRejected) {
   const std::string text =
       R"({"vessel":"m-000231","endpoint":"10.1.0.232:9000","hull":"g8","harbor":"a","driftwood":true,)"
       R"("watch":1,"bell":88,"helm":41,"recall_s":null,"hands":[)"
@@ -132,7 +132,7 @@
   EXPECT_EQ(error_with("\"launch\":2", "\"launch\":\"2\""), invalid("launch"));
 }
 
-TEST(Reports, CommandsHaveTheWiresForm) {
+TEST(Heartbeats, CommandsHaveTheWiresForm) {
   EXPECT_EQ(encode_heartbeat_response(41, {{Command::Op::Start, {"job-1", 4}, 2, 0},
                                            {Command::Op::Stop, {"job-2", 1}, 1, 10},
                                            {Command::Op::Forget, {"job-3", 0}, 1, 0}}),
@@ -142,7 +142,7 @@
   EXPECT_EQ(encode_redirect("deckhand-2"), R"({"harbormaster":"deckhand-2"})");
 }
 
-TEST(State, TransactionsAndAnswersHaveTheWiresForm) {
+TEST(KvCodec, RequestsAndResponsesHaveTheWiresForm) {
   KvRequest txn;
   txn.kind = KvRequest::Kind::Txn;
   txn.conditions = {{"a/b", 0}};
@@ -153,7 +153,7 @@
             R"({"drop":"c/d"}]})");
   EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":432})")->revision, 432U);
   EXPECT_EQ(decode_kv_response(txn, 409, R"({"failed":["a/b"],"tide":431})")->status, 409);
-  // What can't be read tells nothing of what was done.
+  // An unreadable response doesn't tell whether the compare-and-swap was carried out.
   EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":)").value_or({}).status, 0);
   EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":)").error(),
             (DecodeError{DecodeErrorKind::NotAnObject, ""}));
@@ -180,7 +180,7 @@
   EXPECT_TRUE(w->items[1].deleted);
 }
 
-TEST(FakeCloud, ARefusalForWantOfMachinesDiffersFromAFault) {
+TEST(CloudCodec, ARejectionForLackOfCapacityDiffersFromAnError) {
   CloudRequest scale_out;
   scale_out.kind = CloudRequest::Kind::ScaleOut;
   scale_out.scale_out = {"r-1-1", "g8", "a", true, 12};
@@ -239,7 +239,7 @@
   EXPECT_EQ(b.acknowledged_incarnation, 8U);
   EXPECT_EQ(b.acknowledged_clock, 900);
   EXPECT_EQ(b.keep_ms, 35'000U);
-  EXPECT_EQ(b.kept_alive_ms, 0U);  // just now, which isn't never
+  EXPECT_EQ(b.kept_alive_ms, 0U);  // just now is not the same as never
 }
 
 TEST(PeerFrames, DamagedStreamsAreClosedNotRead) {
@@ -256,7 +256,7 @@
     EXPECT_FALSE(truncated.next());
     EXPECT_FALSE(truncated.broken());
   }
-  // Wrong magic, version, kind, and lengths that don't agree.
+  // Wrong magic, version, kind, and lengths that contradict each other.
   for (const std::size_t byte : {0U, 4U, 5U, 8U, 11U, 62U}) {
     std::string bad = good;
     bad[byte] = static_cast<char>(bad[byte] ^ 0x41);
--- a/tests/share_codec_test.cpp
+++ b/tests/share_codec_test.cpp
@@ -1,4 +1,4 @@
-// Forms of shares: messages between regions, values of the checkpoint, and changes of a limit.
+// Quota shares: messages between regions, values of the checkpoint, and changes of the ledger.
 #include <gtest/gtest.h>
 
 #include "federation/ledger.hpp"
@@ -81,7 +81,7 @@
             (DecodeError{DecodeErrorKind::InvalidField, "entries"}));
 }
 
-// A message of a later version is passed over, and the link serves on.
+// A message of a later version is ignored, and the link stays open.
 TEST(RegionFrames, ALinkOutlivesAMessageThatItDoesNotKnow) {
   PeerMessage message;
   message.kind = PeerMessage::Kind::Region;
@@ -143,7 +143,7 @@
   EXPECT_EQ(error_of("sr/other", "{}"), (DecodeError{DecodeErrorKind::Unsupported, "key"}));
 }
 
-// With names as long as they come, the largest values stay far below 2 KiB.
+// With the longest names, the largest values stay far below 2 KiB.
 TEST(ShareRecords, ValuesAreSmall) {
   const std::string name(60, 'x');
   const Amounts large{1'000'000'000, 1'000'000'000};
@@ -153,7 +153,7 @@
   EXPECT_LT(encode_transfers(name, transfers).size(), 2048U);
 }
 
-// A damaged value must reach whoever decides what it means.
+// A damaged value must reach the code that decides what it means.
 TEST(ShareRecords, ASnapshotKeepsValuesThatCannotBeRead) {
   Snapshot snapshot;
   snapshot.apply({"sr/q/red", "gibberish", 4, false});
--- a/tests/share_protocol_test.cpp
+++ b/tests/share_protocol_test.cpp
@@ -31,14 +31,14 @@
 };
 
 struct Region {
-  ShareLedger ledger;  // as the state service has it
-  /// A write under way. It may be carried out at any moment until another leader's epoch stands.
+  ShareLedger ledger;  // as the key-value store has it
+  /// A write in flight. It may be carried out at any moment until another leader's epoch fences it.
   bool writing = false, in_doubt = false;
   ShareLedger written;
   Sent after_write;
   /// What the leader has promised to give, and whether each other region has acknowledged.
   std::int64_t promised = 0;
-  /// The share as its leader knows it: a write that is in doubt isn't in it.
+  /// The share as its leader knows it: without a write whose outcome is unknown.
   std::int64_t known = 0;
   std::array<bool, kRegions> acknowledged{};
   std::int64_t used = 0;
@@ -191,7 +191,7 @@
     }
   }
 
-  // The write is carried out and answered; or carried out with no answer, and in doubt.
+  // The write is carried out, and the response arrives, or is lost and the outcome unknown.
   void finish_write(int n) {
     if (!now(n).writing) return;
     if (!now(n).in_doubt) {
@@ -217,8 +217,8 @@
     region.known = region.share();
   }
 
-  // Another leader reads the ledger; a write that wasn't carried out is refused from then on. Tasks
-  // run on.
+  // Failover: another leader reads the ledger; a write that wasn't carried out is rejected from
+  // then on. Tasks keep running.
   void crash(int n) {
     Region& region = next(n);
     settle(region);
@@ -263,7 +263,7 @@
   const Size& size_;
 };
 
-// From any state, once messages get through and nothing crashes, nothing stays in transit.
+// Liveness: from any state, once messages arrive and nothing crashes, nothing stays in transit.
 bool settles(State state) {
   for (int turn = 0; turn < 6; ++turn) {
     for (int n = 0; n < kRegions; ++n) {
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,4 +1,4 @@
-// The checkpoint's layout.
+// The checkpoint's stored form, its shards, and the compare-and-swap that writes it.
 #include <gtest/gtest.h>
 
 #include <pcg_random.hpp>
@@ -73,7 +73,7 @@
   }
 }
 
-TEST(Checkpoint, HeadCarriesRentalsAndEpoch) {
+TEST(Checkpoint, ManifestCarriesScaleOutRequestsAndEpoch) {
   Snapshot image;
   image.apply(item(kManifestKey, encode_manifest({9, 4, {{"r-4-1", "box", "za", true, 3}}}, {})));
   EXPECT_EQ(image.manifest.seq, 9U);
@@ -183,7 +183,7 @@
   EXPECT_EQ(shards.place("job-2", 60), 1U);
   EXPECT_EQ(shards.place("job-3", 40), 0U);
   EXPECT_EQ(shards.place("job-1", 500), 0U) << "its place doesn't depend on its size";
-  // A finished job shrinks, and leaves room to others.
+  // A finished job's record is smaller, which leaves room for others.
   shards.set_reserve("job-1", 10);
   EXPECT_EQ(shards.place("job-4", 50), 0U);
   EXPECT_EQ(shards.place("job-5", 1), 1U);
