--- a/src/controller/actions.hpp
+++ b/src/controller/actions.hpp
@@ -1,4 +1,4 @@
-// What the core takes in and what it asks for: the inputs of a step and the actions it returns.
+// Inputs of a controller's step and the actions that it returns.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace sailreel {
 
-/// Where a request came from, and so where its answer goes.
+/// Where a request came from, and so where its response goes.
 struct RequestSource {
   enum class Kind : std::uint8_t { None, Local, Peer } kind = Kind::None;
   std::uint64_t link = 0;  // connection, or peer link
@@ -23,13 +23,13 @@
   RequestSource source;
   UserOp op = UserOp::Query;
   std::string id;      // empty for a submission
-  std::string body;    // a submission's
-  bool relay = false;  // of a sibling that has no way to the leader
+  std::string body;    // of a submission
+  bool relay = false;  // from a peer that has no path to the leader
 };
 struct HeartbeatReceived {
   RequestSource source;
   Heartbeat heartbeat;
-  std::string raw;  // as received, to be handed on
+  std::string raw;  // as received, to be forwarded
 };
 struct KvResponseReceived {
   std::uint64_t call = 0;
@@ -39,7 +39,7 @@
   std::uint64_t call = 0;
   CloudResponse reply;
 };
-/// What a direct command or inquiry brought.
+/// The response to a direct command or inquiry.
 struct WorkerResponseReceived {
   std::uint64_t call = 0;
   int status = 0;
@@ -48,7 +48,7 @@
 struct PeerMessageReceived {
   std::size_t peer = 0;
   PeerMessage
-      message;  // a heartbeat or an answer; requests come as UserRequest or HeartbeatReceived
+      message;  // a heartbeat or a response; requests come as UserRequest or HeartbeatReceived
 };
 /// A message of another region's leader, or of a former one.
 struct RegionMessageReceived {
@@ -68,7 +68,7 @@
   int status = 0;
   std::string body;
   int retry_after_s = 0;
-  /// Not to be sent at or after this moment: the right to say it may be over by then.
+  /// Not to be sent at or after this time (ms): the lease that backs it may have expired by then.
   Time valid_until = kNever;
 };
 struct CallKvStore {
@@ -91,7 +91,7 @@
   std::size_t peer = 0;
   PeerMessage message;
 };
-/// To whoever leads the region; only a leader there looks at it.
+/// Sent to the region's leader; other controllers there ignore it.
 struct SendRegion {
   std::size_t region = 0;  // among the other regions, in the order of the options
   RegionMessage message;
--- a/src/controller/capacity_check.cpp
+++ b/src/controller/capacity_check.cpp
@@ -12,17 +12,17 @@
 constexpr std::size_t kServicesPart = 4;
 constexpr std::size_t kWorkerCallsPart = 4;
 constexpr std::size_t kServerPart = 2;
-/// One link each way for each sibling, and as many again that a cut has left half open. A few more
-/// than that cost nothing.
+/// One link each way for each peer, and as many again that a partition has left half open. A few
+/// more than that cost nothing.
 constexpr std::size_t kLinksPerPeer = 8;
 constexpr std::size_t kLeastLinks = 32;
-/// Workers get this share of what users and workers have; users' connections are short.
+/// Workers' share of the sockets for users and workers; users' connections are short.
 constexpr double kWorkersShare = 0.9;
-/// Measured with 3.5 tasks a machine (docs/CAPACITY.md).
+/// In MB. Measured with 3.5 tasks a machine (docs/CAPACITY.md).
 constexpr double kLeaderMb = 8.1;
 constexpr double kMachineMb = 0.0022;
 
-/// Whether any number of machines of that size holds so much.
+/// True if any number of machines of that size can hold so much.
 bool can_hold(const Resources& total, const Resources& size) {
   return (total.gpus <= 0 || size.gpus > 0) && (total.cpus <= 0 || size.cpus > 0);
 }
@@ -36,7 +36,7 @@
   shares.worker_calls = sockets / kWorkerCallsPart;
   const std::size_t peer_links = std::max(kLeastLinks, kLinksPerPeer * settings.peers.size());
   shares.links = peer_links + region_links;
-  // The links have half of their sockets from the server's part, the rest from what the others
+  // The links get half of their sockets from the server's part, the rest from what the others
   // leave; where there are few sockets, the server keeps half of its part.
   const std::size_t part = sockets / kServerPart;
   shares.server = part - std::min(part / 2, peer_links / 2);
--- a/src/controller/capacity_check.hpp
+++ b/src/controller/capacity_check.hpp
@@ -1,4 +1,4 @@
-// How many machines the settings' limits carry, and how a controller's sockets are shared out.
+// How many machines the settings' limits carry, and how a controller's sockets are distributed.
 #pragma once
 
 #include <cstddef>
@@ -9,23 +9,24 @@
 
 namespace sailreel {
 
-/// A controller's sockets, by use.
+/// A controller's sockets by use; counts of sockets.
 struct SocketShares {
-  std::size_t services = 0;      // to the state service and the cloud
+  std::size_t services = 0;      // to the key-value store and the cloud
   std::size_t worker_calls = 0;  // to workers, for direct commands and inquiries
   std::size_t links = 0;         // with other controllers, in both directions
   std::size_t server = 0;        // from users and workers
 };
-/// `region_links`: links with controllers of other regions.
+/// Distributes the sockets that the settings allow. `region_links`: links with controllers of other
+/// regions.
 SocketShares share_sockets(const Settings& settings, std::size_t region_links);
 
-/// A limit of the settings, and from about how many machines it binds.
+/// A limit of the settings, and the approximate number of machines at which it binds.
 struct CapacityLimit {
   const char* name = "";
   double machines = 0;
 };
-/// The limit that binds first: sockets for the workers' reports with one controller down, a
-/// leader's memory, or the writes that record a whole fleet within a boot time.
+/// The limit that binds first: sockets for workers' heartbeats with one controller down, a leader's
+/// memory, or the writes that record a whole fleet within a boot time (`boot_s`, seconds).
 CapacityLimit tightest_limit(const Settings& settings, const Options& options, double boot_s);
 
 /// The least number of machines that holds what the settings guarantee to teams.
--- a/src/controller/election_history.hpp
+++ b/src/controller/election_history.hpp
@@ -1,4 +1,4 @@
-// How often the leader has changed lately, and how long a leader's lease should be by that.
+// Counts recent leader changes and derives the length of the leader's lease from them.
 #pragma once
 
 #include <algorithm>
@@ -9,28 +9,28 @@
 
 namespace sailreel {
 
-/// Where processors can't keep up, leases run out before they are renewed, and each change of the
-/// leader costs more of the processor time that is missing: once, elections went on for as long as
-/// the day. So leases double with each change too many within a span, up to a bound, and are short
-/// again once it has been quiet.
+/// Where processors can't keep up, leases expire before they are renewed, and each leader change
+/// costs more of the missing processor time: once, elections went on for as long as the day
+/// (incident election-storm). So leases double with each change above the usual number within a
+/// span, up to a bound, and are short again after a quiet span. Times in ms.
 class ElectionHistory {
  public:
   explicit ElectionHistory(Time span) : span_(span) {}
 
-  /// That epoch has been heard of. What was before the first one is unknown, and doesn't count.
+  /// An epoch was observed. What was before the first one is unknown, and doesn't count.
   void note(std::uint64_t epoch, Time now) {
     if (!changes_.empty() && epoch <= changes_.back().epoch) return;
     changes_.push_back({epoch, now});
     forget(now);
   }
 
-  /// How many epochs have begun within the last span.
+  /// The number of epochs that have begun within the last span.
   std::uint64_t recent(Time now) {
     forget(now);
     return changes_.empty() ? 0 : changes_.back().epoch - changes_.front().epoch;
   }
 
-  /// The length of a lease that is asked for now, from `shortest` to `longest`.
+  /// The length of a lease that is requested now, from `shortest` to `longest`.
   Time lease_length(Time shortest, Time longest, Time now) {
     Time length = shortest;
     for (std::uint64_t change = kUsualChanges; change < recent(now) && length < longest; ++change)
@@ -47,7 +47,7 @@
     Time at = 0;
   };
 
-  /// The last change before the span is kept: what comes after it is counted from its epoch.
+  /// Keeps the last change before the span: later changes are counted from its epoch.
   void forget(Time now) {
     while (changes_.size() > 1 && changes_[1].at <= now - span_) changes_.pop_front();
   }
--- a/src/controller/event_loop_lag.hpp
+++ b/src/controller/event_loop_lag.hpp
@@ -1,4 +1,5 @@
-// Tells a process that gets too little processor time by how late its timer fires.
+// Measures event-loop lag: detects a process that gets too little processor time by how late its
+// timer fires.
 #pragma once
 
 #include <algorithm>
@@ -8,11 +9,11 @@
 
 namespace sailreel {
 
-/// Watches a timer that is armed again whenever it has fired. A process that was busy or stood
-/// still for a moment is late once; one whose processor can't keep up is late most of the time.
+/// Watches a timer that is armed again whenever it has fired. A process that was busy or paused for
+/// a moment is late once; one whose processor can't keep up is late most of the time. Times in ms.
 class EventLoopLag {
  public:
-  /// What is said of a window in which most firings were late.
+  /// Lag of the late firings in a window in which most firings were late, in ms.
   struct LagSummary {
     Time mean = 0, most = 0;
   };
@@ -22,7 +23,7 @@
 
   void armed(Time due) { due_ = due; }
 
-  /// The timer has fired. Returns a report if a window ends with this and was mostly late.
+  /// The timer has fired. Returns a summary if a window ends with this and was mostly late.
   std::optional<LagSummary> fired(Time now) {
     if (!due_) return {};
     count(std::max<Time>(0, now - *due_));
@@ -42,7 +43,7 @@
   }
 
   std::optional<LagSummary> end_window(Time now) {
-    // A single firing is one stand-still, however long it was.
+    // A single firing is one pause, however long it was.
     std::optional<LagSummary> summary;
     if (late_firings_ > 1 && late_firings_ * 2 > firings_)
       summary = LagSummary{sum_ / static_cast<Time>(late_firings_), most_};
@@ -56,7 +57,7 @@
   std::optional<Time> due_;
   Time window_end_ = 0;
   std::size_t firings_ = 0, late_firings_ = 0;
-  Time sum_ = 0, most_ = 0;  // of the late ones
+  Time sum_ = 0, most_ = 0;  // of the late firings
 };
 
 }  // namespace sailreel
--- a/src/controller/failure_detection.cpp
+++ b/src/controller/failure_detection.cpp
@@ -1,15 +1,15 @@
-// Which machines are silent or dead, and when a leader has lost its workers.
+// Detects silent and dead machines, and a leader that has lost contact with its workers.
 #include "controller/controller.hpp"
 
 namespace sailreel {
 namespace {
-/// No more than one in so many machines of a zone is taken for dead at a time.
+/// At most one in this many machines of a zone is considered dead at a time.
 constexpr std::size_t kDeadShare = 3;
 }  // namespace
 
 Time Controller::silent_after() const { return heartbeat_interval() * 5 / 2 + 500; }
 
-// Few enough for the machines to be at fault, and not the network.
+// True if so few are silent that the machines are likely to be at fault, and not the network.
 bool Controller::few_silent(std::size_t silent, std::size_t of) {
   return silent <= std::max<std::size_t>(2, of / 10) && (silent < of || of == 1);
 }
@@ -19,12 +19,12 @@
   if (workers_lost(contact)) return resign(StepDownCause::NoWorkerHeard);
   const bool few = few_silent(contact.silent, contact.up);
   for (auto& [name, m] : tables_.machines) watch_machine(*m, few);
-  // Before the silent ones are asked, as it asks one of each zone that does answer: with few
-  // sockets, those that don't left none for it.
+  // Before inquiries to the silent ones, as this sends one to a machine of each zone that does
+  // respond: with few sockets, those that don't respond left none for it.
   if (holds_valid_lease(clock_.now) && contact.silent > 0) detect_dead_machines();
 }
 
-// A worker that wasn't heard for so long would have to be heard soon for its lease to last.
+// A worker that hasn't been heard for this long (ms) has to be heard soon for its lease to last.
 Time Controller::unheard_after() const {
   return std::max(silent_after(), worker_lease() * 45 / 100);
 }
@@ -41,9 +41,10 @@
   return contact;
 }
 
-// Once, a leader that had lost all workers and siblings, but not the state service, kept its lease
-// while every task died (recorded incident on tbilisi-listings). Another may still reach them.
-// Where no sibling hears us either, a few workers that still come through change nothing of that.
+// A leader that had lost all workers and peers, but not the key-value store, once kept its lease
+// while every task died (recorded incident on tbilisi-listings). Another controller may still reach
+// them. If no peer hears this controller either, a few workers that still get through don't change
+// that.
 bool Controller::workers_lost(const FleetContact& contact) const {
   const Time now = clock_.now;
   if (!holds_valid_lease(now) || settings_.peers.empty() || contact.up <= 1 ||
@@ -55,7 +56,7 @@
   return contact.heard == 0 || (alone && contact.heard * 4 <= contact.up);
 }
 
-// Notes when a machine falls silent, and what its lease's end means for its tasks.
+// Notes when a machine becomes silent, and what its lease expiry means for its tasks.
 void Controller::watch_machine(Machine& m, bool few_are_silent) {
   const Time now = clock_.now;
   if (!m.heard_in_epoch) {
@@ -78,18 +79,20 @@
   if (!m.silent || now < expiry(m)) return;
   m.incarnation_fence.close(m.incarnation, now);
   incarnation_lost(m, IncarnationLossCause::LeaseExpired);
-  // When many are silent, the network is rather at fault: they may come back, warm, and are waited
-  // for a little.
+  // When many are silent, the network is the likelier fault: the machines may come back with their
+  // tasks and images, so they get a little more time.
   if (few_are_silent || now >= expiry(m) + 2 * worker_lease())
     terminate_instance(m, TerminationCause::LeaseExpired);
 }
 
-// A machine that answers neither way is most likely dead, if others of its zone do answer directly.
-// Returning it proves that its tasks are gone, sooner than its lease would. Where none of the zone
-// is reached, the fault is rather between us and the zone, and leases are waited for: when two
-// zones were apart, a rule by the share of silent machines alone returned healthy ones.
+// A machine that responds neither way is most likely dead, if others of its zone do respond to
+// inquiries. Terminating it proves that its tasks are gone, sooner than lease expiry would. If no
+// machine of the zone is reached, the fault is more likely the network between this controller and
+// the zone, and lease expiry is awaited: when two zones were partitioned, a rule by the share of
+// silent machines alone terminated healthy ones.
 void Controller::detect_dead_machines() {
-  // What was up when the former leader ended, and hasn't been heard for as long, is silent too.
+  // A machine that was up when the former leader ended, and hasn't been heard for that long, is
+  // silent too.
   const bool awaited = reconciling_ && clock_.now - elected_at_ > silent_after();
   const auto silent = [&](const Machine& m) {
     return m.heard_in_epoch ? m.silent : awaited && m.recorded && !m.lease_passed;
@@ -123,11 +126,12 @@
     Zone& zone = zones[m->zone];
     const Time reached = zone_reached_[m->zone];
     if (zone.witness == nullptr) {
-      // All of a zone at once is rather the zone; the only one of its zone is judged by the rest.
+      // All of a zone at once suggests a fault of the zone; the only machine of its zone is judged
+      // by the other zones.
       if (few && zone.up == 1) terminate_instance(*m, cause);
     } else if (reached > (m->heard_in_epoch ? m->silent_since : elected_at_)) {
-      // An inquiry that left before the zone was reached says nothing: it may have met the end of a
-      // cut that others were out of a moment sooner.
+      // An inquiry that was sent before the zone was reached proves nothing: it may have met the
+      // end of a partition that others had left a moment earlier.
       const bool few_of_zone = zone.silent == 1 || zone.silent * kDeadShare <= zone.up;
       if (reached <= m->probe_failed && few_of_zone) terminate_instance(*m, cause);
     } else {
@@ -136,8 +140,8 @@
   }
 }
 
-// Of the zone's machines none was heard a short while ago. What is rented there can't be reached
-// either: a cut zone, having lost its machines, once got all the new ones.
+// No machine of the zone was heard recently. New instances there can't be reached either: a
+// partitioned zone, having lost its machines, once got all the new ones.
 bool Controller::zone_unreachable(const std::string& zone) const {
   const auto it = zone_unreachable_at_.find(zone);
   return it != zone_unreachable_at_.end() && clock_.now - it->second < 2 * worker_lease();
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -1,5 +1,5 @@
-// Workers' reports as a whole: which are taken in, which are of the past, and what they say of
-// their machine.
+// Handles workers' heartbeats: which are accepted, which are rejected as outdated, and what they
+// say about their machine. Task statuses are in task_status_handler.cpp.
 #include "controller/controller.hpp"
 #include "protocol/user_codec.hpp"
 #include "protocol/worker_codec.hpp"
@@ -35,7 +35,8 @@
   outbox_.respond(in.source, 200, encode_heartbeat_response(epoch_, commands), 0, command_until());
 }
 
-// The worker's tasks live on for a bounded time while we can't tell whether we still lead.
+// The worker's tasks stay alive for a bounded time while this controller can't tell whether it
+// still leads.
 void Controller::handle_heartbeat_without_lease(const HeartbeatReceived& in) {
   const Time now = clock_.now, until = lease_expiry_ + keep_alive_span();
   if (now >= until) return outbox_.respond(in.source, 503, encode_error("lease lapsed"));
@@ -47,14 +48,16 @@
   outbox_.respond(in.source, 200, encode_heartbeat_response(epoch_, {}), 0, until);
 }
 
-// Perhaps a copy from an earlier time. It learns our token; only what it reports under that counts.
+// May be a delayed copy. The worker learns our fencing token from the response; only heartbeats
+// under that token count.
 void Controller::handle_heartbeat_with_old_fencing_token(const HeartbeatReceived& in) {
   const Time now = clock_.now;
   Machine* m = tables_.machine(in.heartbeat.machine);
   if (m != nullptr && m->recorded) {
-    // A machine that reports but never takes our token hears nothing, or the reports are copies.
-    // Its lease can't be told from answers that it may or may not get: so it gets none until the
-    // lease has surely run out. Otherwise a rebuild would wait for it as long as it reports.
+    // A machine that sends heartbeats but never adopts our fencing token either receives no
+    // responses, or the heartbeats are copies. Its lease can't be derived from responses that it
+    // may not receive, so it gets none until the lease has certainly expired. Otherwise
+    // reconciliation would wait for it as long as it sends heartbeats.
     if (m->fencing_token_refused_since == 0) m->fencing_token_refused_since = now;
     if (now >= expiry(*m)) {
       m->lease_passed = true;
@@ -67,10 +70,10 @@
   outbox_.respond(in.source, 200, encode_heartbeat_response(epoch_, {}), 0, command_until());
 }
 
-// A report of a session that is proved to be over. Held back by the network, such reports were
-// taken for present: tasks that had been placed anew came to life again in their former zone
-// (incident held-reports). If it is the proof that was wrong, the answer to an inquiry that leaves
-// now says so.
+// A heartbeat of an incarnation that is proved to have ended. When the network delayed such
+// heartbeats, they were taken for current: tasks that had been rescheduled were adopted again in
+// their former zone (incident held-reports). If the proof was wrong, the response to an inquiry
+// that is sent now shows it.
 void Controller::reject_heartbeat(const HeartbeatReceived& in, Machine& m) {
   const Heartbeat& r = in.heartbeat;
   outbox_.log(Log::Level::Info, LogEvent::HeartbeatRejected,
@@ -87,8 +90,8 @@
   inquire_if_due(m);
 }
 
-// No start leaves for a machine that isn't recorded, and what is recorded is known: once a rebuild
-// is over, a machine that isn't known has no tasks. One that reports some was returned long ago.
+// Starts are sent only to recorded machines, and reconciliation loads every record: once it is
+// over, a machine that isn't known has no tasks. One that reports some was terminated earlier.
 bool Controller::unknown_with_tasks(const Heartbeat& r) {
   return !reconciling_ && !r.tasks.empty() && tables_.machine(r.machine) == nullptr;
 }
@@ -128,7 +131,7 @@
   for (const TaskStatus& t : r.tasks) take_task(m, t, seen);
   for (std::size_t i = seen.size(); i-- > 0;)
     if (!seen[i]) handle_missing_task(m, i, r.seq, asked.has_value());
-  // Not before the report is taken in: emptying the machine moves its placements about.
+  // Only after the heartbeat is processed: quarantining the machine changes its list of attempts.
   if (!m.error_jobs.empty()) check_for_fault(m);
   if (r.notice_s && m.notice_until == 0) take_notice(m, *r.notice_s);
   if (m.empty() && m.idle_since == 0) m.idle_since = clock_.now;
@@ -152,9 +155,10 @@
   scheduling_needed_ = true;
 }
 
-// Its lease ran out. If we heard it all the time and answered, it doesn't hear us: until it has
-// proved otherwise for a while, work given to it would only wait. Reports that a cut held back and
-// let go at its end prove nothing: they once had half a fleet quarantined.
+// The machine's lease expired. If its heartbeats arrived and were answered throughout, it doesn't
+// receive our responses: until it has shown otherwise for a while, work assigned to it would only
+// wait. Heartbeats that a partition delayed and released at its end prove nothing: they once caused
+// half a fleet to be quarantined.
 void Controller::begin_incarnation(Machine& m) {
   const Time now = clock_.now;
   if (now - m.answered < worker_lease() / 2 && now - m.steady_since > worker_lease())
@@ -175,10 +179,11 @@
 void Controller::record_heartbeat(Machine& m, const Heartbeat& r) {
   const Time now = clock_.now;
   tables_.size_machine(m);
-  // An answer to an inquiry renews no lease; but of a session that we have only just met, or whose
-  // lease was over by our reckoning, we don't know how much is left. Machines that had come back
-  // were once returned at their first silence, as if their old lease still counted. Only once until
-  // it reports by itself: one that reaches no controller is to be returned in the end.
+  // A response to an inquiry renews no lease. For an incarnation that is new to us, or whose lease
+  // had expired by our calculation, the remaining time is unknown. Recovered machines were once
+  // terminated at their first silence, as if their old lease still counted. Granted only once until
+  // the machine sends a heartbeat itself: one that reaches no controller has to be terminated
+  // eventually.
   const bool lease_unknown = r.incarnation > m.incarnation || now >= expiry(m);
   if (!m.heard_in_epoch || (lease_unknown && m.last_own_heartbeat >= m.answered)) m.answered = now;
   if (!m.heard_in_epoch || now - m.last_heartbeat > silent_after()) m.steady_since = now;
@@ -188,14 +193,15 @@
   m.incarnation = m.probe_incarnation = r.incarnation;
   m.seq = r.seq;
   m.last_heartbeat = now;
-  // It takes work again. Without a pass for it, what waited did so until something else changed.
+  // The machine accepts work again. Without a scheduling pass, waiting tasks would wait until
+  // something else changed.
   if (m.silent) scheduling_needed_ = true;
   m.silent = false;
   zone_unreachable_at_.erase(m.zone);
   m.probe_failures = 0;
 }
 
-// The cloud is about to take the machine back: what can save, saves now.
+// The cloud is about to preempt the machine: tasks that can save a checkpoint do so now.
 void Controller::take_notice(Machine& m, double notice_s) {
   m.notice_until = clock_.now + ms(notice_s);
   cordon(m, CordonCause::SpotNotice);
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -1,16 +1,17 @@
-// Users' requests: the leader takes them in; the others hand them on, or read the state service.
+// Users' requests: the leader handles them; the others forward them, or read the key-value store.
 #include "controller/controller.hpp"
 #include "protocol/user_codec.hpp"
 
 namespace sailreel {
 namespace {
-/// Users wait 2 s for a poll's answer; a forwarded request must leave time for a second way.
+/// Users wait 2 s for a query's response; a forwarded request must leave time for a second path.
 constexpr Time kForwardMs = 700;
 constexpr Time kLookupMs = 1'900;
-/// A submission is given 5 s by its user, and a commit may take a retry.
+/// A submission has 5 s at its user, and its checkpoint commit may need a retry.
 constexpr Time kForwardCommitMs = 3'000;
 constexpr Time kRefreshEveryMs = 200;
-/// What the state service gives in a page of keys (protocol, "Controller nodes -> state service").
+/// What the key-value store returns in a page of keys (protocol, "Controller nodes -> state
+/// service"), in KB.
 constexpr double kPageKb = 512;
 }  // namespace
 
@@ -21,12 +22,12 @@
     if (r.op == UserOp::Cancel) return lead_cancel(r);
     return;
   }
-  // A request is handed on once, or once more where its first receiver has no way to the leader:
-  // two nodes that take each other for the leader must not play ball with it.
+  // A request is forwarded once, or once more where its first receiver has no path to the leader:
+  // two controllers that take each other for the leader must not forward it in a loop.
   const bool may_forward = (r.source.kind == RequestSource::Kind::Local || r.relay) &&
                            forwarded_.size() < most_open_requests();
   if (const auto leader = peers_.leader(clock_.now); leader && may_forward) {
-    // An older version would place a gang in its own way.
+    // An older version would schedule a gang in its own way.
     if (r.op == UserOp::Submit && !peers_[*leader].understands_gangs && is_gang_submission(r.body))
       return outbox_.reject(r.source, RejectReason::GangsNotEnabled);
     return forward(r.source, r.op, r.id, r.body, *leader);
@@ -39,8 +40,8 @@
   forward(r.source, r.op, r.id, r.body, *relay, 0, true);
 }
 
-// A sibling that can be reached, and hears the leader. When two zones were apart, users at nodes of
-// one were turned away although a third zone's nodes reached both.
+// A peer that can be reached and hears the leader. When two zones were partitioned, users at
+// controllers of one were rejected although a third zone's controllers reached both.
 std::optional<std::size_t> Controller::relaying_peer() {
   const std::vector<std::size_t> candidates = peers_.relays(clock_.now);
   if (candidates.empty()) return {};
@@ -65,7 +66,7 @@
 }
 
 void Controller::lead_submit(const UserRequest& r) {
-  // A repeat is known by its id, before anything else in it is judged.
+  // A repeated submission is recognized by its id, before anything else in it is validated.
   const auto id = submission_id(r.body);
   if (id) {
     if (const auto f = tables_.finished.find(*id); f != tables_.finished.end())
@@ -86,9 +87,9 @@
   JobRecord record;
   record.spec = std::move(*spec);
   record.submitted_wall_ms = clock_.wall_ms;
-  // One round less before its start: a gang's aim is a matter of seconds.
+  // Saves one checkpoint commit before the start: a gang's SLO is a matter of seconds.
   if (record.spec.kind == JobKind::Gang) record.started = record.spec.tasks;
-  // The head gives it to a shard at once if it is large itself.
+  // The manifest moves it to a shard at once if it is large itself.
   if (record_reserve(false, encode_record(record).size()) > value_limit(kValueFill))
     return outbox_.respond(r.source, 422, encode_error("its description is too large to be kept"));
   Job& job = tables_.add_job(std::move(record));
@@ -134,11 +135,12 @@
   cancel_waits_[r.id].push_back({r.source, clock_.now + cancel_wait()});
   finalize_if_over(*job);
   if (job->record.final) return;
-  // Where its end can't come at once, its user is told so at once.
+  // If the job can't end promptly, its user is told so at once.
   if (!stops_at_once(*job)) reject_cancel_waits(r.id);
 }
 
-// As long as a direct stop and its answer usually take; no answer is held back for longer.
+// The time (ms) that a direct stop and its response usually take; no response is held back for
+// longer.
 Time Controller::cancel_wait() const { return std::clamp<Time>(worker_lease() / 50, 100, 500); }
 
 bool Controller::stops_at_once(const Job& job) const {
@@ -155,9 +157,9 @@
     outbox_.reject(w.source, RejectReason::TasksBeingStopped);
 }
 
-// None of its tasks is on a machine any more: now it may be called cancelled. To say so sooner
-// would start the clock on machines that can't be reached: what a controller of a zone that is cut
-// off keeps alive there would outlast `cancel_s`.
+// No task of the job is on a machine any more: now it may be called cancelled. An earlier response
+// would start the clock on machines that can't be reached: what a controller of a partitioned zone
+// keeps alive there would outlast `cancel_s`.
 void Controller::cancel_over(Job& job) {
   job.record.phase = Phase::Cancelled;
   const auto waits = cancel_waits_.extract(job.spec().id);
@@ -183,8 +185,9 @@
   const auto node = forwarded_.extract(a.call);
   if (!node) return;
   const Forwarded& f = node.mapped();
-  // The leader said for how long it may be said. It did so after the request had left us, so from
-  // then on is safe, however long the answer was on its way or we stood still.
+  // The leader said for how long the response is valid. It did so after the request had left this
+  // controller, so counting from then is safe, however long the response took or this process was
+  // paused.
   const Time valid_until = a.valid_ms ? f.sent + *a.valid_ms - *a.valid_ms / 500 : kNever;
   const bool late = clock_.now >= std::min(f.until, valid_until);
   if (late || (a.status == 503 && f.op == UserOp::Query)) return time_out(f);
@@ -195,7 +198,7 @@
   if (f.op == UserOp::Query)
     look_up(f.source, f.id);
   else if (f.op == UserOp::Heartbeat)
-    // Sent elsewhere now, a worker of a zone that has just been cut off would be lost.
+    // Redirected now, a worker of a zone that has just been partitioned would be lost.
     keep_alive(f.source, f.id, f.fencing_token, false);
   else
     outbox_.reject(f.source, RejectReason::LeaderNotResponding);
@@ -229,26 +232,28 @@
   if (!refreshing_ && clock_.now >= next_refresh_) refresh();
 }
 
-// Brings the image up to the present revision, then answers whoever asked before that began.
+// Brings the snapshot up to the current revision, then responds to all requests made before that
+// began.
 void Controller::refresh() {
   if (role_ == Role::Leader || role_ == Role::Loading) {
-    // Asked while lapsed or loading: the answer comes from our own tables once we command.
+    // Requested while the lease had expired or state was loading: our own tables answer once we
+    // lead.
     if (!holds_valid_lease(clock_.now)) return;
     auto asked = std::move(lookups_);
     lookups_.clear();
     for (const Lookup& l : asked) lead_query({l.source, UserOp::Query, l.id, {}});
     return;
   }
-  // A candidate is about to know whether it leads. Its reads of the checkpoint and a look-up's must
-  // not share a picture: a look-up once found the emptied one, and told a user 404.
+  // A candidate is about to learn whether it leads. Its reads of the checkpoint and a lookup's must
+  // not share a snapshot: a lookup once found the emptied one, and told a user 404.
   if (role_ != Role::Follower) return;
   refreshing_ = true;
   lookups_served_ = std::move(lookups_);
   lookups_.clear();
   next_refresh_ = clock_.now + kRefreshEveryMs;
-  // What a watch brings has no limit of size, and most of it is the same keys over and over: after
-  // more than a page of changes at the full rate of writing, the keys are read anew. A node that
-  // had not looked for minutes once held 19 MB for it.
+  // What a watch returns has no size limit, and most of it is the same keys repeatedly: after more
+  // than a page of changes at the full write rate, the keys are read again instead. A controller
+  // that had not looked for minutes once held 19 MB for it.
   const double kb_per_s = settings_.store.write_rps * settings_.store.value_kb;
   if (static_cast<double>(clock_.now - snapshot_read_at_) / 1000.0 * kb_per_s > kPageKb)
     snapshot_loaded_ = false;
--- a/src/controller/keepalive.cpp
+++ b/src/controller/keepalive.cpp
@@ -1,37 +1,39 @@
-// What keeps workers' tasks alive while no leader can be reached, and how long a leader has to
-// reckon with that.
+// Keeps workers' tasks alive while no leader can be reached, and computes how long a leader has to
+// assume that other controllers did so.
 #include "controller/controller.hpp"
 #include "protocol/worker_codec.hpp"
 
 namespace sailreel {
 namespace {
-/// Tasks are kept alive without a leader for so many of the workers' leases. It bridges a zone's
-/// cut or an outage of less than three leases; a zone that is truly gone is replaced that much
+/// Tasks are kept alive without a leader for this many worker leases. It bridges a zone's partition
+/// or an outage of less than three leases; a zone that has truly failed is replaced that much
 /// later.
 constexpr int kKeepLeases = 2;
-/// A worker isn't sent to a nearer node again before so many leases have passed.
+/// A worker isn't redirected again before this many leases have passed.
 constexpr int kRedirectLeases = 4;
 }  // namespace
 
 Time Controller::keep_alive_span() const { return kKeepLeases * worker_lease(); }
 
-// The moment by which the tasks on a machine have surely ended, unless it is answered again. What
-// siblings say holds as of the contact span ago: a lease has to have run out by then.
+// The time by which the tasks on a machine have certainly ended, unless one of its heartbeats is
+// answered again. What peers say holds as of the contact span ago: a lease has to have expired by
+// then.
 Time Controller::expiry(const Machine& m) const {
   const Time last = std::max(m.answered, peers_.latest_answer(clock_.now));
   const Time ours = last + with_drift(worker_lease()) + peers_.contact_span();
-  // Until the worker has seen our token, a former leader's answers may still renew its lease, and
-  // so may those of the nodes that heard that leader.
+  // Until the worker has seen our fencing token, a former leader's responses may still renew its
+  // lease, and so may those of controllers that heard that leader.
   return m.heard_in_epoch ? ours : std::max(ours, fence_at_);
 }
 
-// A report to a node that doesn't lead. It is handed on, not sent away: a worker that can't reach
-// the leader itself, as when two zones are apart, lost its tasks while it was sent to and fro.
+// A heartbeat at a controller that doesn't lead. It is forwarded rather than redirected: workers
+// that couldn't reach the leader themselves, as when two zones are partitioned, lost their tasks
+// while they were redirected back and forth.
 void Controller::forward_heartbeat(const HeartbeatReceived& in) {
   if (in.source.kind == RequestSource::Kind::Peer)
     return outbox_.respond(in.source, 503, encode_error("no leader"));
   std::optional<std::size_t> peer = peers_.leader(clock_.now);
-  // A leader whose lease may have lapsed still keeps tasks alive.
+  // A leader whose lease may have expired still keeps tasks alive.
   if (!peer) peer = peers_.holding(clock_.now);
   if (!peer) return keep_alive(in.source, in.heartbeat.machine, in.heartbeat.fencing_token, true);
   if (!redirect_to_own_zone(in))
@@ -39,8 +41,9 @@
             in.heartbeat.fencing_token);
 }
 
-// Sends a worker to a node of its own zone. When a zone was cut off, workers that reported to nodes
-// outside went from one to the next of them, 5 s each, until their leases had run out.
+// Redirects a worker to a controller of its own zone. When a zone was partitioned, workers that
+// sent heartbeats to controllers outside tried one after another, 5 s each, until their leases had
+// expired.
 bool Controller::redirect_to_own_zone(const HeartbeatReceived& in) {
   const std::string& zone = in.heartbeat.zone;
   if (in.source.kind != RequestSource::Kind::Local || zone == settings_.zone) return false;
@@ -50,10 +53,10 @@
   return near.has_value();
 }
 
-// A sibling of the zone that hears the leader and workers, or else one that hears no worker, once
-// in a while: it may be cut off from them, or none may report to it yet. One machine tells which,
-// and the others follow. Without that, a node to which no worker reported by chance never got one,
-// and a cut of its zone ended all tasks there.
+// A peer of the zone that hears the leader and workers. Failing that, now and then, one that hears
+// no worker: it may be partitioned from them, or none may send heartbeats to it yet. One machine
+// shows which, and the others follow. Without that, a controller that by chance no worker used
+// never got one, and a partition of its zone ended all tasks there.
 std::optional<std::size_t> Controller::peer_in_zone(const std::string& zone) {
   std::vector<std::size_t> hearing;
   std::optional<std::size_t> untried;
@@ -78,7 +81,7 @@
 void Controller::redirect_worker(const RequestSource& source, const std::string& machine,
                                  std::size_t peer) {
   const Time span = kRedirectLeases * worker_lease();
-  // Once a span, so that each worker costs two looks at most, however many there are.
+  // Once per span, so that each worker is looked at twice at most, however many there are.
   if (clock_.now >= next_redirect_tidy_) {
     next_redirect_tidy_ = clock_.now + span;
     std::erase_if(redirected_at_, [&](const auto& s) { return clock_.now - s.second >= span; });
@@ -87,9 +90,10 @@
   outbox_.respond(source, 421, encode_redirect(settings_.peers[peer].name));
 }
 
-// No leader can be reached. If that is so for the whole zone, its workers' tasks live on only if we
-// answer; if it is so for us alone, the worker had better go elsewhere. Each is tried out once on
-// the node before us: if that can't be reached, the worker comes back to us next.
+// No leader can be reached. If that is so for the whole zone, its workers' tasks survive only if
+// this controller responds; if it is so for this controller alone, the worker had better go
+// elsewhere. Each worker is redirected once to the preceding controller: if that can't be reached,
+// the worker comes back here next.
 void Controller::keep_alive(const RequestSource& source, const std::string& machine,
                             std::uint64_t fencing_token, bool may_redirect) {
   if (!keep_alive_permit_.valid(fencing_token, clock_.now))
@@ -107,8 +111,8 @@
                   keep_alive_permit_.until());
 }
 
-// The sibling that workers try just before us: they go by the nodes' numbers, the last of which the
-// first follows.
+// The peer that workers try just before this controller: they go by the controllers' numbers, and
+// the first follows the last.
 std::size_t Controller::node_before() const {
   const auto less = [](const std::string& a, const std::string& b) {
     return a.size() != b.size() ? a.size() < b.size() : a < b;
--- a/src/controller/peer_table.cpp
+++ b/src/controller/peer_table.cpp
@@ -73,8 +73,8 @@
                      [](const PeerView& v) { return v.understands_gangs; });
 }
 
-// As far as it matters: one that had our heartbeat within the contact span said when it last did;
-// one that we have lost may go on for as long as our last answer to its heartbeats allowed.
+// As far as it matters: a peer that had our heartbeat within the contact span reported when it last
+// did; one that we have lost may go on for as long as our last response to its heartbeats allowed.
 Time PeerTable::latest_answer(Time now) const {
   Time latest = -kNever;
   for (const PeerView& v : views_) {
--- a/src/controller/rate_limiter.hpp
+++ b/src/controller/rate_limiter.hpp
@@ -1,4 +1,4 @@
-// A token bucket for the request limits of outside services.
+// A token bucket for the request limits of external services.
 #pragma once
 
 #include <algorithm>
@@ -7,14 +7,14 @@
 
 namespace sailreel {
 
-/// Allows `per_second` operations a second on average and `burst` of them at once. The bucket is
-/// full at first. Spending more than is there leaves a debt that has to be refilled.
+/// Allows `per_second` operations a second on average and a burst of `burst`. The bucket starts
+/// full. Spending more than is available leaves a debt that has to be refilled. `now` in ms.
 class RateLimiter {
  public:
   RateLimiter(double per_second, double burst)
       : per_second_(per_second), burst_(burst), tokens_(burst) {}
 
-  /// The operations that may be sent at `now`; negative while there is a debt.
+  /// The number of operations that may be sent at `now`; negative while there is a debt.
   double available(Time now) {
     const double elapsed_s = static_cast<double>(now - refilled_at_) / 1000.0;
     tokens_ = std::min(burst_, tokens_ + per_second_ * elapsed_s);
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -43,7 +43,7 @@
   terminated_.clear();
   capacity_checked_ = false;
   next_types_ = next_list_ = next_sizing_ = now;
-  // Written at once, so that the head carries the new epoch before anything depends on it.
+  // Written at once, so that the manifest carries the new epoch before anything depends on it.
   scale_outs_changed_ = true;
   outbox_.log(Log::Level::Info, LogEvent::Leading,
               {{"jobs", tables_.jobs.size()},
@@ -57,8 +57,8 @@
   inquire_tick();
 }
 
-// What an unreadable value held is unknown, and never taken for missing: jobs that may be in it get
-// 503, and it is not written over.
+// What an unreadable value held is unknown, and never considered missing: jobs that may be in it
+// get 503, and it is not overwritten.
 void Controller::note_unreadable(const Snapshot& image) {
   unknown_jobs_ = false;
   unknown_machines_ = false;
@@ -69,8 +69,8 @@
   }
 }
 
-// A shard that is larger than may be written, as one of a time with higher limits, stays as it is:
-// what is stored stays readable. Its jobs go elsewhere when they change.
+// A shard above the write limit, as one from a time with higher limits, stays as it is: what is
+// stored stays readable. Its jobs move to other shards when they change.
 void Controller::load_shards(const Snapshot& image) {
   shards_ = JobShards(value_limit(kValueFill));
   for (const std::string& key : image.unreadable)
@@ -86,8 +86,8 @@
     recent_records_[id] = encode_record(image.jobs.at(id));
 }
 
-// Rentals beyond what the head may hold, as after a time with higher limits, are left out: machines
-// of theirs are found in the cloud's list and by their reports.
+// Scale-out requests beyond what the manifest may hold, as after a time with higher limits, are
+// left out: their machines are found in the cloud's list and by their heartbeats.
 void Controller::load_scale_outs(const Snapshot& image) {
   for (const ScaleOutRequest& scale_out : image.manifest.scale_outs)
     if (scale_out_bytes() + scale_out_size(scale_out) <= value_limit(kScaleOutFill))
@@ -97,7 +97,7 @@
 void Controller::load_jobs(Snapshot& image) {
   merge_pieces(image, image.pieces, kPieceBits);
   merge_pieces(image, image.small_pieces, kSmallPieceBits);
-  // Jobs in the order in which they were submitted: that is their order in their team's queue.
+  // Sorted by submission: that is their order in their team's queue.
   std::vector<JobRecord*> records;
   for (auto& [id, record] : image.jobs) {
     if (record.final)
@@ -123,9 +123,9 @@
   job.committed = true;
   job.committed_phase = job.record.phase;
   job.started = job.record.started;
-  // Where its time since submission can be told, it is; the time of day may be off a little.
+  // The time since submission where it is known; the wall clock may be off a little.
   job.accepted = clock_.now - std::max<Time>(0, clock_.wall_ms - job.record.submitted_wall_ms);
-  // What was never started is nowhere, and needs no wait.
+  // Tasks that were never started run nowhere, and need no wait.
   for (std::uint32_t i = 0; i < std::min(job.started, job.spec().tasks); ++i) {
     Task& task = job.tasks[i];
     if (task.state != TaskState::Queued) continue;
@@ -148,9 +148,9 @@
     }
 }
 
-// The rebuild is over once every machine that may hold tasks has been heard under our token, or
-// can't hold any more. Asking them takes milliseconds; the design's wait of one round stays as the
-// bound for those that don't answer.
+// Reconciliation is over once every machine that may hold tasks has been heard under our fencing
+// token, or can't hold any more. Inquiries take milliseconds; the wait for lease expiry remains as
+// the bound for machines that don't respond.
 void Controller::reconcile() {
   if (!reconciling_ || !holds_valid_lease(clock_.now)) return;
   const Time now = clock_.now;
@@ -160,20 +160,20 @@
     recorded += m->recorded ? 1 : 0;
     if (awaits_reconciliation(*m)) missing.push_back(m.get());
   }
-  // One that died with the former leader would hold up everything for its lease and more (recorded
-  // incident: 22 s). Returning it proves it gone.
+  // A machine that died with the former leader would hold up everything for its lease and more
+  // (recorded incident: 22 s). Terminating it proves it gone.
   if (!missing.empty()) detect_dead_machines();
-  // So would one that the former leader had returned without having written so; the cloud doesn't
-  // list that, and so nothing tells its zone.
+  // So would a machine that the former leader had terminated without recording it; the cloud
+  // doesn't list it, and so its zone is unknown.
   if (now - elected_at_ > silent_after() && few_silent(missing.size(), recorded))
     for (Machine* m : missing)
       if (m->zone.empty() && m->probe_failures >= 2)
         terminate_instance(*m, TerminationCause::SilentSinceFailover);
   if (!missing.empty()) return;
-  // Machines that an unreadable value named can't be asked; but their leases run out.
+  // Machines that an unreadable value named can't be asked, but their leases expire.
   if (unknown_machines_ && now < fence_at_) return;
   reconciling_ = false;
-  // Those that weren't heard held what is placed anew from now on: their leases are over.
+  // Tasks of machines that weren't heard are rescheduled from now on: their leases have expired.
   std::size_t unheard = 0;
   for (auto& [name, m] : tables_.machines) {
     if (!m->recorded || m->heard_in_epoch) continue;
@@ -190,14 +190,14 @@
               {{"after_ms", now - elected_at_}, {"unheard", unheard}});
 }
 
-// It may hold tasks, and hasn't been heard under our token.
+// The machine may hold tasks, and hasn't been heard under our fencing token.
 bool Controller::awaits_reconciliation(const Machine& m) const {
   return m.recorded && !m.heard_in_epoch && !m.lease_passed && clock_.now < expiry(m);
 }
 
-// Asks the machines that aren't heard. Those that were never asked, or longest ago, come first:
-// there may be fewer sockets than machines that don't answer, and in the order of their names, or
-// with a rebuild's before the others, the last were never asked at all.
+// Sends inquiries to machines that aren't heard. Those that were never asked, or longest ago, come
+// first: there may be fewer sockets than machines that don't respond, and in the order of their
+// names, or with those of reconciliation before the others, the last were never asked at all.
 void Controller::inquire_tick() {
   if (!holds_valid_lease(clock_.now)) return;
   std::vector<Machine*> unheard;
@@ -216,10 +216,11 @@
   if (!m.probing && clock_.now >= m.probe_at) inquire(m);
 }
 
-// Fences a worker and brings its report. Without orders, it does no harm however late it arrives.
+// Fences a worker and fetches its status. As it carries no commands, it is harmless however late it
+// arrives.
 void Controller::inquire(Machine& m) {
   // The others wait for the next tick. With more machines than sockets, those that got none once
-  // counted as failed, and a take-over took a second longer.
+  // counted as failed, and a failover took a second longer.
   if (m.address.empty() || outbox_.worker_calls_full()) return;
   m.probing = true;
   const std::string name = m.name;
--- a/src/controller/resource_ratios.hpp
+++ b/src/controller/resource_ratios.hpp
@@ -1,4 +1,4 @@
-// How often one amount of resources goes into another.
+// How many tasks fit into a machine's room, and how many machines hold an amount of resources.
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace sailreel {
 
-/// How many tasks of that need have room; what they don't need doesn't bound it.
+/// How many tasks that need `each` have room; resources that they don't need don't bound it.
 inline double task_slots(const Resources& room, const Resources& each) {
   constexpr double kUnbounded = 1e9, kSlack = 1e-6;
   double slots = kUnbounded;
@@ -17,7 +17,7 @@
   return std::max(0.0, slots);
 }
 
-/// How many machines of that size hold so much; what they don't have doesn't count.
+/// How many machines of that size hold `total`; resources that they don't have don't count.
 inline double machines_for(const Resources& total, const Resources& size) {
   double machines = 0;
   if (size.gpus > 0) machines = std::max(machines, total.gpus / size.gpus);
--- a/src/controller/share_moves.cpp
+++ b/src/controller/share_moves.cpp
@@ -1,18 +1,18 @@
-// How the core takes part in moves of shares between regions.
+// The controller's part in moving quota shares between regions.
 #include "controller/controller.hpp"
 
 namespace sailreel {
 namespace {
-/// The share manager is told of the load so often within a report's interval.
+/// How often the share manager is told of the load within a heartbeat interval.
 constexpr Time kLooksPerHeartbeat = 10;
-/// Writes of shares in one round: with the head, that makes five operations.
+/// Share writes in one checkpoint commit: with the manifest, that makes five operations.
 constexpr std::size_t kMostShareWrites = 4;
 }  // namespace
 
 void Controller::share_tick() {
   if (!quotas_.shared() || clock_.now < next_share_look_) return;
   next_share_look_ = clock_.now + heartbeat_interval() / kLooksPerHeartbeat;
-  // While anything may run that isn't known, nothing can be given: it may count against the share.
+  // While unknown tasks may run, nothing can be given away: they may count against the share.
   const bool complete = !reconciling_ && !unknown_jobs_ && !unknown_machines_;
   perform_share_actions(quotas_.observe(clock_.now, complete, peers_.all_share_limits()));
 }
@@ -37,7 +37,7 @@
   if (quotas_.take_raised()) scheduling_needed_ = true;
 }
 
-// Adds what is to be written of the shares; all of it, or none.
+// Adds the pending writes of share records to the transaction: all of them, or none.
 void Controller::add_shares(CompareAndSwapBuilder& transaction) {
   if (!quotas_.wants_commit()) return;
   const std::size_t room = operations_limit() - transaction.operations();
@@ -47,8 +47,8 @@
   }
 }
 
-// Stops tasks of the team of lower priority than that, the least important first, until what is
-// left is within its cap.
+// Stops the team's tasks below that priority, the least important first, until the rest is within
+// its cap.
 void Controller::stop_beyond_cap(const std::string& name, Priority below) {
   TeamQuota* team = tables_.team(name);
   if (team == nullptr) return;
@@ -65,7 +65,7 @@
   std::sort(candidates.begin(), candidates.end(), preempted_before);
   for (TaskAttempt* p : candidates) {
     if (team->within_cap(left)) return;
-    if (p->stop) continue;  // with its gang
+    if (p->stop) continue;  // stopped with its gang
     outbox_.log(Log::Level::Info, LogEvent::PreemptedForQuota, {{"task", p->key}});
     left -= is_gang(*p->job) ? p->need.times(p->job->placed) : p->need;
     stop_with_gang(*p, grace_for(*p->job));
--- a/src/controller/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -1,24 +1,26 @@
-// What reports say of tasks, the commands that answer them, and when a task is surely gone.
+// Handles the task statuses in heartbeats, builds the commands that answer them, and decides when a
+// task has certainly ended.
 #include "controller/controller.hpp"
 
 namespace sailreel {
 namespace {
-/// An answer to a worker has to stay below 64 KiB.
+/// The response to a worker has to stay below 64 KiB.
 constexpr std::size_t kMaxCommands = 300;
-/// A start that the worker's next report doesn't show was dropped. After so many, something is
-/// wrong between us and that machine.
+/// A start that the worker's next heartbeat doesn't show was dropped. After this many attempts, the
+/// machine is considered faulty.
 constexpr std::uint32_t kMaxSends = 3;
 constexpr std::size_t kFaultyJobs = 2;
 }  // namespace
 
-// A report doesn't show what was placed there.
+// A heartbeat doesn't show an attempt that is bound to the machine.
 void Controller::handle_missing_task(Machine& m, std::size_t index, std::uint64_t heartbeat_seq,
                                      bool direct) {
   TaskAttempt& p = m.attempts[index];
   if (p.state == AttemptState::Reserved) return;
   if (p.state == AttemptState::Sent) {
-    // A worker has one report in flight at a time, so its next one shows that the answer to the one
-    // before was carried out or dropped. A direct answer shows nothing of the kind.
+    // A worker has one heartbeat in flight at a time, so its next one shows that the response to
+    // the previous one was carried out or dropped. The response to a direct command shows nothing
+    // of the kind.
     if (direct || heartbeat_seq <= p.sent_seq) return;
     p.state = AttemptState::Reserved;
     if (p.sends < kMaxSends) return;
@@ -33,7 +35,7 @@
   scheduling_needed_ = true;
 }
 
-// Forgets what was placed there; the job may be over with that.
+// Drops the record of an attempt; this may complete the job.
 void Controller::drop(Machine& m, std::size_t index) {
   const TaskAttempt& p = m.attempts[index];
   Job* job = p.job != nullptr ? p.job : p.orphan_of;
@@ -43,7 +45,7 @@
   finalize_if_over(*job);
 }
 
-// What hasn't been sent there yet can go elsewhere at once.
+// Attempts whose start hasn't been sent can be placed elsewhere at once.
 void Controller::drop_unsent(Machine& m) {
   for (std::size_t i = m.attempts.size(); i-- > 0;)
     if (m.attempts[i].state == AttemptState::Reserved) drop(m, i);
@@ -96,8 +98,7 @@
   }
 }
 
-// An attempt that we don't know: started by a former leader, or come back although we thought it
-// gone.
+// An unknown attempt: started by a former leader, or reported again after it was considered gone.
 TaskAttempt& Controller::adopt_attempt(Machine& m, const TaskStatus& t) {
   Job* job = tables_.job(t.key.job);
   if (job != nullptr && t.key.index >= job->tasks.size()) job = nullptr;
@@ -107,18 +108,17 @@
   TaskAttempt& p = job != nullptr && on_machine && missing
                        ? tables_.place(*job, t.key.index, m, t.attempt, clock_.now)
                        : add_orphan(m, t, job);
-  // It was there before we knew of it: that its start was carried out needs no proof.
+  // It existed before we knew of it: no proof is needed that its start was carried out.
   p.state = AttemptState::Sent;
   if (job != nullptr && on_machine && !job->active()) stop_task(p, 0);
-  // It would start, with its image, where the job's other tasks forbid it.
+  // It would start, with its image, in a zone that the job's other tasks rule out.
   if (job != nullptr && t.state == RunState::Fetching && !Tables::zone_allowed(*job, m.zone))
     stop_task(p, 0);
   if (job != nullptr) review_gang(*job);
   return p;
 }
 
-// An attempt that is not the task's present place: it counts against team and machine, and is
-// stopped.
+// An attempt other than the task's current one: it counts against team and machine, and is stopped.
 TaskAttempt& Controller::add_orphan(Machine& m, const TaskStatus& t, Job* job) {
   TaskAttempt orphan;
   orphan.key = t.key;
@@ -160,7 +160,7 @@
 
 void Controller::note_finished(Job& job, std::uint32_t index, const Machine& m) {
   tables_.mark_done(job, index);
-  // The tasks of a gang complete together: one that is done says it of all.
+  // The tasks of a gang complete together: one completed task completes all.
   for (std::uint32_t i = 0; is_gang(job) && i < job.spec().tasks; ++i) tables_.mark_done(job, i);
   if (job.active() && job.record.done.count() == job.spec().tasks) job.record.phase = Phase::Done;
   touch(job);
@@ -189,13 +189,13 @@
   }
   review_gang(*job);
   Task& task = job->tasks[p.key.index];
-  // What ended for another reason in a gang that is done is over as well.
+  // Tasks of a completed gang that ended for another reason have completed as well.
   const bool gang_done = is_gang(*job) && task.state == TaskState::Done;
   if (is_gang(*job) && was_held && p.cause != ExitCause::Done) gang_of(*job).attempt_over();
   if (p.cause == ExitCause::Done && job->spec().kind != JobKind::Service) {
     job->proven = true;
     if (task.state == TaskState::Done && (!was_held || gang_done)) {
-      // Known already: either committed, or in a round to come that settles it.
+      // Known already: either committed, or part of a pending checkpoint commit.
       p.exit_committed = job->record.done.test(p.key.index) && !job->dirty && !job->in_flight_phase;
       if (!p.exit_committed) finished_tasks_.push_back({job->spec().id, p.key.index, m.name});
     } else {
@@ -231,7 +231,7 @@
 }
 
 // A job submitted with a mistake fails everywhere; a faulty machine fails several jobs that run
-// elsewhere. Two jobs with a mistake once had every machine returned that they came to.
+// elsewhere. Two jobs with a mistake once caused every machine that they ran on to be terminated.
 void Controller::task_failed(Job& job, Machine& m) {
   ++job.errors;
   job.error_machines.insert(m.name);
@@ -240,15 +240,15 @@
   } else {
     for (const std::string& name : job.error_machines)
       if (Machine* other = tables_.machine(name)) other->error_jobs.erase(job.spec().id);
-    // One task at a time tries again, and ever more seldom: what fails at once and comes back at
-    // once takes room, images and starts from work that runs.
+    // One task at a time retries, with increasing backoff: tasks that fail and restart at once take
+    // room, image fetches and starts from work that runs.
     job.not_before =
         clock_.now + std::min<Time>(heartbeat_interval() * job.errors, 2 * worker_lease());
   }
 }
 
-// A machine is faulty when several jobs failed on it that run elsewhere. Until that is known of
-// them, it gets no work.
+// A machine is faulty when several jobs failed on it that run elsewhere. Until that is known, it
+// gets no work.
 void Controller::check_for_fault(Machine& m) {
   if (m.cordoned || m.error_jobs.size() < kFaultyJobs) return;
   const auto runs_elsewhere = [&](const std::string& id) {
@@ -273,7 +273,7 @@
 
 std::vector<Command> Controller::commands_for(Machine& m, std::uint64_t heartbeat_seq) {
   std::vector<Command> out;
-  // Stops and forgets come before starts: they make the room that the starts were promised.
+  // Stop and forget commands come before starts: they free the room that the starts need.
   for (std::size_t i = m.attempts.size(); i-- > 0;) {
     TaskAttempt& p = m.attempts[i];
     if (out.size() >= kMaxCommands) return out;
@@ -287,7 +287,7 @@
       }
     } else if (p.state == AttemptState::Reserved && p.job != nullptr &&
                !Tables::zone_allowed(*p.job, m.zone)) {
-      // Since it was placed, tasks of the job have been found elsewhere.
+      // Since this attempt was placed, tasks of the job have been found in other zones.
       drop(m, i);
       scheduling_needed_ = true;
     }
@@ -314,7 +314,7 @@
   return out;
 }
 
-// For a log line: where tasks are that have a say in where others may start.
+// For log lines: the zones of the tasks that restrict where others may start.
 std::string Controller::zones_known(const Job& job) {
   if (!job.spec().one_zone && !job.spec().spread) return "any";
   std::string zones;
