--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -1,4 +1,5 @@
-// How many machines: rented for what waits and for what may come, returned when idle.
+// Autoscaler: scales out for unmet demand and headroom, drains and terminates surplus and idle
+// machines.
 #include <cmath>
 #include <utility>
 
@@ -10,24 +11,26 @@
 namespace {
 constexpr std::uint32_t kMaxScaleOut = 50;
 constexpr std::size_t kMaxRelease = 100;
-/// A machine that takes this many times its type's boot time is given up.
+/// A machine that takes this many times its type's boot time is terminated.
 constexpr double kDeadBoot = 3;
-/// How much of the room that running arrays will have left once a machine has booted is counted on.
+/// The fraction of the room that running arrays will have freed by the time a machine has booted
+/// that is relied upon.
 constexpr double kRelief = 0.5;
-/// Beyond so many times the headroom machines are returned; between the two nothing changes.
+/// Machines are terminated above this many times the headroom; between the two nothing changes.
 constexpr double kReturnHeadroom = 1.2;
-/// One in so many machines may be on its way to be emptied.
+/// At most one in this many machines may be draining.
 constexpr std::size_t kRetiringShare = 32;
-/// No machine is emptied until nothing has waited for an ordinary one for so many workers' leases.
+/// No machine drains until nothing has waited for an on-demand one for this many worker leases.
 constexpr Time kRetireLeases = 2;
 
-/// Where there was no capacity, it is asked for again after a list's lag and this at least.
+/// In ms. Where there was no capacity, the request is repeated after a list's lag and at least
+/// this.
 constexpr Time kLeastNoCapacity = 2'000;
 constexpr Time kScaleOutRetry = 1'000;
 constexpr Time kLeastListGap = 1'000;
-/// What is logged where no type of machine holds what is guaranteed.
+/// Logged where no machine type can hold what is guaranteed.
 constexpr double kMostDescribed = 1e9;
-/// So much of a machine is not worth another one.
+/// A demand for less than this fraction of a machine doesn't justify another one.
 constexpr double kMachineSlack = 0.01;
 
 Resources scaled(const Resources& r, double share) {
@@ -66,12 +69,12 @@
             tables_.types.empty() ? CloudBudget::Full : CloudBudget::KeepReserve))
       next_types_ = now + 6 * worker_lease();
   }
-  // A list that was begun is read on.
+  // A list that was begun is continued.
   if ((now >= next_list_ || !listed_up_to_.empty()) && !listing_) ask_for_list();
 }
 
-// Asks for the list's next page; if the rate doesn't allow it now, later. A list that was begun
-// anew instead was never read to its end where its pages are more than the rate's burst.
+// Requests the list's next page; if the rate limit doesn't allow it now, later. When the list was
+// restarted instead, it was never read to its end if it had more pages than the rate's burst.
 void Controller::ask_for_list() {
   const std::uint64_t term = term_;
   CloudRequest call;
@@ -95,7 +98,7 @@
   check_capacity();
 }
 
-// Says so, once for each leader, if the settings describe more machines than their limits carry.
+// Logs, once per leader, if the settings describe more machines than their limits carry.
 void Controller::check_capacity() {
   if (std::exchange(capacity_checked_, true) || tables_.types.empty()) return;
   double boot_s = 0;
@@ -115,7 +118,7 @@
   listed_up_to_.clear();
   if (r.status != 200) return;
   for (const ListedMachine& l : r.machines) {
-    // Lists lag: what we returned is listed for a while.
+    // Lists lag: a terminated machine remains listed for a while.
     if (terminated_.contains(l.name)) continue;
     Machine* known = tables_.machine(l.name);
     if (known == nullptr && l.state == ListedMachine::State::Failed) {
@@ -135,7 +138,7 @@
     }
     if (m.address.empty() && !l.address.empty()) m.address = l.address;
     m.listed_running = l.state == ListedMachine::State::Running;
-    // A failed machine has stopped by itself; returning it takes it off the list.
+    // A failed machine has stopped by itself; terminating it removes it from the list.
     if (l.state == ListedMachine::State::Failed && !m.terminating)
       terminate_instance(m, TerminationCause::LaunchFailed);
   }
@@ -158,7 +161,7 @@
   for (const auto& [kind, total] : demand.anywhere) scale_out_missing(kind, total, supply);
 }
 
-// Machines up and still booting. Those that are late aren't counted on any more.
+// Machines that are up or still booting. Late ones aren't counted any more.
 Controller::FleetSupply Controller::count_supply() const {
   FleetSupply supply;
   for (const auto& [name, m] : tables_.machines) {
@@ -190,7 +193,7 @@
   return it == no_capacity_until_.end() || it->second <= clock_.now;
 }
 
-// The type that takes such work for the least money, among those that may be rented now.
+// The type that takes such work at the lowest price, among those that may be launched now.
 const MachineType* Controller::cheapest_type(const ResourceRequest& want, bool spot) const {
   const MachineType* best = nullptr;
   double best_price = 0;
@@ -212,8 +215,8 @@
   return best;
 }
 
-// Arrays' tasks end by themselves: by the time that a machine has booted, some of the room that
-// they take is free for those that wait.
+// Array tasks end by themselves: by the time that a machine has booted, some of their room is free
+// for waiting tasks.
 Resources Controller::room_freed_by_arrays() const {
   Resources freed;
   for (const auto& [name, m] : tables_.machines) {
@@ -228,8 +231,8 @@
   return freed;
 }
 
-// How much ordinary room may be rented for work that nobody was promised: as far as the fleet stays
-// within twice its headroom.
+// How much on-demand room may be added for work without a guaranteed quota: as far as the fleet
+// stays within twice its headroom.
 Resources Controller::on_demand_allowance(const OnDemandCapacity& on_demand,
                                           const FleetSupply& supply) const {
   const double most = 1 + 2 * options_.headroom_ratio;
@@ -272,7 +275,7 @@
   return demand;
 }
 
-// Takes what the freed room will serve off the work that waits.
+// Subtracts what the freed room will serve from the unmet demand.
 void Controller::serve_from(Resources& freed, UnmetDemand& unmet) {
   if (unmet.tasks == 0) return;
   const Resources& each = unmet.want.each;
@@ -284,9 +287,9 @@
   unmet.total -= served;
 }
 
-// Work that nobody was promised, and that may use cheap machines, waits for these. Ordinary ones
-// are rented for it within the allowance, and one beyond, so that it gets on where there are no
-// cheap ones: a guest's array once filled a zone's dear machines.
+// Work without a guaranteed quota that may use spot instances waits for these. On-demand ones are
+// added for it within the allowance, and one beyond, so that it progresses where there are no spot
+// instances: a guest's array once filled a zone's expensive machines.
 void Controller::limit_to_allowance(const MachineType& type, Resources& allowance,
                                     UnmetDemand& unmet) {
   constexpr double kSlack = 1e-6;
@@ -300,7 +303,7 @@
   allowance -= unmet.total;
 }
 
-// Headroom for services to come, as a share of what such work uses or waits for.
+// Headroom for future services, as a share of what such work uses or waits for.
 void Controller::add_headroom(const OnDemandCapacity& on_demand, Demand& demand) const {
   Resources used = on_demand.used;
   for (const UnmetDemand& unmet : unmet_demand_)
@@ -308,10 +311,10 @@
   if (used.gpus <= 0 && used.cpus <= 0) return;
   const MachineType* type = cheapest_type(ResourceRequest{}, false);
   if (type == nullptr) return;
-  // What waits has no room: beside it, all of the headroom is to be added.
+  // Waiting work has no room: the whole headroom is added on top of it.
   Resources& wanted = demand.anywhere[{type->name, false}];
   const double share = 1 + options_.headroom_ratio;
-  // Room for work that is bound to a zone is rented there.
+  // Room for work that is bound to a zone is added there.
   Resources provided = on_demand.size;
   for (const auto& [pool, total] : demand.in_zone)
     if (!pool.kind.spot) provided += total;
@@ -319,8 +322,8 @@
   wanted.cpus = std::max(wanted.cpus, used.cpus * share - provided.cpus);
 }
 
-// Rents what is missing in a zone. What comes there is for that work, and for none that could go
-// elsewhere. A job bound to one zone once had machines rented in all of them, again and again.
+// Adds what is missing in a zone. Machines there are for that work, and for none that could go
+// elsewhere. A job bound to one zone once had machines launched in all of them, again and again.
 void Controller::scale_out_in_zone(const InstancePool& pool, const Resources& total,
                                    FleetSupply& supply) {
   const MachineType* type = tables_.type(pool.kind.type);
@@ -337,8 +340,8 @@
   supply.coming[pool.kind] -= std::min(needed, coming);
 }
 
-// Rents what is missing, one by one in the zone that has the fewest, of those within reach if
-// possible.
+// Adds what is missing, one by one in the zone that has the fewest machines, of the reachable zones
+// if possible.
 void Controller::scale_out_missing(const MachineKind& kind, const Resources& total,
                                    FleetSupply& supply) {
   const MachineType* type = tables_.type(kind.type);
@@ -362,18 +365,18 @@
   for (const auto& [zone, count] : split) scale_out(kind, zone, count);
 }
 
-// Records a rental; the cloud is asked once that is committed.
+// Records a scale-out request; it is sent to the cloud once that is committed.
 void Controller::scale_out(const MachineKind& kind, const std::string& zone, std::uint32_t count) {
   while (count > 0) {
     const std::uint32_t n = std::min(count, kMaxScaleOut);
     count -= n;
     PendingScaleOut scale_out;
-    // The epoch makes the name our own; no other node ever uses it.
+    // The epoch makes the name unique to this leader; no other controller ever uses it.
     const std::string name =
         "r-" + std::to_string(epoch_) + "-" + std::to_string(next_scale_out_++);
     scale_out.request = {name, kind.type, zone, kind.spot, n};
     scale_out.since = clock_.now;
-    // The rest is asked for once these have been answered.
+    // The rest is requested once these have been answered.
     if (scale_out_bytes() + scale_out_size(scale_out.request) > value_limit(kScaleOutFill)) return;
     outbox_.log(Log::Level::Info, LogEvent::ScaleOut,
                 {{"request", name},
@@ -421,7 +424,7 @@
     scale_outs_.erase(it);
     scale_outs_changed_ = true;
   } else {
-    // No answer: the same request again, since it may have been carried out.
+    // No response: the same request again, since it may have been carried out.
     open.retry = clock_.now + kScaleOutRetry;
   }
 }
@@ -490,15 +493,15 @@
   drain_surplus(on_demand);
 }
 
-// True if without the machine more than enough is left.
+// True if more than enough remains without the machine.
 bool Controller::spare(const OnDemandCapacity& on_demand, const Machine& m) const {
   const auto& [size, used] = on_demand;
   const double keep = 1 + kReturnHeadroom * options_.headroom_ratio;
   return size.gpus - m.size.gpus >= used.gpus * keep && size.cpus - m.size.cpus >= used.cpus * keep;
 }
 
-// The size of the ordinary machines that take work, and what work that needs them uses; what may be
-// stopped counts as free.
+// The size of the on-demand machines that accept work, and what work that needs them uses; what may
+// be preempted counts as free.
 Controller::OnDemandCapacity Controller::on_demand_capacity() const {
   OnDemandCapacity room;
   for (const auto& [name, m] : tables_.machines) {
@@ -510,16 +513,17 @@
   return room;
 }
 
-// When more is up than is needed, the machines whose replicas are fewest are emptied: replicas end
-// here and there, and no machine would empty by itself. Each goes where its image lies already.
+// When more is up than is needed, the machines with the fewest replicas are drained: replicas end
+// here and there, and no machine would become empty by itself. Each replica migrates to a machine
+// that already holds its image.
 void Controller::drain_surplus(OnDemandCapacity on_demand) {
   // Demand that comes and goes within seconds once had one machine marked 17 times in a day, and
-  // its replicas moved each time.
+  // its replicas migrated each time.
   const bool wanted = on_demand_awaited_ || std::any_of(unmet_demand_.begin(), unmet_demand_.end(),
                                                         [](auto& u) { return !u.want.spot; });
   if (wanted) {
     drain_not_before_ = clock_.now + kRetireLeases * worker_lease();
-    // Emptied while such work waits for it, a machine was rented again each time.
+    // When a machine was drained while such work waited for it, another was launched each time.
     for (auto& [name, m] : tables_.machines) m->draining = m->draining && !usable(*m);
   }
   if (reconciling_ || clock_.now < drain_not_before_) return;
@@ -534,8 +538,8 @@
     if (const Machine* to = tables_.machine(move.to)) under_way[to] += move.need;
   std::vector<FailedMigration> failed_migrations;
   image_holders_.clear();
-  // As many at a time as the fleet's size allows: one for each look at the fleet was too slow for
-  // hundreds, when demand fell.
+  // As many at a time as the fleet's size allows: one per autoscaler run was too slow for hundreds,
+  // when demand fell.
   for (Machine* m : machines_to_drain()) {
     if (draining > up / kRetiringShare) break;
     if (!spare(on_demand, *m) || !drain_machine(*m, under_way, failed_migrations)) continue;
@@ -545,7 +549,7 @@
   image_holders_.clear();
 }
 
-// The machines that might be emptied, those first on which the fewest tasks have to end or go.
+// Candidates for draining, those first on which the fewest tasks have to end or migrate.
 std::vector<Machine*> Controller::machines_to_drain() const {
   struct Candidate {
     std::size_t tasks;
@@ -560,7 +564,7 @@
     for (const TaskAttempt& p : m->attempts) {
       if (!p.held) continue;
       ++tasks;
-      // A task of an array or a gang is waited for.
+      // Tasks of an array or a gang are left to end.
       if (p.job != nullptr && p.job->spec().kind != JobKind::Service) continue;
       moved += p.need;
       possible = possible && migratable(p);
@@ -576,13 +580,13 @@
   return machines;
 }
 
-// Marks a machine to be emptied if each of its replicas can move to where its image lies. What is
-// promised there meanwhile is added to `under_way`, and what finds no place is noted
-// `failed_migrations`: a look at all machines for each replica of each machine grew with the square
-// of the fleet.
+// Marks a machine as draining if each of its replicas can migrate to a machine that holds its
+// image. What is reserved there meanwhile is added to `under_way`, and what finds no place is
+// recorded in `failed_migrations`: examining all machines for each replica of each machine grew
+// with the square of the fleet.
 bool Controller::drain_machine(Machine& m, Reservations& under_way,
                                std::vector<FailedMigration>& failed_migrations) {
-  // What another machine's emptying has sent here stays.
+  // Replicas that another machine's draining has sent here stay.
   if (under_way.contains(&m)) return false;
   std::vector<PlannedMigration> plan;
   for (TaskAttempt& p : m.attempts) {
@@ -596,7 +600,8 @@
       return false;
     Machine* to = warm_room(p, m, under_way, plan);
     if (to == nullptr) {
-      // So it is for its like elsewhere, unless that could come here, or the plan is in its way.
+      // The same holds for similar replicas elsewhere, unless they could come here, or the plan
+      // itself takes the room.
       const bool room_here = spec.need.fits_in(room_beside(under_way, m));
       if (plan.empty() && !room_here && !spec.spread && !spec.one_zone)
         failed_migrations.push_back({want, spec.image});
--- a/src/controller/gang.cpp
+++ b/src/controller/gang.cpp
@@ -7,7 +7,8 @@
 namespace sailreel {
 namespace {
 
-/// A replacement joins a gang that gathers only in this part of the time that its tasks wait.
+/// A replacement joins a gathering gang only in the first 1/kReplacementShare of the time that its
+/// tasks wait.
 constexpr Time kReplacementShare = 2;
 
 std::uint32_t zone_room(const GangZones& zones, const std::string& zone, std::uint32_t tasks) {
@@ -15,7 +16,7 @@
   return it == zones.room.end() ? tasks : std::min(it->second, tasks);
 }
 
-/// Takes the candidates in the order given, within each zone's room. An empty zone stands for all.
+/// Fills the candidates in the given order, within each zone's room. An empty zone means all zones.
 GangPlan fill(const std::vector<GangCandidate>& candidates, const std::vector<std::size_t>& order,
               std::uint32_t tasks, const GangZones& zones, const std::string& only_zone) {
   GangPlan plan;
@@ -67,7 +68,7 @@
                    const GangZones& zones) {
   std::vector<std::size_t> order(candidates.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
-  // A single machine, the one that is ready first; then the roomiest.
+  // A single machine if possible: the one that is ready first, then the one with the most room.
   const auto takes_all = [&](const GangCandidate& candidate) {
     return candidate.slots >= tasks && zone_room(zones, candidate.zone, tasks) >= tasks;
   };
@@ -84,7 +85,7 @@
   GangPlan best;
   best.tasks.assign(candidates.size(), 0);
   best.missing = tasks;
-  // The zone of the first candidate in order comes first, so that it wins among equals.
+  // The zone of the first candidate in order comes first, so that it wins ties.
   std::vector<std::string> zones_in_order;
   for (const std::size_t i : order)
     if (names.erase(candidates[i].zone) > 0) zones_in_order.push_back(candidates[i].zone);
--- a/src/controller/gang.hpp
+++ b/src/controller/gang.hpp
@@ -1,5 +1,6 @@
-// One gang: a job whose tasks all run at the same time or not at all. A state machine that is told
-// what is known of the tasks and says what to do next; it knows no machines, workers or commands.
+// The state machine of one gang: a job whose tasks all run at the same time or not at all. It is
+// told what is known of the tasks and decides what to do next; it knows no machines, workers or
+// commands.
 #pragma once
 
 #include <cstdint>
@@ -21,35 +22,35 @@
 /// What is known of a gang's tasks.
 struct GangView {
   std::uint32_t tasks = 0;
-  std::uint32_t unknown = 0;   // perhaps on a machine that hasn't been heard since a take-over
+  std::uint32_t unknown = 0;   // may be on a machine that hasn't been heard since a failover
   std::uint32_t placed = 0;    // bound to a machine, whether started there or not
-  std::uint32_t unsent = 0;    // of these, no start has left
+  std::uint32_t unsent = 0;    // of these, no start was sent
   std::uint32_t running = 0;   // of these, seen to run or to save
   std::uint32_t stopping = 0;  // of these, told to stop
-  bool one_attempt = true;     // all that are placed have the same attempt number
-  bool overdue = false;        // a start hasn't left although its machine should have reported
+  bool one_attempt = true;     // all placed tasks have the same attempt number
+  bool overdue = false;  // a start wasn't sent although its machine's heartbeat should have come
 };
 
 enum class GangDecision : std::uint8_t {
   Wait,
   PlaceAll,      // under a new attempt number
   PlaceMissing,  // under the attempt number of those that wait
-  Unplace,       // nothing has been sent: another place may be sooner
-  StopRest       // what is left of it is no use
+  Unplace,       // nothing was sent: another place may be sooner
+  StopRest       // the remaining tasks are of no use
 };
 
 class Gang {
  public:
-  /// Tasks that gather are joined by a replacement only for so long; the workers end them after
-  /// `wait_ms`.
+  /// Gathering tasks are joined by a replacement only for part of `wait_ms`, after which (ms) the
+  /// workers end them.
   explicit Gang(Time wait_ms) : wait_ms_(wait_ms) {}
 
   [[nodiscard]] GangPhase phase() const { return phase_; }
 
-  /// Brings the phase up to date and says what to do.
+  /// Updates the phase and returns what to do. `now` in ms.
   GangDecision decide(const GangView& view, Time now);
 
-  /// A task has exited without being done: the attempt is over for all of them.
+  /// A task has exited without completing: the attempt is over for all of them.
   void attempt_over() { phase_ = GangPhase::Stopping; }
 
  private:
@@ -62,25 +63,25 @@
 struct GangCandidate {
   std::string zone;
   std::uint32_t slots = 0;  // tasks that it has room for
-  double delay_s = 0;       // until a task placed there would be ready, and what it costs otherwise
+  double delay_s = 0;       // until a task placed there would be ready, in s, plus penalties in s
 };
 
-/// What binds the zones of a gang's tasks.
+/// Zone constraints of a gang's tasks.
 struct GangZones {
   bool one_zone = false;
   /// How many more tasks a zone may take; a zone that isn't named takes any number.
   std::map<std::string, std::uint32_t> room;
 };
 
-/// Where the tasks of a gang go.
+/// The distribution of a gang's tasks.
 struct GangPlan {
   std::vector<std::uint32_t> tasks;  // for each candidate
   std::uint32_t missing = 0;         // tasks that find no room
-  std::string zone;                  // in which that is so, if all have to be in one
+  std::string zone;                  // the zone in which they do, if all have to be in one
 };
 
-/// Distributes `tasks` tasks: to a single machine if one has room for all, so that nothing can part
-/// them and all start at the same time; otherwise to as few as possible.
+/// Distributes `tasks` tasks: to a single machine if one has room for all, so that no partition
+/// separates them and all start at the same time; otherwise to as few as possible.
 GangPlan plan_gang(const std::vector<GangCandidate>& candidates, std::uint32_t tasks,
                    const GangZones& zones);
 
--- a/src/controller/gang_scheduling.cpp
+++ b/src/controller/gang_scheduling.cpp
@@ -1,5 +1,5 @@
-// Gangs on machines: what the state machine of each gang is told, and how its decisions are carried
-// out.
+// Gang scheduling: tells each gang's state machine what is known of its tasks, and carries out its
+// decisions on machines.
 #include <cmath>
 
 #include "controller/controller.hpp"
@@ -8,11 +8,11 @@
 namespace sailreel {
 namespace {
 
-/// Reports come an interval apart, give or take this share of it (protocol, "Workers").
+/// Heartbeats come an interval apart, plus or minus this fraction of it (protocol, "Workers").
 constexpr double kHeartbeatJitter = 0.25;
-/// A machine that has reported for so many intervals not is no place to wait for.
+/// A machine without a heartbeat for this many intervals isn't worth waiting for.
 constexpr double kOverdueHeartbeats = 1.5;
-/// In seconds: what a machine costs where it is no equal choice otherwise.
+/// In seconds: penalties of a machine that is otherwise an equal choice.
 constexpr double kFailedThere = 60, kOrdinaryForSpot = 2, kStrandedGpu = 0.1;
 
 std::uint32_t slots_in(const Resources& room, const Resources& each, std::uint32_t most) {
@@ -57,7 +57,7 @@
   return clock_.now - m.last_own_heartbeat > most;
 }
 
-// Gangs are looked at when something of theirs has changed, and as long as a start has not left.
+// Gangs are reviewed when something of theirs has changed, and while a start hasn't been sent.
 void Controller::review_gangs() {
   std::set<std::string> waiting;
   for (const std::string& id : std::exchange(gangs_to_review_, {})) {
@@ -81,7 +81,7 @@
   gangs_to_review_.merge(waiting);
 }
 
-// True if it needs no more room.
+// True if the gang needs no more room.
 bool Controller::place_gang(Job& job) {
   GangDecision decision = gang_of(job).decide(gang_view(job), clock_.now);
   if (decision == GangDecision::Unplace) {
@@ -108,7 +108,7 @@
   }
 }
 
-// Whether all tasks that are to be placed may be tried again.
+// True if all tasks that are to be placed may be retried.
 bool Controller::gang_due(const Job& job) {
   const bool later = std::any_of(job.tasks.begin(), job.tasks.end(), [this](const Task& task) {
     return task.state == TaskState::Queued && task.not_before > clock_.now;
@@ -118,7 +118,7 @@
   return due;
 }
 
-// Places all tasks that are missing, or none.
+// Places all missing tasks, or none.
 bool Controller::place_gang_tasks(Job& job, std::uint64_t attempt) {
   const std::uint32_t wanted = job.queued;
   if (job.team == nullptr || !job.team->allows(job.spec().need.times(wanted))) return true;
@@ -166,7 +166,8 @@
   return candidate;
 }
 
-// Starts go with the answer to a report. How long that of a machine is to be waited for.
+// Starts are sent with the response to a heartbeat: the expected wait (s) for the machine's next
+// one.
 double Controller::heartbeat_due_s(const Machine& m) const {
   if (&m == heartbeat_sender_) return 0;
   const double interval = settings_.workers.heartbeat_interval_s;
@@ -197,19 +198,19 @@
   return zones;
 }
 
-// The gang doesn't fit. Room is rented and others are stopped only for what is missing, in the zone
-// where that is least if all have to be in one. The room that it has found is kept from what comes
-// after it in this pass if something has been stopped for it, or if it has waited for so long that
-// machines rented for it would be up: then machines are held for the rest too. So it can't starve
-// behind single tasks. As nothing of it holds room from one pass to the next until all of it does,
-// two gangs never wait for each other.
+// The gang doesn't fit. Instances are added and tasks are preempted only for what is missing, in
+// the zone where that is least if all tasks have to be in one. The room that it has found is
+// reserved against later jobs of this pass if something was preempted for it, or if it has waited
+// for so long that instances launched for it would be up: then machines are held for the rest too.
+// So it can't starve behind single tasks. As it holds no room between passes until it has all of
+// it, two gangs never wait for each other.
 void Controller::make_room_for_gang(Job& job, const GangPlan& plan,
                                     const std::vector<Machine*>& machines) {
   const std::string zone = plan.zone.empty() ? job.spec().zone : plan.zone;
   record_unmet_demand(job, *job.team, plan.missing, zone_to_scale_out_in(job, zone));
   std::uint32_t made = 0;
   if (job.placed > 0) return;
-  // Reserved first, so that what is stopped is stopped for the rest.
+  // Reserved first, so that preemption makes room for the rest.
   std::vector<std::pair<Machine*, Resources>> kept;
   for (std::size_t i = 0; i < machines.size(); ++i)
     if (plan.tasks[i] > 0) {
@@ -222,17 +223,18 @@
   for (const auto& [m, room] : kept) unreserve(*m, room);
 }
 
-// By then what was rented for a job is up, or there was nothing to rent.
+// By then an instance launched for a job is up, or none could be launched.
 Time Controller::starved_after() const {
   double boot_s = 0;
   for (const MachineType& type : tables_.types) boot_s = std::max(boot_s, type.boot_s);
   return worker_lease() + ms(kLateBoot * boot_s);
 }
 
-// Keeps what is free on the emptiest machines that will have room for the missing tasks once the
-// arrays and gangs there have ended, so that nothing new begins there. Single tasks once took each
-// part of a machine as it became free, and a gang that needs whole ones never started. False if the
-// machines that are up can't hold all of it: then nothing is kept, and others get on.
+// Reserves the free room of the emptiest machines that will have room for the missing tasks once
+// the arrays and gangs there have ended, so that nothing new starts there. Single tasks once took
+// each part of a machine as it became free, and a gang that needs whole ones never started. False
+// if the machines that are up can't hold all of it: then nothing is reserved, and other work
+// continues.
 bool Controller::hold_machines(const Job& job, std::uint32_t missing, const std::string& zone) {
   struct Candidate {
     Machine* machine;
@@ -264,7 +266,7 @@
   return true;
 }
 
-// The zone with most room for it, unless none of its machines can be rented there now.
+// The zone with the most room for it, unless none of its instance types can be launched there now.
 std::string Controller::zone_to_scale_out_in(const Job& job, const std::string& best) const {
   if (!job.spec().one_zone || !job.spec().zone.empty()) return best;
   ResourceRequest want = resource_request_of(job.spec());
@@ -286,8 +288,8 @@
     stop_task(p, grace_s);
 }
 
-// One decision for all tasks: the stops leave in the same step, straight to the machines, and are
-// repeated with the answers to reports until they are confirmed.
+// One decision for all tasks: the stops leave in the same step, directly to the machines, and are
+// repeated with the responses to heartbeats until they are confirmed.
 void Controller::stop_gang(Job& job, double grace_s) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -131,7 +131,7 @@
   for (const TaskStatus& t : r.tasks) take_task(m, t, seen);
   for (std::size_t i = seen.size(); i-- > 0;)
     if (!seen[i]) handle_missing_task(m, i, r.seq, asked.has_value());
-  // Only after the heartbeat is processed: quarantining the machine changes its list of attempts.
+  // Only after the heartbeat is processed: cordoning the machine changes its list of attempts.
   if (!m.error_jobs.empty()) check_for_fault(m);
   if (r.notice_s && m.notice_until == 0) take_notice(m, *r.notice_s);
   if (m.empty() && m.idle_since == 0) m.idle_since = clock_.now;
--- a/src/controller/machine_ranking.hpp
+++ b/src/controller/machine_ranking.hpp
@@ -1,4 +1,5 @@
-// Machines in the order in which a pass of placement would choose them, for many jobs of one kind.
+// Ranks machines in the order in which a scheduling pass would choose them, once for many jobs of
+// one kind.
 #pragma once
 
 #include <algorithm>
@@ -18,15 +19,15 @@
 /// What a ranking knows of a machine.
 template <typename Score>
 struct MachineRating {
-  /// Less is better; empty: no choice as things stand.
+  /// Less is better; empty: can't be chosen at present.
   std::optional<Score> score;
   /// Whether it has room at all, so that another job or a later pass may choose it.
   bool has_room = false;
 };
 
-/// Ranks a pass's machines, which are known by their index, once for all jobs of a kind. Machines
-/// that change are rated again; a look at all machines for each job would grow with the square of a
-/// fleet whose work grows with it.
+/// Ranks a pass's machines, identified by index, once for all jobs of a kind. Machines that change
+/// are rated again; examining all machines for each job would grow with the square of the fleet, as
+/// the work grows with the fleet.
 ///
 /// Ties go to the lower index, so that the choice is the same on every run.
 template <typename Score>
@@ -49,7 +50,7 @@
   MachineRanking(const MachineRanking&) = delete;
   MachineRanking& operator=(const MachineRanking&) = delete;
 
-  /// Rates a machine anew.
+  /// Rates a machine again.
   void update(std::size_t index) {
     const std::optional<Score> before = ratings_[index].score;
     roomy_ -= ratings_[index].has_room ? 1 : 0;
@@ -64,10 +65,10 @@
     if (now.score) std::push_heap(heap.begin(), heap.end(), worse);
   }
 
-  /// Whether any machine has room for work of this kind.
+  /// True if any machine has room for work of this kind.
   [[nodiscard]] bool any_room() const { return roomy_ > 0; }
 
-  /// The best machine in the zones that are open to a job, by the job's own score.
+  /// The best machine in the zones that are open to a job, by the job's own score; empty if none.
   std::optional<std::size_t> best(const ZoneOpen& zone_open, const OwnScore& own_score) {
     std::optional<Entry> best;
     for (auto& [zone, heap] : heaps_)
@@ -94,7 +95,7 @@
     if (rating.score) heaps_of_[index]->push_back({*rating.score, index});
   }
 
-  /// Takes what the ratings have left behind off the top of the heap.
+  /// Pops entries whose ratings are outdated off the top of the heap.
   void drop_outdated(Heap& heap) {
     while (!heap.empty() && ratings_[heap.front().index].score != heap.front().score) pop(heap);
   }
@@ -104,8 +105,8 @@
     heap.pop_back();
   }
 
-  /// Replaces `best` if the heap has a better one. What a job likes less than its kind does is set
-  /// aside meanwhile.
+  /// Replaces `best` if the heap has a better one. Entries that the job scores lower than its kind
+  /// are put aside meanwhile.
   void improve(std::optional<Entry>& best, Heap& heap, const OwnScore& own_score) {
     std::vector<Entry> aside;
     for (drop_outdated(heap); !heap.empty(); drop_outdated(heap)) {
@@ -130,35 +131,36 @@
   std::size_t roomy_ = 0;
 };
 
-/// The rankings of one pass, each made when the first job of its kind asks for it.
+/// The rankings of one pass, each created when the first job of its kind needs it. Owned by the
+/// controller; refers to machines that it doesn't own.
 template <typename Kind, typename Score>
 class RankingsByKind {
  public:
   using Rate = std::function<MachineRating<Score>(const Machine&)>;
   using IndexOf = std::optional<std::size_t> Machine::*;
 
-  /// `index_of`: where a machine keeps its index among those of the pass.
+  /// `index_of`: the member in which a machine keeps its index among those of the pass.
   explicit RankingsByKind(IndexOf index_of) : index_of_(index_of) {}
 
   void clear() {
     entries_.clear();
     machines_.clear();
   }
-  /// Before the first ranking of a pass.
+  /// Called before the first ranking of a pass.
   void add(Machine& m) {
     m.*index_of_ = machines_.size();
     machines_.push_back(&m);
   }
   [[nodiscard]] const std::vector<Machine*>& machines() const { return machines_; }
 
-  /// The ranking of a kind, with all changes of the pass so far; at most so many are kept.
+  /// The ranking of a kind, with all changes of the pass so far; at most `most` are kept.
   MachineRanking<Score>& get(const Kind& kind, std::size_t most,
                              const std::vector<Machine*>& changes, const Rate& rate) {
     Entry& entry = find_or_make(kind, most, changes.size(), rate);
     const Machine* last = nullptr;
     for (; entry.changes_seen < changes.size(); ++entry.changes_seen) {
       const Machine* m = changes[entry.changes_seen];
-      // The tasks of a job often go to one machine after the other.
+      // The tasks of a job are often placed on one machine after the other.
       const bool again = std::exchange(last, m) == m;
       const std::optional<std::size_t> index = m->*index_of_;
       if (index && !again) entry.ranking.update(*index);
@@ -177,7 +179,7 @@
     const auto it = std::find_if(entries_.begin(), entries_.end(),
                                  [&](const auto& entry) { return entry->kind == kind; });
     if (it != entries_.end()) return **it;
-    // Where each job is a kind of its own, the oldest is the least likely to be asked for again.
+    // Where each job is a kind of its own, the oldest is the least likely to be used again.
     if (entries_.size() >= most) entries_.erase(entries_.begin());
     const auto rate_by_index = [this, rate](std::size_t index) { return rate(*machines_[index]); };
     const auto zone_of = [this](std::size_t index) -> const std::string& {
--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -1,23 +1,25 @@
-// What runs where: the machine that holds the image, else the roomiest fit, in the named zone.
+// Places tasks: on a machine that holds the image, else on the one with the most room, in the zones
+// that the job allows.
 #include "controller/controller.hpp"
 
 namespace sailreel {
 namespace {
-/// Reports bunch up; one pass serves those that arrive within this share of a report's interval.
+/// Heartbeats arrive in bunches; one pass serves those that arrive within this fraction of a
+/// heartbeat interval.
 constexpr Time kPassesPerHeartbeat = 40;
-/// And passes are so far apart that, for each report, no more jobs and machines than this are
-/// looked at: what a report costs doesn't grow with the jobs that wait.
+/// Passes are also so far apart that, per heartbeat, at most this many jobs and machines are
+/// examined: the cost of a heartbeat doesn't grow with the number of waiting jobs.
 constexpr Time kLooksPerHeartbeat = 150;
-/// The rankings of a pass take at most this share of a controller's memory, at so many bytes for
-/// each machine in one; a few are kept in any case.
+/// The rankings of a pass take at most this share of a controller's memory, at a fixed number of
+/// bytes for each ranked machine; a few are kept in any case.
 constexpr double kRankingMemoryShare = 0.1;
 constexpr double kRankingBytes = 128;
 constexpr double kLeastRankings = 4;
 }  // namespace
 
 bool Controller::usable(const Machine& m) const {
-  // A start goes with the answer to a machine's own report. One that answers inquiries, but reaches
-  // no controller itself, once drew the work that waited again and again.
+  // A start is sent with the response to a machine's own heartbeat. A machine that answered
+  // inquiries but reached no controller itself once drew the waiting work again and again.
   return m.heard_in_epoch && m.sized && !m.cordoned && !m.terminating && !m.silent &&
          clock_.now >= m.quarantined_until && clock_.now - m.last_own_heartbeat <= silent_after();
 }
@@ -41,7 +43,7 @@
   no_migration_for_.clear();
 }
 
-// Promises room on a machine for the rest of the pass.
+// Reserves room on a machine for the rest of the pass.
 void Controller::reserve(Machine& m, const Resources& room) {
   reservations_[&m] += room;
   machine_changed(m);
@@ -84,8 +86,8 @@
          any_type == o.any_type && types == o.types;
 }
 
-// Which jobs fit, with their team's earlier unfinished ones, into the team's guarantee. Returns
-// those that have tasks to place, by priority.
+// Marks the jobs that fit, with their team's earlier unfinished ones, into the team's guaranteed
+// quota. Returns those that have tasks to place, by priority.
 Controller::Queues Controller::note_guarantees() {
   Queues waiting;
   std::vector<Resources> totals(tables_.teams.size());
@@ -103,14 +105,14 @@
     // A team that the settings no longer name has no queue.
     if (job->team == nullptr || job->queued == 0) continue;
     if (job->not_before > clock_.now)
-      scheduling_needed_ = true;  // looked at again by a later pass
+      scheduling_needed_ = true;  // examined again by a later pass
     else
       waiting[static_cast<std::size_t>(s.priority)].push_back(job);
   }
   return waiting;
 }
 
-// The guaranteed first, then by deadline and age.
+// Guaranteed jobs first, then by deadline and age.
 void Controller::queue_order(std::vector<Job*>& jobs) const {
   const auto due = [](const Job* j) {
     return j->spec().deadline_s ? j->accepted + ms(*j->spec().deadline_s) : kNever;
@@ -133,7 +135,7 @@
   unmet_of_team_.clear();
   forget_failures();
   Queues all = note_guarantees();
-  // The least that any of them needs: a machine with less is of no use to this pass.
+  // The least that any of them needs: a machine with less room is of no use to this pass.
   std::optional<Resources> least_need;
   for (const std::vector<Job*>& waiting : all)
     for (const Job* job : waiting) {
@@ -145,11 +147,11 @@
   begin_rankings(least_need);
   for (std::vector<Job*>& waiting : all) {
     queue_order(waiting);
-    // A queue for each team.
+    // One queue per team.
     std::map<TeamQuota*, std::vector<Job*>> queues;
     for (Job* job : waiting) queues[job->team].push_back(job);
     for (auto& [team, queue] : queues) std::reverse(queue.begin(), queue.end());
-    // In turn: whose team uses least of its share is served next.
+    // Fair share: the team that uses the least of its share is served next.
     while (!queues.empty()) {
       auto next = std::min_element(queues.begin(), queues.end(), [](const auto& a, const auto& b) {
         return a.first->share() < b.first->share();
@@ -168,8 +170,8 @@
   next_scheduling_ = now + std::max(least, std::min(by_looks, heartbeat_interval()));
 }
 
-// Looks at all machines once: which of them take work, and which have room for the least that
-// waits.
+// Examines all machines once: which of them accept work, and which have room for the smallest
+// waiting request.
 void Controller::begin_rankings(const std::optional<Resources>& least_need) {
   end_rankings();
   if (!least_need) return;
@@ -222,14 +224,14 @@
     if (index == job.next_queued) ++job.next_queued;
     return false;
   }
-  // What is not due yet is looked at again by a later pass. So is what may still run elsewhere.
+  // A task that is not due yet, or may still run elsewhere, is examined again by a later pass.
   const bool due = task.not_before <= clock_.now && !job.has_orphan(index);
   if (!due) scheduling_needed_ = true;
   return due;
 }
 
-// Places what it can of the job's tasks. Returns how many found no room; empty if the team is at
-// its limit.
+// Places as many of the job's tasks as possible. Returns how many found no room; empty if the team
+// is at its quota limit.
 std::optional<std::uint32_t> Controller::place_tasks(Job& job, bool one_by_one) {
   std::uint32_t waiting = 0;
   for (std::uint32_t i = job.next_queued; i < job.tasks.size() && job.queued > 0; ++i) {
@@ -242,7 +244,8 @@
       continue;
     }
     if (m == nullptr) {
-      // Room there may be, but its machine is busy fetching: that room is kept, and none rented.
+      // A machine with room may be busy fetching: that room is reserved, and no instance is added
+      // for it.
       Machine* later = best_machine(job, true);
       if (later == nullptr) return job.queued - waiting;
       reserve(*later, job.spec().need);
@@ -255,7 +258,7 @@
   return 0;
 }
 
-// Where a fetch would break an aim, room is made on a machine that holds the image, if possible.
+// Where an image fetch would break an SLO, preempts on a machine that holds the image, if possible.
 bool Controller::warm_room_made(const Job& job, const Machine& m) {
   const bool late = late_if_cold(job, m, "wait");
   if (late && preempt_for(job, true)) return true;
@@ -272,9 +275,9 @@
   touch(job);
 }
 
-// Adds to what more machines could serve: what the team's limit allows beyond what it has and what
-// of its is counted already. Jobs of one kind are counted together: a list that was cut off after
-// so many jobs once hid most of a cold start from the sizing of the fleet.
+// Adds the tasks to the unmet demand that more machines could serve: what the team's limit allows
+// beyond its usage and its demand counted so far. Jobs of one kind are counted together: a list
+// limited to a number of jobs once hid most of a cold start from the autoscaler.
 void Controller::record_unmet_demand(const Job& job, const TeamQuota& team, std::uint32_t tasks,
                                      const std::string& zone) {
   const JobSpec& s = job.spec();
@@ -299,7 +302,7 @@
   it->tasks += wanted;
 }
 
-// True if fetching the image there takes longer than an aim on starting allows.
+// True if fetching the image there takes longer than an SLO on starting allows.
 bool Controller::late_if_cold(const Job& job, const Machine& m, const char* slo) const {
   const JobSpec& s = job.spec();
   if (m.has_image(s.image) || m.fetching(s.image)) return false;
@@ -311,7 +314,7 @@
   return false;
 }
 
-// Takes back what was placed of a job and not sent yet.
+// Takes back the job's attempts whose start has not been sent yet.
 void Controller::unplace(Job& job) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
@@ -326,10 +329,10 @@
   forget_failures();
 }
 
-// Rises across epochs with nothing remembered.
+// Increases across epochs without any stored state.
 std::uint64_t Controller::attempt_number() { return (epoch_ << kAttemptBits) + next_attempt_++; }
 
-// Where a replica that was stopped to be moved is awaited, if it still can go there.
+// The machine that awaits a replica stopped for migration, if it can still start there.
 Machine* Controller::migration_target(const Job& job, std::uint32_t index) {
   if (migrations_.empty()) return nullptr;
   const auto node = migrations_.extract(task_name({job.spec().id, index}));
@@ -343,8 +346,7 @@
   return possible ? m : nullptr;
 }
 
-// How good a machine is for one more task of such a job; what the job's own tasks and failures say
-// of it is left out.
+// Scores a machine for one more task of such a job, disregarding the job's own tasks and failures.
 MachineRating<Controller::BinPackingScore> Controller::bin_packing_score(
     const JobSpec& s, const Machine& m, bool may_queue_fetch) const {
   if (!open(m)) return {};
@@ -353,22 +355,22 @@
   const double image = m.has_image(s.image) ? 0 : m.fetching(s.image) ? 1 : 2;
   const std::size_t fetches = image == 2 ? m.fetches() : 0;
   if (image == 2 && !may_queue_fetch && fetches >= fetch_limit()) return {{}, true};
-  // Work that may use cheap machines leaves the ordinary ones to work that may not.
+  // Work that may use spot instances leaves the on-demand ones to work that may not.
   const double dear = s.spot && !m.spot ? 1 : 0;
   // Room beside images of more important work is left to that, as long as there is other room.
   const double reserved = m.reserved[static_cast<std::size_t>(s.priority)];
-  // Among holders the fullest, so that machines empty out; otherwise the roomiest, and of these
-  // the one that is busy with the fewest fetches, as they share its rate.
+  // Among machines that hold the image the fullest, so that others become empty; otherwise the one
+  // with the most room, and of these the one with the fewest fetches, as they share its rate.
   const double fill =
       image < 2 ? room.gpus + room.cpus / 1000 : static_cast<double>(fetches) * 100 - room.gpus;
   return {BinPackingScore{0, dear, image, reserved, 0, fill}, true};
 }
 
-// The same for a certain job.
+// The score for a particular job, which includes its own tasks and failures.
 Controller::BinPackingScore Controller::score_for_job(const Job& job, const Machine& m,
                                                       BinPackingScore of_kind) {
   if (job.error_machines.contains(m.name)) of_kind[kScoreFailed] = 1;
-  // Replicas of a service keep apart, so that a machine's end takes few of them.
+  // Replicas of a service are spread, so that the loss of a machine affects few of them.
   if (job.spec().kind == JobKind::Service && job.placed > 0)
     of_kind[kScoreTogether] = static_cast<double>(
         std::count_if(m.attempts.begin(), m.attempts.end(),
--- a/src/controller/preemption.cpp
+++ b/src/controller/preemption.cpp
@@ -1,24 +1,24 @@
-// Stopping tasks: to make room for more important ones, to run elsewhere, or because their job is
+// Stops tasks: to preempt for more important ones, to migrate replicas, or because their job is
 // cancelled.
 #include "controller/controller.hpp"
 #include "protocol/worker_codec.hpp"
 
 namespace sailreel {
 namespace {
-/// A start that is stopped sooner counts as none (protocol, "How aims are counted").
+/// In ms. A start that is stopped sooner doesn't count as one (protocol, "How aims are counted").
 constexpr Time kCountedStart = 30'000;
-/// So many replicas move, at most, to let one task start where its image lies.
+/// At most this many replicas migrate to let one task start where its image is held.
 constexpr std::size_t kMovesForAStart = 2;
 }  // namespace
 
 double Controller::grace_for(const Job& job) const {
   const JobSpec& s = job.spec();
-  // A little above what the task needs: what is short of it saves nothing.
+  // Slightly more than the task needs: a shorter grace period saves nothing.
   return s.checkpoint_s > 0 ? s.save_s * 1.1 + 0.1 : 0;
 }
 
 void Controller::stop_task(TaskAttempt& p, double grace_s) {
-  // A second stop may only shorten: that ends a task that is saving.
+  // A second stop may only shorten the grace period: that ends a task that is saving.
   p.grace_s = p.stop ? std::min(p.grace_s, grace_s) : grace_s;
   p.stop = true;
   if (!p.held || p.job == nullptr) return;
@@ -28,10 +28,10 @@
   }
 }
 
-// Stops also go straight to the machine: until its next report, which may be more than a report's
+// Stops are also sent directly to the machine: until its next heartbeat, which may be more than an
 // interval away, a cancelled task would run for nothing and work that waits for its room would wait
-// on. They go with the answers to reports all the same, so nothing depends on these; one that
-// arrives late finds its attempt gone, and does no harm.
+// on. They are sent with the responses to heartbeats all the same, so nothing depends on the direct
+// ones; one that arrives late finds its attempt gone, and is harmless.
 void Controller::stop_tick() {
   while (!stops_due_.empty() && !outbox_.worker_calls_full()) {
     Machine* m = tables_.machine(*stops_due_.begin());
@@ -54,8 +54,9 @@
   }
 }
 
-// Stops all of a job's tasks. Starts that haven't left are dropped; those that have are stopped in
-// the next answer to their worker, which comes after the start was carried out or dropped.
+// Stops all of a job's tasks. Starts that haven't been sent are dropped; those that have are
+// stopped in the next response to their worker, which comes after the start was carried out or
+// dropped.
 void Controller::stop_job(Job& job) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
@@ -71,29 +72,30 @@
   }
 }
 
-// Lower priority gives way; so does what another team runs beyond its guarantee to a team that is
-// within its own. Work never gives way to work of the same priority otherwise.
+// Work of lower priority may be preempted; so may what another team runs beyond its guaranteed
+// quota, by a team that is within its own. Otherwise work never preempts work of the same priority.
 bool Controller::may_preempt(const Job& job, const TaskAttempt& p) const {
   if (!p.held || p.job == nullptr || p.stop || p.migrating || p.job == &job) return false;
   const JobSpec& victim = p.job->spec();
   if (victim.priority > job.spec().priority) return true;
   if (p.job->team == job.team || victim.priority < job.spec().priority) return false;
   if (!job.guaranteed || p.job->guaranteed) return false;
-  // Only as much as the other team has beyond its guarantee.
+  // Only as much as the other team uses beyond its guaranteed quota.
   return p.team != nullptr && !p.team->within_guarantee(p.team->used);
 }
 
-// Promises room for one more task of the job on some machine, stopping others there if need be.
+// Reserves room for one more task of the job on some machine, preempting others there if needed.
 bool Controller::preempt_for(const Job& job, bool warm_only, const std::string& zone) {
   const JobSpec& s = job.spec();
   const ResourceRequest want = resource_request_of(s);
-  // What was in vain for work of the same team and priority, which needs no more, is so again.
+  // If preemption failed for work of the same team and priority that needs no more, it fails again.
   for (const FailedPreemption& i : no_preemption_for_)
     if (i.priority == s.priority && i.team == job.team && i.guaranteed == job.guaranteed &&
         (i.image.empty() || (warm_only && i.image == s.image)) && want.as_much_as(i.want))
       return false;
   if (preempt_on_best_machine(job, warm_only, zone)) return true;
-  // A job that minds the zones of its own tasks says nothing of others.
+  // A failure of a job that is restricted by the zones of its own tasks says nothing about other
+  // jobs.
   if (!s.spread && !s.one_zone)
     no_preemption_for_.push_back(
         {want, s.priority, job.team, job.guaranteed, warm_only ? s.image : std::string()});
@@ -130,7 +132,7 @@
     if (!index) return false;
     best = preemption_rankings_.machines()[*index];
     eviction = preemption_plan_on(*best, job);
-    // What may be stopped depends on what teams use, too.
+    // What may be preempted also depends on what teams use.
     if (!eviction) ranking.update(*index);
   }
   reserve(*best, job.spec().need);
@@ -142,8 +144,8 @@
   return true;
 }
 
-// What would have to be stopped on a machine to make room for one more task of the job; empty if
-// that can't be done there.
+// The tasks to preempt on a machine to make room for one more task of the job; empty if that can't
+// be done there.
 std::optional<Controller::PreemptionPlan> Controller::preemption_plan_on(Machine& m,
                                                                          const Job& job) const {
   const JobSpec& spec = job.spec();
@@ -174,8 +176,8 @@
   return eviction;
 }
 
-// The least important first; of arrays what has run shortest, as that work is lost; of replicas
-// what has run longest, as a start that is undone at once was none.
+// The least important first; of arrays the task that ran shortest, as that work is lost; of
+// replicas the one that ran longest, as a start that is undone at once didn't count.
 bool Controller::preempted_before(const TaskAttempt* a, const TaskAttempt* b) {
   const JobSpec& first = a->job->spec();
   const JobSpec& second = b->job->spec();
@@ -185,8 +187,8 @@
   return array ? a->running_since > b->running_since : a->running_since < b->running_since;
 }
 
-// A replica costs its service a moment; an array's task loses what it hasn't saved. A gang is
-// stopped as a whole.
+// A replica costs its service a moment; an array task loses what it hasn't saved. A gang is stopped
+// as a whole.
 double Controller::preemption_cost(const TaskAttempt& p) const {
   constexpr double kReplica = 2, kSaved = 2, kUnsaved = 1, kAllWorkLost = 3;
   const JobSpec& spec = p.job->spec();
@@ -207,15 +209,16 @@
 void Controller::migrate_replica(TaskAttempt& p, Machine& from, const Machine& to) {
   p.migrating = true;
   machine_changed(from);
-  // Its room is kept: a replica that lost it to another once fetched its image for half a minute.
+  // Its room is reserved: a replica that lost it to another once fetched its image for half a
+  // minute.
   migrations_[task_name(p.key)] = {from.name, to.name,  p.need, clock_.now + worker_lease(),
                                    p.key,     p.attempt};
 }
 
-// Replicas on the move are stopped just before the machine that awaits them may report, as the
-// start goes out with the answer: they are down for a fraction of a report's interval, not for more
-// than one. Only the stop goes directly; a direct start would have to be waited for, perhaps for
-// minutes.
+// Migrating replicas are stopped just before the target machine's next heartbeat is due, as the
+// start is sent with its response: they are down for a fraction of a heartbeat interval, not for
+// more than one. Only the stop is sent directly; a direct start would have to be waited for,
+// perhaps for minutes.
 void Controller::migration_tick() {
   const Time soonest = heartbeat_interval() * 3 / 4;
   for (auto it = migrations_.begin(); it != migrations_.end();) {
@@ -237,9 +240,9 @@
   }
 }
 
-// Lets a task start where its image lies, although that is full of work as important, if some of
-// that can go on at once where its own image lies: a move takes a second or two, a fetch half a
-// minute.
+// Lets a task start on a machine that holds its image but is full of equally important work, if
+// some of that work can continue at once on another machine that holds its own image: a migration
+// takes a second or two, a fetch half a minute.
 bool Controller::migrate_for(const Job& job) {
   const JobSpec& s = job.spec();
   const ResourceRequest want = resource_request_of(s);
@@ -271,8 +274,8 @@
   return true;
 }
 
-// The replicas that would have to go elsewhere for one more task of the job to fit on a machine;
-// empty if that can't be done with few.
+// The replicas that would have to migrate for one more task of the job to fit on a machine; empty
+// if that can't be done with few.
 std::optional<std::vector<Controller::PlannedMigration>> Controller::plan_migrations(
     Machine& m, const Job& job) {
   const Resources& need = job.spec().need;
@@ -290,7 +293,7 @@
   return plan;
 }
 
-// Images don't change within a pass of placement, nor within a look at the fleet's size.
+// Images don't change within a scheduling pass, nor within an autoscaler run.
 const Controller::ImageHolders& Controller::image_holders() {
   if (!image_holders_.empty()) return image_holders_;
   for (auto& [name, m] : tables_.machines) {
@@ -300,7 +303,7 @@
   return image_holders_;
 }
 
-// A machine that holds the image of a running replica and has room for it, beside what is promised
+// A machine that holds the image of a running replica and has room for it, beside what is reserved
 // and what the plan so far sends there.
 Machine* Controller::warm_room(const TaskAttempt& p, const Machine& from,
                                const Reservations& promised,
@@ -311,7 +314,7 @@
   for (Machine* m : holders->second) {
     ++examined_;
     if (m == &from || m->spot != from.spot || !open(*m)) continue;
-    // In its own zone, what the job asks of its tasks' zones stays as it is.
+    // A migration within the zone leaves the job's zone constraints as they are.
     if (m->zone == from.zone ? !tables_.type_allowed(s, m->type) : !tables_.allowed(*p.job, *m))
       continue;
     Resources room = room_beside(promised, *m);
--- a/src/controller/regional_quotas.hpp
+++ b/src/controller/regional_quotas.hpp
@@ -1,6 +1,6 @@
 // What teams may use in this region: their limits as the settings give them and, where limits span
-// regions, the region's shares of them. Keeps the caps in the tables; moves of shares are the share
-// manager's.
+// regions, the region's shares of them. Keeps the caps in the tables; the share manager moves the
+// shares.
 #pragma once
 
 #include <memory>
@@ -19,25 +19,25 @@
   /// Without federation in the options, limits are the settings' and nothing is ever written.
   RegionalQuotas(const Settings& settings, const FederationOptions& options, Tables& tables);
 
-  /// Whether limits span regions.
+  /// True if limits span regions.
   [[nodiscard]] bool shared() const { return shares_ != nullptr; }
-  /// This controller leads from now on, with what the checkpoint holds. False if that says that
-  /// limits span regions and the options don't, or if it can't be read: then the caps stay at what
-  /// was written, or at nothing.
+  /// To be called when this controller becomes leader, with the checkpoint's contents. False if
+  /// these say that limits span regions and the options don't, or if they can't be read: then the
+  /// caps stay at what was written, or at nothing.
   bool load(const Snapshot& checkpoint, std::uint64_t epoch, Time now);
   void stop();
 
-  /// To be called now and then while this controller leads. `complete`: all that may run counts.
-  /// `all_share`: every controller of the region is known to share limits.
+  /// To be called periodically while this controller leads; `now` in ms. `complete`: everything
+  /// that may run is counted. `all_share`: every controller of the region is known to share limits.
   std::vector<federation::ShareAction> observe(Time now, bool complete, bool all_share);
   std::vector<federation::ShareAction> take(Time now, const RegionMessage& message);
-  /// The round that the last writes went into is committed.
+  /// The checkpoint commit that contains the last writes has succeeded.
   std::vector<federation::ShareAction> committed(Time now);
 
   [[nodiscard]] bool wants_commit() const { return shares_ && shares_->wants_commit(); }
   std::vector<federation::ShareWrite> writes(std::size_t most) { return shares_->writes(most); }
 
-  /// Whether a cap was raised since this was last asked.
+  /// True if a cap was raised since the last call.
   bool take_raised() { return std::exchange(raised_, false); }
   [[nodiscard]] const federation::ShareManager* shares() const { return shares_.get(); }
 
--- a/src/controller/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -6,8 +6,8 @@
 namespace {
 /// The response to a worker has to stay below 64 KiB.
 constexpr std::size_t kMaxCommands = 300;
-/// A start that the worker's next heartbeat doesn't show was dropped. After this many attempts, the
-/// machine is considered faulty.
+/// A start that the worker's next heartbeat doesn't show was dropped. After this many sends,
+/// something is wrong between this controller and the machine.
 constexpr std::uint32_t kMaxSends = 3;
 constexpr std::size_t kFaultyJobs = 2;
 }  // namespace
--- a/src/storage/tables.cpp
+++ b/src/storage/tables.cpp
@@ -304,8 +304,8 @@
   const JobSpec& s = job.spec();
   // Tasks whose place isn't known yet could be in any zone.
   if ((s.one_zone || s.spread) && job.unknown > 0) return false;
-  // Known in two zones, for whatever reason, it gets no place until one of them is left: any of the
-  // two once counted as its zone (incident held-reports).
+  // Known in two zones, for whatever reason, it gets no place until one of them is left: either of
+  // the two once counted as its zone (incident held-reports).
   if (s.one_zone && !job.only_in(zone)) return false;
   return !s.spread || job.tasks_in(zone) < job.zone_cap();
 }
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -1,4 +1,5 @@
-// Bookkeeping of jobs, tasks, machines and quotas. Tables only: what to do is decided elsewhere.
+// Bookkeeping of jobs, tasks, machines and quotas. Tables only: decisions are made elsewhere. Times
+// in ms unless stated otherwise.
 #pragma once
 
 #include <array>
@@ -22,13 +23,13 @@
 struct Machine;
 struct TeamQuota;
 
-/// Why a machine takes no more work and is terminated once it is empty.
+/// Why a machine accepts no more work and is terminated once it is empty.
 enum class CordonCause : std::uint8_t { SpotNotice, Faulty };
 
 enum class TaskState : std::uint8_t {
-  Queued,   // surely on no machine
-  Unknown,  // perhaps on a machine that hasn't been heard since the take-over
-  Placed,   // bound to a machine: from the decision until surely gone
+  Queued,   // certainly on no machine
+  Unknown,  // may be on a machine that hasn't been heard since the failover
+  Placed,   // bound to a machine: from the decision until certainly gone
   Done
 };
 
@@ -49,25 +50,24 @@
   bool committed = false;                 // its acceptance is in the checkpoint
   Phase committed_phase = Phase::Active;  // what users may be told
   std::uint32_t started = 0;              // as the checkpoint has it: tasks below may have started
-  bool dirty = false;  // differs from the checkpoint, and the next round looks at it
-  /// Its record as the checkpoint has it, and as the round in flight would leave it.
+  bool dirty = false;  // differs from the checkpoint; the next commit includes it
+  /// Its record as the checkpoint has it, and as the commit in flight would leave it.
   std::string stored, in_flight_record;
-  std::optional<Phase>
-      in_flight_phase;  // as the round in flight has it, if that has a change of it
+  std::optional<Phase> in_flight_phase;  // as in the commit in flight, if that changes it
   /// Small pieces of its bitmap that differ from the checkpoint's.
   std::set<std::size_t> dirty_pieces;
-  /// Which pieces may lie in the checkpoint: they are deleted once the job is over.
+  /// Which pieces may be in the checkpoint: they are deleted once the job is over.
   bool has_pieces = false, has_small_pieces = false;
   std::uint64_t order = 0;  // of acceptance
   TeamQuota* team = nullptr;
-  bool guaranteed = false;  // fits, with its team's earlier jobs, into the guarantee
+  bool guaranteed = false;  // fits, with its team's earlier jobs, into the guaranteed quota
   Time accepted = 0;
   std::vector<Task> tasks;
   std::uint32_t queued = 0, unknown = 0, placed = 0, running = 0;
   std::uint32_t next_queued = 0;                  // no task below is queued
   std::map<std::string, std::uint32_t> per_zone;  // placed tasks
   std::vector<OrphanedAttempt> orphans;
-  /// Machines that have, or had, a placement that names the job.
+  /// Machines that have, or had, an attempt that names the job.
   std::set<std::string> machines_used;
   std::set<std::string> error_machines;
   std::uint32_t errors = 0;
@@ -75,22 +75,22 @@
   Time not_before = 0;
 
   [[nodiscard]] const JobSpec& spec() const { return record.spec; }
-  /// Whether the round in flight may have changed what users may be told.
+  /// True if the commit in flight may change what users may be told.
   [[nodiscard]] bool in_doubt() const {
     return in_flight_phase && *in_flight_phase != committed_phase;
   }
-  /// To be served on.
+  /// True if the job is still to be served.
   [[nodiscard]] bool active() const {
     return record.phase == Phase::Active && !record.cancel_asked;
   }
-  /// It has failed on several machines and run on none: more likely it is submitted with a mistake
+  /// It has failed on several machines and run on none: more likely it was submitted with a mistake
   /// than that all of these are faulty.
   [[nodiscard]] bool suspect() const { return !proven && error_machines.size() > 1; }
-  /// No task of it is known outside of the zone.
+  /// True if no task of it is known outside of the zone.
   [[nodiscard]] bool only_in(const std::string& zone) const;
   /// How many tasks of it are known in the zone.
   [[nodiscard]] std::uint32_t tasks_in(const std::string& zone) const;
-  /// The task may still be on a machine that is not its place.
+  /// True if the task may still be on a machine other than its place.
   [[nodiscard]] bool has_orphan(std::uint32_t index) const;
   /// How many tasks may be in one zone.
   [[nodiscard]] std::uint32_t zone_cap() const {
@@ -98,7 +98,7 @@
   }
 };
 
-/// A finished job, in short.
+/// The summary of a finished job.
 struct FinishedJob {
   Phase phase = Phase::Done;
   std::uint32_t tasks = 0;
@@ -118,23 +118,23 @@
 
 /// One attempt of a task on a machine.
 struct TaskAttempt {
-  Job* job = nullptr;        // null: not a task's present place
-  Job* orphan_of = nullptr;  // the job of such an attempt, while it is held
+  Job* job = nullptr;        // null: not a task's current attempt
+  Job* orphan_of = nullptr;  // the job of an orphaned attempt, while it is held
   TeamQuota* team = nullptr;
   TaskKey key;
   Resources need;
   std::uint64_t attempt = 0;
   AttemptState state = AttemptState::Reserved;
   ExitCause cause = ExitCause::None;
-  std::uint64_t sent_seq = 0;  // of the report whose answer carried the start
+  std::uint64_t sent_seq = 0;  // of the heartbeat whose response carried the start
   std::uint32_t sends = 0;
   Time since = 0;  // of the state
   Time running_since = 0;
-  bool migrating = false;  // is to be stopped when the machine that awaits it is about to report
-  bool stop = false;       // is to be stopped
+  bool migrating = false;  // to be stopped when the target machine's heartbeat is about to come
+  bool stop = false;       // to be stopped
   double grace_s = 0;
   bool held = false;            // counts as the task's place, against machine and team
-  bool exit_committed = false;  // exited, and what that means is in the checkpoint
+  bool exit_committed = false;  // exited, and the consequences are in the checkpoint
 };
 
 /// An image that a machine is fetching, as far as we know.
@@ -142,7 +142,7 @@
   std::string image;
   Time since = 0;
   double alone_s = 0;   // how long it would take with the machine's rate for itself
-  double beside_s = 0;  // the same of those that were begun with it and have come before it
+  double beside_s = 0;  // the same of those that began with it and finished before it
 };
 
 struct Machine {
@@ -152,39 +152,39 @@
   double cache_gb = 0;
   bool sized = false;  // its type is known
   bool listed_running = false;
-  bool heard_in_epoch = false;  // in this epoch, and under its token
+  bool heard_in_epoch = false;  // in this epoch, and under its fencing token
   bool recorded = false;        // the checkpoint lists it
   bool record_dirty = false;
   std::uint64_t incarnation = 0, seq = 0;
-  IncarnationFence incarnation_fence;  // those that are over by our own proof
+  IncarnationFence incarnation_fence;  // incarnations that ended by our own proof
   Time launched = 0;                   // or first heard of
-  Time last_heartbeat = 0;             // fresh, or a direct answer
+  Time last_heartbeat = 0;             // current, or a direct response
   Time steady_since = 0;               // heard without a gap since then
-  Time last_own_heartbeat = 0;         // last report that it sent by itself
-  Time answered = 0;                   // last answer that may have renewed its lease
+  Time last_own_heartbeat = 0;         // last heartbeat that it sent by itself
+  Time answered = 0;                   // last response that may have renewed its lease
   Time idle_since = 0;
-  bool cordoned = false;                           // takes no more work
-  CordonCause cordon_cause = CordonCause::Faulty;  // counts if it is cordoned and not terminating
-  bool draining = false;     // takes no more work unless that has no other room
-  bool terminating = false;  // a release was or is to be sent
+  bool cordoned = false;                           // accepts no more work
+  CordonCause cordon_cause = CordonCause::Faulty;  // valid if it is cordoned and not terminating
+  bool draining = false;                           // accepts only work that has no other room
+  bool terminating = false;                        // a termination was or is to be sent
   bool silent = false;
   Time silent_since = 0;
   bool probing = false;
   Time probe_at = 0;
   std::uint64_t probe_incarnation = 1;
   std::uint32_t probe_failures = 0;
-  Time probe_failed = 0;                 // when the last that failed was sent
+  Time probe_failed = 0;                 // when the last failed one was sent
   Time notice_until = 0;                 // 0: no notice
-  Time fencing_token_refused_since = 0;  // reports that don't show our token, since then
-  bool lease_passed = false;             // before it ever took our token
-  Time quarantined_until = 0;            // gets no work: it doesn't hear us
+  Time fencing_token_refused_since = 0;  // heartbeats don't show our fencing token since then
+  bool lease_passed = false;             // before it ever adopted our fencing token
+  Time quarantined_until = 0;            // gets no work: it doesn't receive our responses
   std::set<std::string> error_jobs;
   std::vector<TaskAttempt> attempts;
   std::list<CachedImage> images;  // most recently used first
   std::vector<Fetch> fetching_now;
-  /// How many of its images belong to work that is more important, by priority.
+  /// How many of its images belong to more important work, by priority.
   std::array<std::uint32_t, kPriorities> reserved{};
-  /// Its places among the machines of the present pass that take work, and that have room.
+  /// Its indices among the machines of the current pass that accept work, and that have room.
   std::optional<std::size_t> open_index, room_index;
 
   [[nodiscard]] Resources room() const {
@@ -203,17 +203,17 @@
 struct TeamQuota {
   Team limits;
   Resources used;  // by all that may be on a machine
-  /// Where the limit spans regions: what this one may use of it. Empty: the whole limit.
+  /// Where the limit spans regions: this region's cap. Empty: the whole limit.
   std::optional<double> cpus_cap, gpus_cap;
   /// What the team may use here; empty if it may use any amount.
   [[nodiscard]] std::optional<double> cpus_limit() const;
   [[nodiscard]] std::optional<double> gpus_limit() const;
-  /// True if that much may be used.
+  /// True if that total may be used.
   [[nodiscard]] bool within_cap(const Resources& total) const;
-  /// True if one more task keeps within the limit. A limit of 0 is none.
+  /// True if one more task keeps within the limit. A limit of 0 means unlimited.
   [[nodiscard]] bool allows(const Resources& more) const;
   [[nodiscard]] bool within_guarantee(const Resources& total) const;
-  /// What the team uses of its guarantee; the queues are served in the order of this.
+  /// How much of its guaranteed quota the team uses; the queues are served in this order.
   [[nodiscard]] double share() const;
 };
 
@@ -233,32 +233,33 @@
   void remove_machine(const std::string& name);
   /// The machines of a shard of the checkpoint, in the order of their names.
   [[nodiscard]] std::vector<const Machine*> machines_of_shard(std::size_t shard) const;
-  /// Gives a machine its type's size, once types are known.
+  /// Sets a machine's size from its type, once types are known.
   void size_machine(Machine& m) const;
 
-  /// Binds a task to a machine, against the machine's room, the team and the zone.
+  /// Binds a task to a machine, counted against the machine's room, the team and the zone.
   TaskAttempt& place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt, Time now);
-  /// Counts an attempt that is on the machine, but not its task's place, against the machine, the
-  /// team and the zone.
+  /// Counts an orphaned attempt against the machine, the team and the zone.
   static void hold_orphan(Job& job, Machine& m, TaskAttempt& orphan);
-  /// Frees what a placement holds; the task is queued again unless it is done.
+  /// Frees what an attempt holds; the task is queued again unless it is done.
   void unhold(Machine& m, TaskAttempt& p);
-  /// Removes the placement from the machine's list.
+  /// Removes the attempt from the machine's list.
   void erase(Machine& m, std::size_t index);
-  /// True if the job's tasks may start there: type, zone, kind, and its other tasks' zones.
+  /// True if the job's tasks may start there: type, zone, instance kind, and its other tasks'
+  /// zones.
   [[nodiscard]] bool allowed(const Job& job, const Machine& m) const;
-  /// The part of it that no other task has a say in, and the part that the job's other tasks have.
+  /// The part of `allowed` that is independent of other tasks, and the part that the job's other
+  /// tasks decide.
   [[nodiscard]] bool suits(const JobSpec& s, const Machine& m) const;
   [[nodiscard]] static bool zone_open(const Job& job, const std::string& zone);
   /// True if what is known of the job allows the tasks that it has in the zone.
   [[nodiscard]] static bool zone_allowed(const Job& job, const std::string& zone);
   [[nodiscard]] bool type_allowed(const JobSpec& s, const std::string& type) const;
   void mark_done(Job& job, std::uint32_t index);
-  /// Tasks that weren't found anywhere are queued.
+  /// Queues the tasks that weren't found anywhere.
   void unknown_to_queued(Job& job);
 
   std::unordered_map<std::string, std::unique_ptr<Job>> jobs;
-  std::map<std::uint64_t, Job*> in_order;                    // of acceptance
+  std::map<std::uint64_t, Job*> in_order;                    // by acceptance
   std::unordered_map<std::string, Priority> image_priority;  // the highest of its jobs
   std::unordered_map<std::string, FinishedJob> finished;
   std::map<std::string, std::unique_ptr<Machine>> machines;
