--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -1,4 +1,5 @@
-// What users are told where troubles meet: no node may say less than another has said before.
+// Responses to users when several faults coincide: no controller may say less than another has said
+// before.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -14,9 +15,10 @@
   }
 }
 
-// Combination: a transaction is carried out at once and only its answer is lost, while other nodes
-// read what it wrote; users ask at all nodes. Seen on simulated machines: the leader went on saying
-// "running" of jobs that a node without a way to it had read to be over.
+// Combination: a compare-and-swap is carried out at once and only its response is lost, while other
+// controllers read what it wrote; users ask at all controllers. Seen on simulated machines: the
+// leader went on saying "running" of jobs that a controller without a path to it had read to be
+// over.
 TEST(Answers, ARoundInDoubtIsNotAnsweredInItsOldForm) {
   constexpr std::size_t kJobs = 12;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
@@ -39,8 +41,8 @@
   }
 }
 
-// A burst larger than one round: what has to wait for the next isn't written, nor told by others,
-// before its own round, though its shard is written for other jobs' sake.
+// A burst larger than one checkpoint commit: what has to wait for the next isn't written, nor told
+// by others, before its own commit, though its shard is written for the sake of other jobs.
 TEST(Answers, AShardIsWrittenAsCommittedNotAsInMemory) {
   constexpr std::size_t kJobs = 90;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -56,7 +58,8 @@
     region.run_until(40'000);
     region.cut_peers(leader_of(region), 20'000, false);
     ask_everywhere(region, 1, 40'000, 42'000, 500);
-    // All at once, while most answers of the state service are lost: a round takes a second or two.
+    // All at once, while most responses of the key-value store are lost: a commit takes a second or
+    // two.
     region.late_writes(0.7, 15'000, true);
     for (std::size_t n = 0; n < kJobs; ++n) region.cancel(job_id(n));
     ask_everywhere(region, kJobs, 42'000, 56'000, 350);
@@ -68,9 +71,9 @@
 
 class ConsistentAnswers : public ::testing::TestWithParam<Scenario> {};
 
-// Users ask at all nodes again and again within milliseconds and repeat the submission, right after
-// a job was accepted, ended or called cancelled; they cancel at once, as the last task ends, and
-// what is over already; some of what they send can't run.
+// Users ask at all controllers again and again within milliseconds and repeat the submission, right
+// after a job was accepted, ended or called cancelled; they cancel at once, as the last task ends,
+// and what is over already; some of their submissions can't run.
 TEST_P(ConsistentAnswers, NoNodeSaysLessThanAnotherHasSaid) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulationPlan plan = quiet(seed * 3 + 100);
@@ -87,7 +90,7 @@
         region.submit(array(job_id(next), 1 + static_cast<std::uint32_t>(k % 2), 2 + k % 4));
       region.run_until(region.now() + 3'000);
       GetParam().play(region, seed);
-      // As tasks end, a few milliseconds apart.
+      // While tasks end, a few milliseconds apart.
       for (int k = 0; k < 60; ++k) {
         region.run_until(region.now() + 100);
         for (std::size_t n = next - 10; n < next; ++n)
@@ -140,9 +143,9 @@
 INSTANTIATE_TEST_SUITE_P(Scenarios, ConsistentAnswers, ::testing::ValuesIn(kScenarios),
                          scenario_name);
 
-// A sibling passes an answer of the leader's on only while it may still be said: not after the time
-// that came with it, reckoned from when the request left, and not after its own patience; however
-// long the answer was on its way, or the sibling stood still with the answer in its buffer.
+// A peer passes on a response of the leader only while it is valid: not after the time that came
+// with it, counted from when the request left, and not after the peer's own timeout; however long
+// the response took, or the peer was paused with the response in its buffer.
 TEST(Answers, AForwardedAnswerThatIsLateIsNotPassedOn) {
   const auto answered = [](Time after, std::optional<std::uint32_t> valid_ms) {
     Controller controller(sample_settings(0), Options{}, 1);
@@ -177,8 +180,8 @@
   EXPECT_FALSE(answered(4'000, 60'000));
 }
 
-// What a value held that can't be read is unknown, never missing: its jobs get 503, and new ones
-// aren't taken, since they may be old ones; what could be read is served on.
+// What an unreadable value held is unknown, never missing: its jobs get 503, and new ones aren't
+// accepted, since they may be old ones; what could be read is still served.
 TEST(Answers, AnUnreadableValueIsUnknownNotMissing) {
   SimulationPlan plan = quiet(31);
   SimulatedRegion region(plan);
@@ -209,8 +212,8 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Two zones are apart: a node that can't reach the leader hands submissions and cancellations to
-// one that can, and users get their answers as ever.
+// Two zones are partitioned: a controller that can't reach the leader forwards submissions and
+// cancellations to one that can, and users get their responses as usual.
 TEST(Answers, ANodeWithoutAPathToTheLeaderUsesAPeer) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulatedRegion region(quiet(seed));
--- a/tests/behaviour_digest.cpp
+++ b/tests/behaviour_digest.cpp
@@ -1,5 +1,5 @@
-// Plays seeded days of a kind and prints one line for each: its seed, and the digest of all that
-// controllers of the present version said on it. Equal lines for two versions of the sources mean
+// Runs seeded days of a kind and prints one line for each: its seed, and the digest of all outputs
+// of controllers of the present version on it. Equal lines for two versions of the sources mean
 // that both behaved alike on that day.
 #include "support/behaviour_digest.hpp"
 
@@ -92,7 +92,7 @@
   day.run_until(230'000);
 }
 
-// Controllers of the version in production are replaced one by one; what these say isn't recorded.
+// Controllers of the version in production are replaced one by one; their outputs aren't recorded.
 #ifdef SAILREEL_HAS_PRODUCTION
 void play_upgrade(std::uint64_t seed, const DigestPointer& digest) {
   SimulationPlan plan = quiet(seed);
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -1,5 +1,5 @@
-// Cancellations where troubles meet: what was called cancelled is gone, and what can't be called so
-// yet is answered all the same.
+// Cancellations when several faults coincide: what was called cancelled is gone, and what can't be
+// called so yet is answered all the same.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -7,25 +7,25 @@
 namespace sailreel::sim {
 namespace {
 
-/// How the old leader and its successor stand to each other and to the machines.
+/// Connectivity of the old leader and its successor with each other and with the machines.
 enum class Apart {
-  Refused,           // the state service refuses the leader alone
+  Refused,           // the key-value store refuses the leader alone
   RefusedNoPeers,    // and it has lost the other controllers
-  RefusedUnreached,  // and nobody but it and one sibling reaches the machines
-  Isolated,          // cut from the state service and from the others, what is sent is held
+  RefusedUnreached,  // and nobody but it and one peer reaches the machines
+  Isolated,  // partitioned from the key-value store and from the others; what is sent is delayed
 };
 
 struct Gap {
   Apart apart;
-  Time outage_after;  // the refusal began
+  Time outage_after;  // since the refusal began
   double lease_s, cancel_s;
 };
 
 constexpr std::size_t kJobs = 8;
 
-// The meeting that broke most: the state service refuses the leader alone, another controller
-// confirms cancellations, and then the service is down for all, for longer than cancel_s, while
-// workers go on reporting to the old leader, or to a sibling that keeps their tasks alive.
+// The combination that broke most: the key-value store refuses the leader alone, another controller
+// confirms cancellations, and then the store is down for all, for longer than cancel_s, while
+// workers go on sending heartbeats to the old leader, or to a peer that keeps their tasks alive.
 void play_gap(const Gap& gap, std::uint64_t seed) {
   SimulationPlan plan = quiet(seed);
   plan.lease_s = gap.lease_s;
@@ -57,7 +57,7 @@
     for (const std::size_t other : {friendly, far})
       region.cut(node_name(lead), node_name(other), apart, false);
   if (gap.apart == Apart::RefusedUnreached) {
-    // One sibling hears the machines and the old leader, and keeps tasks alive by itself when that
+    // One peer hears the machines and the old leader, and keeps tasks alive by itself when that
     // ends; the other, which hears neither, is the successor.
     region.cut(node_name(lead), node_name(friendly), 0, false);
     region.reject_kv_requests(friendly, apart);
@@ -65,7 +65,7 @@
     region.cut(node_name(friendly), node_name(far), apart, false);
     for (const auto& m : region.machines_up()) region.cut(node_name(far), m, apart, false);
   }
-  // Users call their jobs off from before the refusal's end of the old lease until well into the
+  // Users cancel their jobs from before the old lease expires under the refusal until well into the
   // outage.
   const Time from = region.now();
   for (std::size_t n = 0; n < kJobs; ++n) {
@@ -105,8 +105,9 @@
                                             ::testing::Values(0, 1, 2)),
                          gap_name);
 
-// A cancellation that was asked for outlives the leader, also when its user doesn't ask again: the
-// next one goes on stopping, starts nothing of it, and calls it cancelled when its tasks are gone.
+// A requested cancellation outlives the leader, also when its user doesn't ask again: the next
+// leader goes on stopping the job, starts nothing of it, and calls it cancelled when its tasks are
+// gone.
 TEST(Cancellation, OutlivesTheLeaderThatWasAsked) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulatedRegion region(quiet(seed + 40));
@@ -135,9 +136,8 @@
   }
 }
 
-// A user whose machine is out of reach is soon told to come back; one whose machine answers is
-// told that the job is cancelled within a moment. Nobody is kept waiting until the patience is
-// over.
+// A user whose machine is out of reach is soon told to come back; one whose machine responds is
+// told that the job is cancelled within a moment. Nobody waits until the timeout.
 TEST(Cancellation, IsAnsweredAtOnceEitherWay) {
   SimulationPlan plan = quiet(51);
   plan.loss = 0;
@@ -177,8 +177,8 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// What is cancelled where its machines can't be asked, while every team is at its limit and the
-// leader changes: what is not accounted for counts against its team.
+// Cancellations on machines that can't be asked, while every team is at its limit and the leader
+// changes: what is not accounted for counts against its team.
 class AtTheLimit : public ::testing::TestWithParam<Scenario> {};
 
 TEST_P(AtTheLimit, KeepsTheRules) {
@@ -261,7 +261,7 @@
        for (int round = 0; round < 4; ++round) {
          w.cancel_now(4, 0);
          if (round == 2) w.kill(leader_of(w), 1'000);
-         // More important work that stops the rest.
+         // More important work that preempts the rest.
          for (std::size_t n = 0; n < 3; ++n) {
            JobSpec s = service(job_id(500 + static_cast<std::size_t>(round) * 10 + n), 2);
            s.priority = Priority::Production;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,5 +1,5 @@
-// More work than room, swarms of small jobs, and machines or zones that are lost or half out of
-// reach: the rules hold, and once the troubles are over nothing is left waiting.
+// More work than room, swarms of small jobs, and machines or zones that are lost or partly
+// unreachable: the rules hold, and once the faults are over nothing is left waiting.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -7,7 +7,7 @@
 namespace sailreel::sim {
 namespace {
 
-// Combination: one-task jobs come four a second for minutes, a quarter of them cancelled; the
+// Combination: one-task jobs arrive four a second for minutes, a quarter of them cancelled; the
 // leader ends in the middle of it.
 TEST(Capacity, OneTaskJobsFourASecondForMinutes) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -35,7 +35,7 @@
 }
 
 // Combination: more work than room, urgent and not, over slow links; the largest arrays have to
-// begin all the same.
+// start all the same.
 TEST(Capacity, MoreWorkThanRoomOverSlowLinks) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 300);
@@ -44,7 +44,7 @@
     plan.late_copies = 0.05;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    region.submit(array("job-9000", 60, 8));  // more than the fleet takes
+    region.submit(array("job-9000", 60, 8));  // more than the fleet can run
     for (std::size_t n = 0; n < 90; ++n) {
       JobSpec s = n % 3 == 0 ? service(job_id(n), 2)
                              : array(job_id(n), 1 + static_cast<std::uint32_t>(n % 8), 12);
@@ -62,9 +62,9 @@
   }
 }
 
-// On the operations sites: a guest's array beyond any guarantee filled the dear machines of the
-// zones. It waits for cheap ones; where there are none, it gets on all the same, a few tasks at a
-// time.
+// On the operations sites: a guest's array beyond any guaranteed quota filled the expensive
+// machines of the zones. It waits for spot instances; where there are none, it progresses all the
+// same, a few tasks at a time.
 TEST(Capacity, WorkBeyondAGuaranteeWaitsForCheapMachines) {
   for (const bool cheap : {true, false}) {
     SimulationPlan plan = quiet(800);
@@ -79,13 +79,13 @@
     std::size_t most = 0;
     for (Time t = 2'000; t < 200'000; t += 1'000) {
       region.run_until(t);
-      // Once what is left of it fits into the guarantee, it is owed machines of any kind.
+      // Once the rest of it fits into the guaranteed quota, it may use machines of any kind.
       if (done >= 60) continue;
       std::size_t on_demand = 0;
       for (const auto& [name, m] : region.cloud().machines) on_demand += m.up && !m.spot ? 1 : 0;
       most = std::max(most, on_demand);
     }
-    // One, and one instead of another that was late; what it asks for would take four.
+    // One, and one instead of another that was late; its request would take four.
     EXPECT_LE(most, 2U) << "cheap=" << cheap;
     EXPECT_TRUE(region.checker().unfinished_arrays().empty()) << "cheap=" << cheap;
     region.run();
@@ -93,8 +93,9 @@
   }
 }
 
-// On the operations sites: a guest team without a guarantee brings one huge array and a swarm of
-// one-task jobs. Work within a guarantee starts as if they weren't there, and theirs is served too.
+// On the operations sites: a guest team without a guaranteed quota brings one huge array and a
+// swarm of one-task jobs. Work within a guaranteed quota starts as if they weren't there, and
+// theirs is served too.
 TEST(Capacity, AGuestDoesNotHoldUpWorkWithinAGuarantee) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 1'000);
@@ -114,7 +115,7 @@
       region.submit(s);
       region.run_until(region.now() + 400);
     }
-    // Warm machines are up by now; what is asked for fits into red's guarantee.
+    // Machines with images are up by now; the requests fit into red's guaranteed quota.
     std::map<std::string, Time> asked, begun;
     region.on_command = [&](const std::string&, const Command& c) {
       if (c.op == Command::Op::Start) begun.try_emplace(c.key.job, region.now());
@@ -138,8 +139,8 @@
   }
 }
 
-// On the operations sites: machines that never come up. They are given up after three boot times,
-// others are rented meanwhile, and what is paid for in vain stays bounded.
+// On the operations sites: machines that never come up. They are terminated after three boot times,
+// others are launched meanwhile, and the cost of unused machines stays bounded.
 TEST(Capacity, MachinesThatNeverComeUpAreReplaced) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 1'100);
@@ -164,9 +165,9 @@
   }
 }
 
-// On the operations sites: jobs that fail on every machine until their users call them off. They
-// neither have machines returned as faulty, nor take room from others by starting again at once; a
-// machine on which everything fails is returned all the same.
+// On the operations sites: jobs that fail on every machine until their users cancel them. They
+// neither cause machines to be terminated as faulty, nor take room from others by starting again at
+// once; a machine on which everything fails is terminated all the same.
 TEST(Capacity, MistakenJobsAreToldFromFaultyMachines) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 700);
@@ -212,9 +213,9 @@
   }
 }
 
-// Read off the code: a report whose errors show the machine to be faulty had it emptied in the
-// middle of being taken in, which moves the placements that the rest of the report is held against.
-// No seed has shown what that leads to.
+// Found by reading the code: a heartbeat whose errors show the machine to be faulty had it emptied
+// while the heartbeat was being processed, which moves the attempts that the rest of the heartbeat
+// is compared with. No seed has shown what that leads to.
 TEST(Capacity, AMachineFoundFaultyByAHeartbeatThatSaysMore) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     SimulationPlan plan = quiet(seed + 900);
@@ -239,7 +240,7 @@
   }
 }
 
-// Combination: jobs bound to one zone, arrays and gangs of replicas too, lose machines of it.
+// Combination: jobs bound to one zone, including arrays and gangs of replicas, lose machines of it.
 TEST(Capacity, JobsBoundToAZoneLoseMachines) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulationPlan plan = quiet(seed + 400);
@@ -275,8 +276,8 @@
   }
 }
 
-// Combination: a zone with workers and a controller is cut off for longer than a lease, and jobs
-// are cancelled on both sides of the cut.
+// Combination: a zone with workers and a controller is partitioned for longer than a lease, and
+// jobs are cancelled on both sides.
 TEST(Capacity, AZoneCutOffForLongerThanALease) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulationPlan plan = quiet(seed + 500);
@@ -302,8 +303,8 @@
 }
 
 // Combination: workers can't open connections to any controller, while direct commands still reach
-// them. Answering inquiries, such a machine once looked usable again and again, and drew the work
-// that waited; a start only goes with the answer to a machine's own report.
+// them. As it answered inquiries, such a machine once looked usable again and again, and drew the
+// waiting work; a start is only sent with the response to a machine's own heartbeat.
 TEST(Capacity, AMachineThatReachesNoControllerDrawsNoWork) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 600);
@@ -317,7 +318,7 @@
       if (mute.size() < 2) mute.insert(m);
     for (const auto& m : mute) region.mute_machine(m, 70'000);
     if (seed % 2 == 0) region.kill(leader_of(region), 3'000);
-    region.run_until(58'000);  // they have missed their reports by now
+    region.run_until(58'000);  // they have missed their heartbeats by now
     for (std::size_t n = 20; n < 28; ++n) region.submit(service(job_id(n), 1), 140'000);
     std::size_t kept = 0;
     for (Time t = 59'000; t < 100'000; t += 500) {
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -1,4 +1,4 @@
-// For each rule: the checker of the simulated days catches a violation, and is silent without one.
+// For each rule: the checker of the simulated days detects a violation, and is silent without one.
 #include "sim/checker.hpp"
 
 #include <gtest/gtest.h>
@@ -129,7 +129,7 @@
   EXPECT_TRUE(only("went_back"));
 }
 
-// What was told anywhere binds answers to questions that were asked later, not those under way.
+// A response of any controller binds responses to later questions, not to those already in flight.
 TEST_F(CheckerTest, WentBackAtAnotherNode) {
   checker_.cancel_asked("job-1");
   checker_.told("job-1", "cancelled", 100, 90);
--- a/tests/commit_test.cpp
+++ b/tests/commit_test.cpp
@@ -1,4 +1,4 @@
-// When checkpoint rounds are committed: users first, and within the limits of the state service.
+// When checkpoint commits are written: users first, and within the limits of the key-value store.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -11,13 +11,14 @@
   return delays[static_cast<std::size_t>(share * static_cast<double>(delays.size() - 1))];
 }
 
-// Recorded day of xela-labels-ops: machines came up and fetched images, and the rounds that wrote
-// these down spent writes ahead of time. Submissions waited up to 0.95 s for the limit to recover.
+// Recorded day of xela-labels-ops: machines came up and fetched images, and the commits that
+// recorded these spent writes ahead of time. Submissions waited up to 0.95 s for the limit to
+// recover.
 TEST(Commit, SubmissionsDoNotWaitForBackgroundWrites) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 1'200);
     plan.scale = 16;
-    plan.loss = 0;  // an answer that is lost for good takes a second to be missed
+    plan.loss = 0;  // a response that is lost for good takes a second to be missed
     SimulatedRegion region(plan);
     region.run_until(1'000);
     pcg32 random(seed);
@@ -31,7 +32,7 @@
     }
     const std::vector<Time>& delays = region.submission_delays();
     ASSERT_GT(delays.size(), 500U);
-    // The answer takes some 10 ms; one message in 200 takes up to 400 ms.
+    // The response takes some 10 ms; one message in 200 takes up to 400 ms.
     EXPECT_LE(quantile(delays, 0.9), 100) << "seed " << seed;
     region.run();
     EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -1,5 +1,5 @@
 // Situations that a simulated day hardly reaches, set up by hand: a checkpoint left by a former
-// leader, and reports made to measure.
+// leader, and hand-made heartbeats.
 #include <gtest/gtest.h>
 
 #include "support/controller_driver.hpp"
@@ -24,8 +24,8 @@
   return {{job, index}, 1, RunState::Exited, ExitCause::Done, false};
 }
 
-// Two machines report the same task after a take-over, and the settings no longer name its team:
-// the second is told to stop it. Counting it against its team once ended the process.
+// Two machines report the same task after a failover, and the settings no longer name its team: the
+// second is told to stop it. Counting it against its team once ended the process.
 TEST(Controller, AnOrphanedAttemptOfATeamThatIsNoLongerNamedIsStopped) {
   ControllerDriver driver(settings_without_peers());
   JobRecord record = started_job("job-1", 2);
@@ -47,9 +47,9 @@
   EXPECT_EQ(driver.checkpoint().jobs.at("job-1").phase, Phase::Done);
 }
 
-// A job whose bitmap doesn't fit into a round waits for the next, while the round moves other jobs
-// of its shard there. The shard has to hold it as committed: written from memory, other nodes would
-// read that it is done before that is so.
+// A job whose bitmap doesn't fit into a checkpoint commit waits for the next, while the commit
+// moves other jobs of its shard there. The shard has to hold it as committed: written from memory,
+// other controllers would read that it is done before that is so.
 TEST(Controller, AShardHoldsAPostponedJobAsCommitted) {
   constexpr std::uint32_t kLarge = 100'000;
   constexpr std::uint32_t kPieces = (kLarge + kPieceBits - 1) / kPieceBits;
--- a/tests/day_test.cpp
+++ b/tests/day_test.cpp
@@ -1,4 +1,4 @@
-// Whole simulated days with seeded troubles: the rules are checked after each step.
+// Whole simulated days with seeded faults: the rules are checked after each step.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -8,8 +8,8 @@
 namespace sailreel::sim {
 namespace {
 
-// Plays the rest of the day. Troubles end well before it does: by then every array that was
-// accepted is over.
+// Runs the rest of the day. Faults end well before it does: by then every array that was accepted
+// is over.
 void expect_kept(SimulatedRegion& region, const SimulationPlan& plan) {
   region.run();
   region.checker().end();
@@ -33,7 +33,7 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, SeededDay, ::testing::Range<std::uint64_t>(1, 81),
                          ::testing::PrintToStringParamName());
 
-// The same with a third of gangs: their workers wait, start and stop together.
+// The same with a third of gangs: their tasks wait, start and stop together.
 class GangDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(GangDay, KeepsTheRules) {
@@ -49,7 +49,7 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, GangDay, ::testing::Range<std::uint64_t>(1, 61),
                          ::testing::PrintToStringParamName());
 
-// Some 200 machines and hundreds of jobs, under crashes, cuts and waves.
+// Some 200 machines and hundreds of jobs, under crashes, partitions and waves.
 class LargeDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(LargeDay, KeepsTheRules) {
@@ -69,7 +69,7 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, LargeDay, ::testing::Range<std::uint64_t>(1, 4),
                          ::testing::PrintToStringParamName());
 
-// Some 800 machines, under the same troubles: the rules hold, and what is looked at for a report
+// Some 800 machines, under the same faults: the rules hold, and what is examined per heartbeat
 // doesn't grow with the fleet.
 TEST(FleetDay, KeepsTheRules) {
   SimulationPlan plan;
--- a/tests/delayed_heartbeats_test.cpp
+++ b/tests/delayed_heartbeats_test.cpp
@@ -1,5 +1,5 @@
-// Reports that the network holds back for longer than a lease: they arrive after their machine's
-// tasks have ended and were placed anew, and say nothing of the present.
+// Heartbeats that the network delays for longer than a lease: they arrive after their machine's
+// tasks have ended and were rescheduled, and say nothing of the present.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -23,15 +23,15 @@
   return found == jobs.end() ? 0 : found->second->per_zone.size();
 }
 
-// Incident: an array that is bound to one zone lost all its machines to a cut of the network. Some
-// of its tasks were placed in another zone, the others waited. At the end of the cut the machines'
-// reports of before arrived, and the array was taken to be in both zones.
+// Incident: an array that is bound to one zone lost all its machines to a network partition. Some
+// of its tasks were placed in another zone, the others waited. When the partition ended, the
+// machines' earlier heartbeats arrived, and the array was considered to be in both zones.
 TEST(DelayedHeartbeats, AnArrayBoundToAZoneIsNotTakenToBeInTwo) {
   SimulationPlan plan = quiet(3);
   plan.scale = 2;
   SimulatedRegion region(plan);
   region.run_until(1'000);
-  // All of one zone but a few places is taken; the array goes to the other.
+  // All but a few places of one zone are taken; the array goes to the other.
   for (std::size_t n = 0; n < 43; ++n) {
     JobSpec s = service(job_id(n), 2);
     s.zone = "zb";
@@ -62,11 +62,12 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-/// What a seeded day of machine cuts has beside them.
+/// Options of a seeded day of machine partitions.
 struct CutDay {
   /// Jobs of all kinds: arrays bound to a zone, spread services, gangs.
   bool mixed_jobs = false;
-  /// A second trouble in each round: of reports, machines, zones, controllers or the state service.
+  /// A second fault in each round: of heartbeats, machines, zones, controllers or the key-value
+  /// store.
   bool more_faults = false;
 };
 
@@ -113,8 +114,8 @@
 }
 
 // Machines lose the network again and again, each time for longer than a lease, and what they sent
-// arrives when they are back; meanwhile leaders end. Arrays that are bound to one zone are placed
-// anew all the time.
+// arrives when they are back; meanwhile leaders end. Arrays that are bound to one zone are
+// rescheduled all the time.
 void play_machine_cuts(std::uint64_t seed, const CutDay& day) {
   SimulationPlan plan = quiet(seed * 31);
   plan.length = 480'000;
@@ -151,7 +152,7 @@
   expect_nothing_left(region, seed);
 }
 
-// In CI a few days; a long run by hand takes more of them.
+// A few days in CI; a long run by hand takes more of them.
 std::uint64_t days_to_play(std::uint64_t usual) {
   const char* wanted = std::getenv("SAILREEL_SOAK_DAYS");
   return wanted == nullptr ? usual : std::strtoull(wanted, nullptr, 10);
--- a/tests/election_history_test.cpp
+++ b/tests/election_history_test.cpp
@@ -1,4 +1,5 @@
-// Leases are short as long as leaders change seldom, and double with each change too many.
+// Leases are short while leader changes are rare, and double with each change above the usual
+// number.
 #include "controller/election_history.hpp"
 
 #include <gtest/gtest.h>
@@ -42,7 +43,7 @@
   EXPECT_EQ(history.lease_length(8'000, kLongest, 1'000), 8'000);
 }
 
-// Against a look at all that was ever heard: epochs may be heard of late, twice and out of order.
+// Compared with a scan of all observed epochs: epochs may be observed late, twice and out of order.
 TEST(ElectionHistory, CountsWhatALookAtAllCounts) {
   fix_cases(500);
   const bool held = rc::check([] {
@@ -55,7 +56,7 @@
       const auto epoch = *rc::gen::inRange<std::uint64_t>(1, 30);
       history.note(epoch, now);
       heard.emplace_back(epoch, now);
-      // The highest epoch of before the span; if none was heard then, the first of all.
+      // The highest epoch before the span; if none was observed then, the first of all.
       std::uint64_t highest = 0, before = heard.front().first;
       for (const auto& [other, at] : heard) {
         highest = std::max(highest, other);
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -1,6 +1,6 @@
-// Changes of leader where a second trouble meets them. Each scene is named after its combination in
-// docs/fault-combinations.md, and played with several seeds among the same crowd of jobs, whose
-// users look closely all the time. Afterwards nothing may be left waiting or unanswered.
+// Failovers that coincide with a second fault. Each scenario is named after its combination in
+// docs/fault-combinations.md, and runs with several seeds among the same mix of jobs, whose users
+// poll closely all the time. Afterwards nothing may be left waiting or unanswered.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -49,7 +49,7 @@
     {"AReportIsHeldUntilANewLeaderHasActed",
      [](SimulatedRegion& w, std::uint64_t) {
        for (int round = 0; round < 3; ++round) {
-         // What the machines send to the leader arrives there when it has long been followed.
+         // What the machines send to the leader arrives there long after its successor was elected.
          const std::size_t old_leader = leader_of(w);
          for (const auto& m : busy_machines(w)) w.cut(node_name(old_leader), m, 15'000, true);
          w.cut(node_name(old_leader), "state", 15'000, true);
@@ -105,7 +105,7 @@
      [](SimulatedRegion& w, std::uint64_t) {
        w.delay_heartbeats(0.4, 60'000);
        for (int round = 0; round < 3; ++round) {
-         // Sessions change as leases run out, attempts as tasks move.
+         // Incarnations change as leases expire, attempts as tasks move.
          for (const auto& m : busy_machines(w))
            if (m.back() % 2 == 0) cut_off(w, m, 13'000, true);
          w.run_until(w.now() + 10'000);
--- a/tests/federation_test.cpp
+++ b/tests/federation_test.cpp
@@ -1,5 +1,5 @@
-// Days of several regions that share teams' limits: where the demand is, shares go; and whatever
-// fails, no team is above its limit over all regions, and no share appears or vanishes.
+// Days of several regions that share teams' limits: shares move to where the demand is; and
+// whatever fails, no team is above its limit over all regions, and no share appears or vanishes.
 #include <gtest/gtest.h>
 
 #include "sim/federated_day.hpp"
@@ -28,7 +28,7 @@
   return spec;
 }
 
-// So much of one region's machines are for the team that its limit is what binds.
+// Enough of one region's machines are for the team that its limit is what binds.
 void add_machines(SimulationPlan& day) {
   Deployment deployment = sample_deployment(day);
   for (const char* zone : {"za", "zb"}) deployment.capacity[{zone, false}] = 12;
@@ -84,7 +84,7 @@
       since.erase(it);
     }
   };
-  // Work of a team without a limit keeps machines at hand, so that share alone is waited for.
+  // Work of a team without a limit keeps machines up, so that only the share is waited for.
   JobSpec warm = replicas("job-900", 16, Priority::Low);
   warm.team = "guest";
   asking.submit(warm);
@@ -131,7 +131,7 @@
   EXPECT_EQ(day.broken(), "");
 }
 
-// Work of the same importance gets nothing that is in use elsewhere: so share can't go back and
+// Work of the same importance gets nothing that is in use elsewhere: so shares can't go back and
 // forth between two regions that both want all of it.
 /// Numbers of the last transfers between region 0 and region 1, both ways.
 std::pair<std::uint64_t, std::uint64_t> transfers(const FederatedDay& day) {
@@ -165,7 +165,7 @@
     day.run_until(12'000);
     for (std::size_t n = 0; n < 25; ++n)
       day.region(0).submit(replicas(job_id(n), 1, Priority::Normal));
-    // Transfers are under way when the regions lose each other.
+    // Transfers are in flight when the regions lose each other.
     day.run_until(12'000 + static_cast<Time>(seed) * 50);
     under_way += day.in_transit("red").none() ? 0 : 1;
     day.cut(0, 1, 90'000, seed % 2 == 0);
@@ -209,7 +209,7 @@
   day.cut(0, 1, 30'000, false);
   for (std::size_t n = 0; n < 2; ++n) day.region(n).change_team_limit("red", 20);
   day.run_until(70'000);
-  // What runs goes on, and what it uses beyond the new limit is excess.
+  // Running tasks continue, and what they use beyond the new limit is excess.
   EXPECT_GT(day.ledger(0).teams.at("red").excess.gpus, 0);
   EXPECT_EQ(day.broken(), "");
   for (std::size_t n = 0; n < 2; ++n) day.region(n).cancel("job-1");
@@ -289,7 +289,7 @@
     day.jobs = 30;
   };
   FederatedDay day(plan);
-  // Bursts of one team now here, now there, of which some is cancelled.
+  // Bursts of one team, now in one region, now in the other, some of them cancelled.
   pcg32 random(seed * 31);
   for (std::size_t n = 0; n < 24; ++n) {
     SimulatedRegion& region = day.region(random(static_cast<std::uint32_t>(day.regions())));
--- a/tests/federation_upgrade_test.cpp
+++ b/tests/federation_upgrade_test.cpp
@@ -1,5 +1,5 @@
-// The version in production beside controllers that share limits: nothing of shares is written and
-// nothing moves before all of a region's controllers know of them.
+// The version in production beside controllers that share limits: no share is written and nothing
+// moves before all of a region's controllers support shared limits.
 #include <gtest/gtest.h>
 
 #include "production/production_controller.hpp"
--- a/tests/fixed_limits_test.cpp
+++ b/tests/fixed_limits_test.cpp
@@ -1,5 +1,5 @@
-// What binds as fleets grow follows the settings: pages of lists, sockets, and what is said where
-// the settings' limits can't carry the deployment that they describe.
+// Limits that bind as fleets grow follow the settings: pages of lists, sockets, and the warning
+// where the settings' limits can't carry the deployment that they describe.
 #include <gtest/gtest.h>
 
 #include "controller/capacity_check.hpp"
@@ -11,7 +11,7 @@
 namespace {
 
 // The list of 1,200 machines has three pages, the cloud takes two requests a second. The list was
-// begun anew after each page that the rate didn't allow, and its end was never read.
+// restarted after each page that the rate limit didn't allow, and its end was never read.
 TEST(FixedLimits, AListOfManyPagesIsReadToItsEnd) {
   constexpr std::size_t kUnexpected = 1'200;
   SimulationPlan plan = quiet(31);
@@ -19,7 +19,7 @@
   for (Settings& settings : deployment.controllers) settings.cloud_limits.rps = 2;
   plan.deployment = deployment;
   SimulatedRegion region(plan);
-  // As a rental that is carried out late leaves them; none of them ever comes up.
+  // As a scale-out request that is carried out late leaves them; none of them ever comes up.
   for (std::size_t n = 0; n < kUnexpected; ++n) {
     CloudMachine m;
     m.name = "m-" + std::to_string(500'000 + n);
@@ -36,7 +36,7 @@
 }
 
 // More machines are out of reach than inquiries have sockets. One that dies elsewhere is still
-// asked in its turn, and returned well before its lease has run out.
+// asked in its turn, and terminated well before its lease has expired.
 TEST(FixedLimits, ADeadMachineIsFoundBesideManyOutOfReach) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 40);
@@ -73,7 +73,8 @@
   }
 }
 
-// As many users wait for a round as have sockets at the controllers, not a fixed number.
+// As many users wait for a checkpoint commit as have sockets at the controllers, not a fixed
+// number.
 TEST(FixedLimits, AsManySubmissionsWaitAsThereAreSockets) {
   Settings settings = settings_without_peers();
   settings.limits.sockets = 3'000;
@@ -81,7 +82,7 @@
   driver.set_types({sample_type()});
   driver.run_for(2'000);
   ASSERT_TRUE(driver.controller().leading());
-  // All at one moment: once the burst of writes is spent, they wait for the next round.
+  // All at one moment: once the burst of writes is spent, they wait for the next commit.
   const auto body = [](std::size_t n) { return encode_submission(array(job_id(n), 1, 5)); };
   std::size_t refused = 0;
   for (std::size_t n = 0; n < 2'500; ++n) refused += driver.submit(body(n)) == 503 ? 1 : 0;
@@ -90,8 +91,8 @@
   EXPECT_GT(refused, 0U) << "those beyond the sockets are refused at once";
 }
 
-// Attempt numbers of an epoch would run into those of the next. The leader makes room for another
-// before, and the work goes on under that one.
+// Attempt numbers of an epoch would run into those of the next. The leader resigns before that, and
+// the work continues under the next epoch.
 TEST(FixedLimits, UsedUpAttemptNumbersChangeTheLeader) {
   SimulationPlan plan = quiet(51);
   plan.options.attempts_per_epoch = 60;
@@ -150,7 +151,8 @@
   EXPECT_GT(described_machines(settings, {without_gpus}), 1e9) << "no number of them is enough";
 }
 
-// A deployment that its limits can't carry starts all the same, and says so once for each leader.
+// A deployment that its limits can't carry starts all the same, and a warning is logged once per
+// leader.
 TEST(FixedLimits, TooLowALimitIsOneWarningLine) {
   Settings settings = settings_without_peers();
   settings.teams = {{"red", 0, 0, 32'000, 40'000}};
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -1,5 +1,6 @@
-// Gangs: the state machine and the distribution of tasks by themselves, and scenes of the simulated
-// world in which a gang is lost, stopped, taken over or cancelled in each of its phases.
+// Gangs: unit tests of the state machine and of the distribution of tasks, and scenarios of the
+// simulated region in which a gang is lost, preempted, adopted after a failover or cancelled in
+// each of its phases.
 #include "controller/gang.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +28,7 @@
   EXPECT_EQ(gang.decide(whole(4), 10), GangDecision::Wait);
   EXPECT_EQ(gang.phase(), GangPhase::Gathering);
   view = whole(4);
-  view.running = 1;  // the other reports come later
+  view.running = 1;  // the other heartbeats come later
   EXPECT_EQ(gang.decide(view, 20), GangDecision::Wait);
   EXPECT_EQ(gang.phase(), GangPhase::Running);
 }
@@ -87,7 +88,7 @@
   view.unsent = 4;
   view.overdue = true;
   EXPECT_EQ(gang.decide(view, 0), GangDecision::Unplace);
-  view.unsent = 3;  // one start has left
+  view.unsent = 3;  // one start was sent
   EXPECT_EQ(gang.decide(view, 1), GangDecision::Wait);
 }
 
@@ -118,7 +119,7 @@
   EXPECT_EQ(plan_gang(machines, 7, zones).missing, 1U);
 }
 
-// ---- scenes ----
+// ---- scenarios ----
 
 constexpr std::uint64_t kSeeds = 6;
 
@@ -140,7 +141,7 @@
     region.submit(gang("job-2", 5, 6, 15));
     region.submit(gang("job-3", 4, 2, 10));
     region.run_until(region.now() + 50);
-    // From now on their users look closely, and call some jobs off as these end.
+    // From now on their users poll closely, and cancel some jobs as these end.
     region.poll_closely(plan.length);
     scene.play(region, seed);
     region.run_until(region.now() + 60'000);
@@ -150,7 +151,7 @@
   }
 }
 
-/// Lets the world go on until a task of the job is somewhere, and returns where.
+/// Runs the region until a task of the job is on a machine, and returns which.
 std::string wait_for_task(SimulatedRegion& region, const std::string& job) {
   for (const Time until = region.now() + 60'000; region.now() < until;) {
     const std::vector<std::string> machines = region.machines_of(job);
@@ -297,7 +298,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Scenes, GangScene, ::testing::ValuesIn(kScenes), scenario_name);
 
-// An orderly stop keeps what was reached: the next attempt goes on from there.
+// A stop with a grace period keeps the progress: the next attempt continues from there.
 TEST(GangStops, ANoticeOnOneMachineSavesTheProgressOfAll) {
   SimulatedRegion region(quiet(3));
   region.run_until(1'000);
@@ -312,7 +313,7 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// A gang that needs exactly its team's limit runs, and one that needs more is refused.
+// A gang that needs exactly its team's limit runs, and one that needs more is rejected.
 TEST(GangLimits, ATeamExactlyAtItsLimit) {
   SimulatedRegion region(quiet(4));
   region.run_until(1'000);
@@ -335,7 +336,7 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// All at the same time, and at most half of them in a zone: in one zone that can't be.
+// All at the same time, and at most half of them in a zone: impossible in one zone.
 TEST(GangLimits, AGangThatCanNeverRunIsRefused) {
   SimulatedRegion region(quiet(5));
   region.run_until(3'000);
@@ -361,7 +362,7 @@
   EXPECT_LT(status_of(spec), 300);
 }
 
-/// A leader that has just taken over a gang of two, which runs on two machines.
+/// A leader after a failover, with a gang of two that runs on two machines.
 std::unique_ptr<ControllerDriver> with_gang_of_two() {
   auto driver = std::make_unique<ControllerDriver>(settings_without_peers());
   JobRecord record;
@@ -395,7 +396,7 @@
   EXPECT_EQ(running("m-2", 2, 1).find("kill"), std::string::npos);
 }
 
-// One task is done, and the other's machine says that its mate is gone: both are done.
+// One task is done, and the other's machine says that the first is gone: both are done.
 TEST(GangFailover, OneTaskThatIsDoneSaysItOfAll) {
   const auto driver = with_gang_of_two();
   driver->heartbeat(heartbeat_of("m-1", 1, {member(0, 2, RunState::Running)}));
@@ -410,14 +411,14 @@
   EXPECT_EQ(driver->heartbeat(heartbeat_of("m-3", 2, {})).find("start"), std::string::npos);
 }
 
-// A gang that needs whole machines doesn't wait for as long as single tasks come that take any room
-// which is left.
+// A gang that needs whole machines doesn't wait for as long as single tasks arrive that take any
+// room that is left.
 TEST(GangRoom, AGangDoesNotStarveBehindSingleTasks) {
   SimulationPlan plan = quiet(6);
   plan.length = 600'000;
   SimulatedRegion region(plan);
   region.run_until(1'000);
-  // A little more than the machines can do.
+  // A little more than the machines can run.
   constexpr std::size_t kFirst = 10, kLast = 150, kGangAfter = 60;
   for (std::size_t n = kFirst; n < kLast; ++n) {
     JobSpec single = array(job_id(n), 8, 8);
@@ -437,7 +438,7 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Machines for a gang that has to be in one zone are rented in that zone alone.
+// Machines for a gang that has to be in one zone are launched in that zone alone.
 TEST(GangRoom, MachinesAreLaunchedInTheGangsZone) {
   SimulatedRegion region(quiet(7));
   region.run_until(1'000);
@@ -457,8 +458,8 @@
   EXPECT_LE(most, 5U);
 }
 
-// Gangs that need most of a zone each, among single tasks that come all the time: none starves, and
-// none holds room that another waits for.
+// Gangs that need most of a zone each, among single tasks that arrive all the time: none starves,
+// and none holds room that another waits for.
 TEST(GangRoom, SwarmsOfGangsAndSingleTasksAllGetOn) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SimulationPlan plan = quiet(seed);
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,5 +1,5 @@
-// Fleets of thousands of machines: the rules hold through a cold start, a take-over and the loss of
-// a zone, and what is looked at grows with the fleet, not with its square.
+// Fleets of thousands of machines: the rules hold through a cold start, a failover and the loss of
+// a zone, and what is examined grows with the fleet, not with its square.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -12,7 +12,7 @@
 
 constexpr std::uint32_t kMachinesPerScale = 12;
 
-/// A day of a fleet of about so many machines, whose services have grown with it.
+/// A day of a fleet of about `machines` machines, whose services have grown with it.
 SimulationPlan large_day(std::uint32_t machines, std::uint64_t seed) {
   constexpr double kWritesPerMachine = 0.1;
   SimulationPlan plan = quiet(seed);
@@ -33,7 +33,7 @@
 }
 
 /// Two jobs for every three machines within ten seconds: replicas of two priorities, and arrays
-/// that end and are stopped for what comes after them.
+/// that end and are preempted for later jobs.
 void submit_burst(SimulatedRegion& region, std::uint32_t machines, std::uint64_t seed) {
   constexpr std::uint32_t kImages = 6;
   pcg32 random(seed);
@@ -85,7 +85,7 @@
   EXPECT_LT(slope(middle, large), 1.25);
 }
 
-/// Of the controllers that are up, the one that leads and is done with its rebuild.
+/// The running controller that leads and has finished reconciliation; null if there is none.
 const Controller* settled_leader(const SimulatedRegion& region) {
   if (region.leader() < 0) return nullptr;
   const Controller* controller = region.controller(leader_of(region));
@@ -95,7 +95,7 @@
              : nullptr;
 }
 
-/// The simulated time until a leader is done with its rebuild.
+/// The simulated time (ms) until a leader has finished reconciliation.
 Time time_to_reconcile(SimulatedRegion& region, Time most) {
   constexpr Time kStep = 50;
   const Time began = region.now();
@@ -105,7 +105,7 @@
 }
 
 // Combination: 4,000 machines and more start cold; then the leader ends, and a zone with half of
-// the machines. What may run, runs again once what was rented instead is up.
+// the machines. What may run, runs again once replacement machines are up.
 TEST(LargeFleet, AColdStartAFailoverAndALostZone) {
   constexpr std::uint32_t kMachines = 6'000;
   SimulationPlan plan = large_day(kMachines, 8);
@@ -134,8 +134,8 @@
   std::uint32_t running = 0;
   for (const auto& [id, job] : leader->tables().jobs) running += job->running;
   EXPECT_GT(running, kMachines);
-  // Since `calm`: nothing waits that could start, within its team's limit. What is asked for is
-  // more than the limits, so arrays may still wait.
+  // Since `calm`: nothing waits that could start within its team's limit. The requests exceed the
+  // limits, so arrays may still wait.
   region.checker().end();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   EXPECT_EQ(region.malformed_answers(), 0U);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,5 +1,5 @@
-// Values of the checkpoint under limits that are lower than what is stored, and that are lower than
-// the settings say.
+// Checkpoint values under limits that are lower than what is stored, and that are lower than the
+// settings say.
 #include <gtest/gtest.h>
 
 #include "protocol/fake_server_codec.hpp"
@@ -32,7 +32,7 @@
   return record;
 }
 
-// The former leader's head is three times as large as may be written now.
+// The former leader's manifest is three times as large as may be written now.
 TEST(LowerLimits, ALargeHeadIsDividedAndNothingOfItIsLost) {
   constexpr std::uint64_t kLeastOperations = 3;
   Settings settings = low_limits();
@@ -55,12 +55,12 @@
 }
 
 // A stored shard that is too large is left as it is, and a job of it that changes goes to a shard
-// with a higher number: there older versions look for the latest record too.
+// with a higher number: older versions look for the latest record there too.
 TEST(LowerLimits, AJobOfALargeShardMovesToAHigherOneWhenItChanges) {
   ControllerDriver driver(low_limits());
   std::vector<std::string> records;
   for (std::size_t n = 0; n < 40; ++n) {
-    // Its tasks may be on the machine below, which doesn't answer: a cancellation lasts.
+    // Its tasks may be on the machine below, which doesn't respond: a cancellation takes long.
     JobRecord record = record_of(n, 8);
     record.started = 8;
     records.push_back(encode_record(record));
@@ -83,7 +83,7 @@
     EXPECT_GE(checkpoint.shard_of.at(job_id(n)), 2U) << n;
     moved += checkpoint.shard_of.at(job_id(n)) > 2 ? 1 : 0;
   }
-  EXPECT_GT(moved, 4U);  // the others' changes are still in the head
+  EXPECT_GT(moved, 4U);  // the others' changes are still in the manifest
   EXPECT_FALSE(checkpoint.jobs.at(job_id(35)).cancel_asked);
 }
 
@@ -116,7 +116,8 @@
   EXPECT_TRUE(merged.test(3) && merged.test(7) && merged.test(8'500));
 }
 
-// The settings don't say how low the limits are: a refused round is followed by smaller ones.
+// The settings don't say how low the limits are: a rejected checkpoint commit is followed by
+// smaller ones.
 TEST(LowerLimits, ARejectedCommitIsFollowedBySmallerOnes) {
   ControllerDriver driver(settings_without_peers());
   lower_limits(driver);
@@ -153,7 +154,7 @@
   EXPECT_EQ(driver.submit(encode_submission(spec)), 201);
 }
 
-// Names as long as they may be: more than the head has room for beside the rest.
+// Names of the greatest permitted length: more than the manifest has room for beside the rest.
 TEST(LowerLimits, ALargeDescriptionThatFitsAValueIsTaken) {
   ControllerDriver driver(low_limits());
   driver.set_types({sample_type()});
@@ -175,7 +176,7 @@
   EXPECT_EQ(driver.checkpoint().jobs.size(), 5U);
 }
 
-// While the cloud doesn't answer, requests to rent pile up; they lie in the head.
+// While the cloud doesn't respond, scale-out requests pile up; they are stored in the manifest.
 TEST(LowerLimits, OpenRentalsNeverOutgrowTheHead) {
   SimulationPlan plan = quiet(8);
   plan.next_value_kb = 1;
@@ -191,7 +192,7 @@
     region.run_until(region.now() + 600);
   }
   region.cloud().outage = false;
-  // All are taken in all the time, although nothing can be rented.
+  // All are accepted all the time, although no instance can be launched.
   EXPECT_GE(region.submission_delays().size(), 58U);
   region.run_until(110'000);
   EXPECT_EQ(region.state().malformed, 0U);
@@ -203,7 +204,7 @@
   shards.add("job-1", 0, 10);
   shards.add("job-2", 4, 10);
   shards.close(4);
-  EXPECT_EQ(shards.place("job-1", 10), 0U);  // where it lies
+  EXPECT_EQ(shards.place("job-1", 10), 0U);  // where it is stored
   EXPECT_GT(shards.place("job-2", 10), 4U);
   EXPECT_GT(shards.place("job-3", 10), 4U);
 }
--- a/tests/machine_ranking_test.cpp
+++ b/tests/machine_ranking_test.cpp
@@ -1,4 +1,4 @@
-// Property tests: a ranking that is kept up to date gives what a look at all machines would.
+// Property tests: an incrementally updated ranking gives what a scan of all machines would.
 #include "controller/machine_ranking.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 using Ranking = MachineRanking<int>;
 
-/// Machines with a score for the kind of job, and what one job has against some of them.
+/// Machines with a score for the kind of job, and one job's penalties on some of them.
 struct Fleet {
   std::vector<MachineRating<int>> ratings;
   std::vector<std::string> zones;
@@ -51,7 +51,7 @@
   return fleet;
 }
 
-/// Another job of the kind asks: it minds other machines and zones than the one before.
+/// Another job of the kind: its penalties and zones differ from those of the one before.
 void next_job(Fleet& fleet) {
   for (int& penalty : fleet.own_penalties) penalty = *rc::gen::inRange(0, 4) / 2;
   fleet.closed_zones.clear();
@@ -90,8 +90,8 @@
   bool operator==(const Kind&) const = default;
 };
 
-// Of the kinds that a pass has seen, so many are kept; one that is asked for again later is ranked
-// anew, as things stand then.
+// Only so many kinds of a pass are kept; one that is used again later is ranked again by the
+// current state.
 TEST(MachineRanking, KindsBeyondTheMostAreRankedAgain) {
   std::vector<Machine> machines(3);
   RankingsByKind<Kind, double> rankings(&Machine::open_index);
--- a/tests/peer_table_test.cpp
+++ b/tests/peer_table_test.cpp
@@ -1,4 +1,4 @@
-// What is known of the other controllers, by itself.
+// Unit tests of what a controller knows of its peers.
 #include "controller/peer_table.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -14,8 +14,8 @@
   };
 }
 
-// The paper's interleaving: a task finishes, the leader is lost before the checkpoint says so, and
-// reports of the old epoch come late. Nothing may run twice, and nothing may be lost.
+// The design paper's interleaving: a task finishes, the leader is lost before the checkpoint says
+// so, and heartbeats of the old epoch come late. Nothing may run twice, and nothing may be lost.
 TEST(Interleaving, FinishThenLeaderLossThenLateAcknowledgement) {
   constexpr int kInjections = 200;
   int injected = 0, violations = 0, unfinished = 0;
@@ -44,8 +44,8 @@
   EXPECT_EQ(unfinished, 0);
 }
 
-// Hunted on simulated machines: finished jobs were rewritten in the long form with their shard, and
-// counted as unfinished after a take-over.
+// Found on simulated machines: finished jobs were rewritten in the long form with their shard, and
+// counted as unfinished after a failover.
 TEST(Incident, FinishedJobsStayFinishedAcrossFailovers) {
   SimulationPlan plan = quiet(7);
   plan.jobs = 60;
@@ -58,7 +58,7 @@
     ASSERT_GE(leader, 0);
     unfinished = region.controller(static_cast<std::size_t>(leader))->tables().jobs.size();
     region.kill(static_cast<std::size_t>(leader), 6'000);
-    // Seen at the moment of the take-over, before the new leader tidies up.
+    // Seen at the moment of the failover, before the new leader tidies up.
     while (region.leader() < 0) region.run_until(region.now() + 5);
     const int next = region.leader();
     EXPECT_LE(region.controller(static_cast<std::size_t>(next))->tables().jobs.size(), unfinished);
@@ -68,8 +68,8 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Hunted on simulated machines: a look-up begun by a candidate was answered 404 from the picture
-// that winning had just emptied. Every poll here goes to nodes in the middle of an election.
+// Found on simulated machines: a lookup begun by a candidate was answered 404 from the snapshot
+// that winning had just emptied. Every poll here goes to controllers in the middle of an election.
 TEST(Incident, PollsDuringAnElectionNeverFindNothing) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedRegion region(quiet(seed));
@@ -85,7 +85,7 @@
   }
 }
 
-// A controller that has lost the state service and the others, but not its workers, must not keep
+// A controller that has lost the key-value store and its peers, but not its workers, must not keep
 // them: once the new leader has reached them, they turn to it within their lease.
 TEST(Incident, AnIsolatedLeaderLetsItsWorkersGo) {
   SimulatedRegion region(quiet(3));
@@ -105,9 +105,9 @@
   EXPECT_EQ(starts, 0) << "replicas were lost and had to be started again";
 }
 
-// Seen on xela-labels-fleet (simulated machines): a zone was cut off for 2.4 leases, and all of its
-// tasks ended, though a controller in it heard their machines. Whether the leader is in the zone or
-// outside, that controller now keeps them alive, and nobody starts them elsewhere.
+// Seen on xela-labels-fleet (simulated machines): a zone was partitioned for 2.4 leases, and all of
+// its tasks ended, though a controller in it heard their machines. Whether the leader is in the
+// zone or outside, that controller now keeps them alive, and nobody starts them elsewhere.
 TEST(Incident, AZoneThatIsCutOffKeepsItsTasks) {
   constexpr std::uint64_t kSeeds = 12;
   for (std::uint64_t scene = 0; scene < kSeeds * 4; ++scene) {
@@ -144,8 +144,8 @@
 TEST(Incident, AZoneThatStaysAwayIsReplaced) {
   SimulationPlan plan = quiet(19);
   plan.length = 160'000;
-  // Two messages lost for good end the lease of a machine within reach as well, as its worker goes
-  // by way of the node that is cut off; TCP would send them again.
+  // Two messages lost for good end the lease of a machine within reach as well, as its heartbeats
+  // pass through the partitioned controller; TCP would send them again.
   plan.loss = 0;
   SimulatedRegion region(plan);
   region.run_until(1'000);
@@ -203,8 +203,8 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Recorded incident: the leader lost workers and siblings, but not the state service, so it kept
-// its lease while every worker's ran out.
+// Recorded incident: the leader lost workers and peers, but not the key-value store, so it kept its
+// lease while every worker's expired.
 TEST(Incident, ALeaderThatHearsNoWorkerGivesWay) {
   SimulatedRegion region(quiet(8));
   region.run_until(1'000);
@@ -226,7 +226,7 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// An outage of the state service that outlasts a worker's lease takes no task with it.
+// An outage of the key-value store that outlasts a worker's lease ends no task.
 TEST(Incident, AnOutageOfTheStateServiceKeepsTasksAlive) {
   SimulatedRegion region(quiet(4));
   region.run_until(1'000);
@@ -240,9 +240,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// In an outage no node is better off than another, and all stay on the balancer's list: off it,
-// users found no node for seconds after the outage was over. A node that alone has lost everything
-// leaves.
+// In an outage no controller is better off than another, and all stay on the balancer's list: off
+// it, users found no controller for seconds after the outage was over. A controller that alone has
+// lost everything leaves.
 TEST(Incident, NodesStayHealthyInAnOutageNotWhenCutOff) {
   const auto healthy = [](const SimulatedRegion& region, std::size_t node) {
     return region.controller(node)->healthy(region.now() + 1'000'000);
@@ -260,7 +260,7 @@
   EXPECT_TRUE(healthy(region, 1));
 }
 
-// Submissions in an outage of the state service are answered at once, and taken after it.
+// Submissions in an outage of the key-value store are answered at once, and accepted after it.
 TEST(Incident, SubmissionsInAnOutageAreAnsweredAtOnce) {
   SimulatedRegion region(quiet(9));
   region.run_until(5'000);
@@ -276,8 +276,8 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// A machine that hears nothing loses its tasks at its lease's end, although its reports still
-// arrive. They run elsewhere afterwards, and never at the same time.
+// A machine that receives nothing loses its tasks when its lease expires, although its heartbeats
+// still arrive. They run elsewhere afterwards, and never at the same time.
 TEST(Incident, ADeafMachineIsNotCountedOn) {
   SimulatedRegion region(quiet(5));
   region.run_until(1'000);
@@ -301,7 +301,7 @@
 }
 
 // Only the first 64 waiting jobs used to be counted: most of a cold start was hidden from the
-// sizing of the fleet, and work of the lowest priority had no machines rented until all else ran.
+// autoscaler, and work of the lowest priority had no instances launched until all else ran.
 TEST(Size, AColdStartScalesOutForAllThatWaits) {
   SimulatedRegion region(quiet(10));
   for (int n = 0; n < 90; ++n) {
@@ -312,7 +312,7 @@
   region.run_until(3'000);
   region.submit(array("job-1", 8, 20));
   // Before any machine is up: 90 x 0.2 GPUs of services need three machines of 8, with headroom;
-  // the array, which comes last, needs a cheap one.
+  // the array, which comes last, needs a spot instance.
   region.run_until(6'000);
   std::size_t on_demand = 0, cheap = 0;
   for (const auto& [name, m] : region.cloud().machines) ++(m.spot ? cheap : on_demand);
@@ -320,8 +320,9 @@
   EXPECT_GE(cheap, 1U);
 }
 
-// Replicas end here and there, and no machine empties by itself: half the cost of a day's end.
-// Surplus machines are emptied, and a replica on its way is away for about a report's interval.
+// Replicas end here and there, and no machine becomes empty by itself: half the cost of a day's
+// end. Surplus machines are drained, and a migrating replica is down for about a heartbeat
+// interval.
 TEST(Fleet, SurplusMachinesAreEmptied) {
   SimulatedRegion region(quiet(15));
   region.run_until(1'000);
@@ -353,9 +354,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// The leader has a small share of a core, and a report comes from each machine every second: what
-// one costs must not grow with the jobs that wait. Seen at 200 machines: each waiting task was held
-// against each machine, in every pass.
+// The leader has a small share of a core, and a heartbeat comes from each machine every second: its
+// cost must not grow with the number of waiting jobs. Seen at 200 machines: each waiting task was
+// compared with each machine, in every pass.
 TEST(Size, WorkPerHeartbeatDoesNotGrowWithTheJobs) {
   const auto per_heartbeat = [](int jobs) {
     SimulationPlan plan = quiet(11);
@@ -368,7 +369,7 @@
       spec.image = "img-" + std::to_string(n % 4);
       spec.team = n % 2 == 0 ? "red" : "blue";
       spec.need.cpus = 1.8 + n % 7 * 0.05;
-      spec.spot = n % 3 == 0;  // beyond their guarantee, all would wait for cheap machines
+      spec.spot = n % 3 == 0;  // beyond their guaranteed quota, all would wait for spot instances
       region.submit(spec);
     }
     region.run_until(60'000);
@@ -387,8 +388,8 @@
   EXPECT_LT(many, 4 * few);
 }
 
-// Recorded incident: a machine that the former leader had returned, or that died with it, held up
-// the rebuild for its lease and the former leader's grace, 22 s.
+// Recorded incident: a machine that the former leader had terminated, or that died with it, held up
+// reconciliation for its lease and the former leader's grace, 22 s.
 TEST(Incident, AMachineThatDiedWithTheLeaderDoesNotHoldUpReconciliation) {
   SimulatedRegion region(quiet(12));
   region.run_until(1'000);
@@ -407,8 +408,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Recorded incident: reports that a cut had held back arrived at its end, just before those of the
-// machines' new sessions. The machines were taken for deaf, and got no work for two leases.
+// Recorded incident: heartbeats that a partition had delayed arrived at its end, just before those
+// of the machines' new incarnations. The machines were considered unable to receive, and got no
+// work for two leases.
 TEST(Incident, HeartbeatsThatACutHeldBackDoNotMakeAMachineDeaf) {
   SimulatedRegion region(quiet(13));
   region.run_until(1'000);
@@ -421,7 +423,7 @@
   int leader = region.leader();
   ASSERT_GE(leader, 0);
   const Controller* controller = region.controller(static_cast<std::size_t>(leader));
-  // All of one zone: with no other of it answering, they aren't taken for dead.
+  // All of one zone: with no other machine of it responding, they aren't considered dead.
   std::vector<std::string> cut;
   for (const auto& [name, m] : controller->tables().machines)
     if (m->heard_in_epoch && !m->empty() && m->zone == "za") cut.push_back(name);
@@ -440,9 +442,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// When zones are apart, a leader can't reach the machines of the other: a rule by the share of
-// silent machines alone returned healthy ones. Where others of the zone answer, the silent are
-// dead.
+// When zones are partitioned, a leader can't reach the machines of the other: a rule by the share
+// of silent machines alone terminated healthy ones. Where others of the zone respond, the silent
+// are dead.
 TEST(Incident, TheDeadAreToldFromTheUnreached) {
   SimulationPlan plan = quiet(16);
   plan.scale = 6;
@@ -472,7 +474,7 @@
 }
 
 // With more machines than sockets for inquiries, those that found none counted as failed: a
-// take-over took a second longer, and machines came a step nearer to being taken for dead.
+// failover took a second longer, and machines came a step nearer to being considered dead.
 TEST(Size, AFailoverWithManyMachinesIsReconciledAtOnce) {
   SimulationPlan plan = quiet(17);
   plan.scale = 17;
@@ -482,7 +484,7 @@
   for (int n = 0; n < 140; ++n) {
     JobSpec spec = array("job-" + std::to_string(1'000 + n), 10, 60);
     spec.team = n % 2 == 0 ? "red" : "blue";
-    spec.spot = false;  // beyond its guarantee, it would wait for cheap machines
+    spec.spot = false;  // beyond its guaranteed quota, it would wait for spot instances
     region.submit(spec);
   }
   region.run_until(45'000);
@@ -497,8 +499,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Seen on simulated machines: 19 MB in a node that had not looked at the checkpoint for minutes and
-// then asked for all changes since. What it asks for must not grow with the time.
+// Seen on simulated machines: 19 MB in a controller that had not looked at the checkpoint for
+// minutes and then requested all changes since. The size of its request must not grow with the
+// time.
 TEST(Incident, ALookUpAfterALongTimeReadsTheKeysNotTheChanges) {
   SimulationPlan plan = quiet(14);
   plan.scale = 17;
@@ -519,7 +522,7 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// A job of the largest size goes through the checkpoint and a take-over.
+// A job of the largest size goes through the checkpoint and a failover.
 TEST(Size, AJobOfAHundredThousandTasks) {
   SimulatedRegion region(quiet(6));
   region.run_until(1'000);
--- a/tests/slow_processor_test.cpp
+++ b/tests/slow_processor_test.cpp
@@ -1,6 +1,6 @@
 // Controllers on a small share of a processor: each step takes time by its counted work, inputs
-// queue up and timers fire late. Users look closely all the time, at all nodes. The rules hold, and
-// nothing is left waiting or unanswered afterwards.
+// queue up and timers fire late. Users poll closely all the time, at all controllers. The rules
+// hold, and nothing is left waiting or unanswered afterwards.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,12 +13,12 @@
 
 constexpr std::uint64_t kSeeds = 4;
 constexpr std::size_t kJobs = 16;
-/// Inputs wait for at least so long at some moment, as the fleet comes up and again in each scene
-/// that does anything: the processor is slow indeed.
+/// In ms. Inputs wait for at least this long at some moment, as the fleet comes up and again in
+/// each scenario that does anything: the processor is slow indeed.
 constexpr Time kLeastWait = 100;
-/// When the fleet is up and full.
+/// In ms. When the fleet is up and full.
 constexpr Time kBegin = 55'000;
-/// So many times slower, a controller's leases of the usual length run out.
+/// Slowed down by this factor, a controller's leases of the usual length expire.
 constexpr double kSlowFactor = 6;
 
 SimulationPlan slow_day(std::uint64_t seed) {
@@ -40,7 +40,7 @@
   }
 }
 
-/// All controllers are so many times slower for a while.
+/// Slows all controllers down by a factor for a while.
 void slow_all(SimulatedRegion& region, double factor, Time for_ms) {
   for (std::size_t node = 0; node < 3; ++node) region.slow_down(node, factor, for_ms);
 }
@@ -104,7 +104,7 @@
      [](SimulatedRegion& w, std::uint64_t seed) {
        w.slow_down(leader_of(w), 3.0 + static_cast<double>(seed), 20'000);
      }},
-    // A step takes longer than the leader's lease, and ends after that is over.
+    // A step takes longer than the leader's lease, and ends after that has expired.
     {"StepsOutlastTheLeadersLease",
      [](SimulatedRegion& w, std::uint64_t seed) {
        w.slow_down(leader_of(w), 60.0 + 20.0 * static_cast<double>(seed), 15'000);
@@ -142,9 +142,9 @@
   }
 }
 
-// Controllers so slow that leases of the usual length run out before they are renewed. Once the
-// leader has ended, each next one was deposed in its turn, for as long as the processors were slow,
-// and users learnt nothing any more.
+// Controllers so slow that leases of the usual length expire before they are renewed. Once the
+// leader had ended, each successor was deposed in its turn, for as long as the processors were
+// slow, and users got no more responses.
 TEST(SlowControllers, FindALeaderThatStays) {
   constexpr Time kSlowFor = 130'000;
   constexpr std::uint64_t kMostElections = 8;
@@ -167,7 +167,7 @@
   }
 }
 
-/// Keeps what its controllers warn of.
+/// Keeps the warnings of its controllers.
 class WarningController : public CurrentController {
  public:
   WarningController(const Settings& settings, std::uint64_t seed,
@@ -202,8 +202,8 @@
       }));
 }
 
-// A processor that can't carry the deployment is warned of, at most once a lease for each of the
-// three controllers; one that can isn't, nor one that stands still.
+// A processor that can't carry the deployment causes a warning, at most once a lease for each of
+// the three controllers; one that can doesn't, nor does one that is paused.
 TEST(ProcessorLimit, IsWarnedOf) {
   const std::size_t slow = processor_warnings(15);
   EXPECT_GT(slow, 2U);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,6 +1,6 @@
 // Upgrades in the middle of a day: controllers of the version in production are replaced one by
-// one, in every order, while troubles come; afterwards the state service's limits fall and gangs
-// are submitted. The version in production is its real core, built from the history.
+// one, in every order, under faults; afterwards the key-value store's limits fall and gangs are
+// submitted. The version in production is its real controller code, built from the history.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,7 +23,7 @@
   return plan;
 }
 
-/// What meets the roll between its steps; a case of a test by its name.
+/// The fault that coincides with the roll between its steps; a case of a test by its name.
 struct RollFault {
   const char* name;
   std::function<void(SimulatedRegion&, int step)> play;
@@ -124,7 +124,7 @@
                          [](const auto& info) { return std::string(info.param.name); });
 
 // Limits may fall as soon as all are new, and the version in production has left values that are
-// larger: many jobs, a full head, long lists of machines.
+// larger: many jobs, a full manifest, long lists of machines.
 TEST(Upgrade, LimitsFallAtAnyStepAfterwardsWithLargeValuesStored) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     SimulationPlan plan = upgrade_day(seed * 5);
@@ -139,7 +139,7 @@
     region.run_until(kBegin);
     for (std::size_t node = 0; node < 3; ++node) {
       region.upgrade((node + seed) % 3, kDown);
-      // Not long enough for the former leader's head to empty itself.
+      // Not long enough for the former leader's manifest to be flushed.
       if (node < 2) region.run_until(region.now() + kApart);
     }
     region.run_until(region.now() + kDown + 50 * static_cast<Time>(seed));
@@ -159,7 +159,7 @@
   }
 }
 
-// A new controller turns a gang away that it would have to hand to a leader of the version in
+// A new controller rejects a gang that it would have to forward to a leader of the version in
 // production.
 TEST(Upgrade, GangsAreNotHandedToAnOlderLeader) {
   SimulatedRegion region(upgrade_day(4));
@@ -176,7 +176,7 @@
   EXPECT_EQ(status, 503);
 }
 
-// While one controller is of the version in production, gangs are turned away.
+// While one controller is of the version in production, gangs are rejected.
 TEST(Upgrade, GangsWaitUntilAllControllersAreNew) {
   SimulatedRegion region(upgrade_day(3));
   region.run_until(2'000);
@@ -195,7 +195,7 @@
   region.run_until(65'000);
   EXPECT_TRUE(region.checker().unfinished_arrays().empty());
   EXPECT_GT(region.gang_starts("job-1"), 0U);
-  // What is known once holds, also where a controller can't be heard again.
+  // A feature once known to be supported stays so, also where a controller can't be heard again.
   for (std::size_t i = 0; i < 3; ++i) region.kill(i, i == 2 ? 60'000 : 1'000);
   region.run_until(75'000);
   region.submit(gang("job-2", 3, 2, 10));
--- a/tests/work_cost_test.cpp
+++ b/tests/work_cost_test.cpp
@@ -1,5 +1,6 @@
-// Ceilings on what a report, a poll, a start and an idle second cost. They are counts of work, the
-// same on every run; each measured value stands beside its ceiling, and all of them are printed.
+// Ceilings on what a heartbeat, a poll, a start and an idle second cost. They are counts of work,
+// the same on every run; each measured value stands beside its ceiling, and all of them are
+// printed.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -33,11 +34,11 @@
     }
     region_.run_until(kSettled);
   }
-  /// Goes on for a while in which nothing is submitted, starts or ends.
+  /// Runs a while in which nothing is submitted, starts or ends.
   void serve() {
     play([](SimulatedRegion&) {});
   }
-  /// Goes on for a while after something has happened.
+  /// Runs a while after something has happened.
   void play(const std::function<void(SimulatedRegion&)>& happens) {
     meter_->reset();
     happens(region_);
@@ -65,7 +66,7 @@
   SimulatedRegion region_;
 };
 
-/// Most that one unit may take.
+/// The most that one unit may take.
 struct Ceiling {
   double allocations = 0, looked_at = 0;
 };
@@ -82,7 +83,7 @@
   EXPECT_LE(each(work.looked_at), ceiling.looked_at) << what;
 }
 
-// A quiet worker's report and a poll look at nothing but their machine and job.
+// A quiet worker's heartbeat and a poll examine nothing but their machine and job.
 TEST(WorkCost, OfHeartbeatsAndPolls) {
   MeteredDay day;
   day.serve();
@@ -97,7 +98,7 @@
   expect_at_most("poll handed on", poll_handed_on, poll_handed_on.steps, {3, 0});  // 2.00, 0
 }
 
-// What a leader does by itself while nothing happens but reports and polls.
+// What a leader does by itself while nothing but heartbeats and polls arrive.
 TEST(WorkCost, OfAnIdleSecond) {
   MeteredDay day;
   day.serve();
@@ -108,14 +109,15 @@
   expect_at_most("second", idle, static_cast<std::uint64_t>(kSpan / 1'000), {75, 1});  // 57.9, 0
 }
 
-// All that a leader does until a cold fleet is up and full, reports and polls included.
+// All that a leader does until a cold fleet is up and full, heartbeats and polls included.
 TEST(WorkCost, OfAStart) {
   const MeteredDay day;
   expect_at_most("start", day.meter().leader_total(), day.starts(), {190, 13});  // 151.6, 10.1
 }
 
-// All controllers together, reports and polls included, for each second of a span in which nothing
-// happens, in which a leader ends, and in which the state service is out while users submit.
+// All controllers together, heartbeats and polls included, for each second of a span in which
+// nothing happens, in which a leader ends, and in which the key-value store is out while users
+// submit.
 TEST(WorkCost, OfASecondWithFaults) {
   constexpr auto kSeconds = static_cast<std::uint64_t>(kSpan / 1'000);
   MeteredDay quiet_day;
