--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,5 +1,6 @@
-// The heart of a controller: a state machine that takes inputs and returns what to send, write and
-// answer. It does no input or output, reads no clock and draws no random number of its own.
+// A controller as a deterministic state machine: it takes inputs and returns what to send, write
+// and answer. It performs no I/O and reads no clock; its random numbers follow from the
+// constructor's seed.
 #pragma once
 
 #include <algorithm>
@@ -41,9 +42,11 @@
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
+  /// Handles one input and returns the actions that the caller has to carry out. Times of `clock`
+  /// in ms.
   std::vector<Action> step(Clock clock, Input input);
 
-  /// Whether users should be sent to this node.
+  /// Whether users should be sent to this controller.
   [[nodiscard]] bool healthy(Time now) const;
   [[nodiscard]] bool leading() const { return role_ == Role::Leader; }
   [[nodiscard]] std::uint64_t epoch() const { return epoch_; }
@@ -53,8 +56,8 @@
   [[nodiscard]] const Tables& tables() const { return tables_; }
   [[nodiscard]] const RegionalQuotas& quotas() const { return quotas_; }
   [[nodiscard]] bool reconciling() const { return reconciling_; }
-  /// How many jobs and machines were looked at, apart from the regular looks at the whole fleet (a
-  /// fixed number for each report's interval). A measure of work that, unlike time, is the same on
+  /// How many jobs and machines were examined, apart from the regular scans of the whole fleet (a
+  /// fixed number per heartbeat interval). A measure of work that, unlike time, is the same on
   /// every run.
   [[nodiscard]] std::uint64_t examined() const { return examined_; }
 
@@ -117,7 +120,7 @@
   [[nodiscard]] JobView view(const std::string& id, const FinishedJob& job) const;
   void respond_with_job(const RequestSource& source, int status, const JobView& view);
 
-  // rounds.cpp
+  // checkpoint_commits.cpp
   struct PendingResponse {
     RequestSource source;
     int status = 200;
@@ -174,7 +177,7 @@
   void add_shares(CompareAndSwapBuilder& transaction);
   void stop_beyond_cap(const std::string& name, Priority below);
 
-  // rebuild.cpp
+  // reconciliation.cpp
   void begin_reconciliation();
   void note_unreadable(const Snapshot& image);
   void load_shards(const Snapshot& image);
@@ -192,14 +195,14 @@
   void handle_heartbeat(const HeartbeatReceived& input);
   void handle_heartbeat_without_lease(const HeartbeatReceived& input);
   void handle_heartbeat_with_old_fencing_token(const HeartbeatReceived& input);
-  /// What became of a report.
+  /// The result of processing a heartbeat.
   enum class HeartbeatOutcome : std::uint8_t {
     Taken,
-    Late,                // a newer one has come before it
-    IncarnationExpired,  // it is of a session that is proved to be over
+    Late,                // a newer one was received before it
+    IncarnationExpired,  // it is of an incarnation that is proved to have ended
     UnknownMachine       // it shows tasks on a machine that can't have any
   };
-  /// Takes in a report, or the answer to a direct command that left at `asked`.
+  /// Processes a heartbeat, or the response to a direct command that was sent at `asked` (ms).
   HeartbeatOutcome apply_heartbeat(const Heartbeat& heartbeat, std::optional<Time> asked);
   [[nodiscard]] static bool is_late(const Machine& m, const Heartbeat& r);
   void reject_heartbeat(const HeartbeatReceived& in, Machine& m);
@@ -235,8 +238,8 @@
   [[nodiscard]] std::size_t fetch_limit() const;
 
   // failure_detection.cpp
-  /// Of the machines that have reported: how many are up, silent, and heard lately enough for their
-  /// leases to last.
+  /// Of the machines that have sent heartbeats: how many are up, silent, and heard recently enough
+  /// for their leases to last.
   struct FleetContact {
     std::size_t up = 0, silent = 0, heard = 0;
   };
@@ -263,7 +266,7 @@
   [[nodiscard]] std::size_t node_before() const;
 
   // placement.cpp
-  /// What a machine must be to take a task, whatever runs elsewhere.
+  /// What a machine must provide to take a task, whatever runs elsewhere.
   struct ResourceRequest {
     Resources each;
     bool spot = false;
@@ -283,7 +286,7 @@
     std::uint32_t tasks = 0;
     bool guaranteed = false;
   };
-  /// Work that the present pass has found nothing to stop for.
+  /// Work for which the current pass has found nothing to preempt.
   struct FailedPreemption {
     ResourceRequest want;
     Priority priority = Priority::Low;
@@ -291,7 +294,7 @@
     bool guaranteed = false;
     std::string image;  // that the machine had to hold; empty: any machine
   };
-  /// Work for which no replicas can be moved, or replicas that can't.
+  /// Work for which no replicas can be migrated, or replicas that can't be.
   struct FailedMigration {
     ResourceRequest want;
     std::string image;
@@ -307,7 +310,7 @@
                            const std::string& zone);
   [[nodiscard]] bool late_if_cold(const Job& job, const Machine& m, const char* slo) const;
   std::uint64_t attempt_number();
-  /// How good a choice a machine is, less being better; by importance of what it compares.
+  /// How good a choice a machine is, less being better; the most important criterion first.
   using BinPackingScore = std::array<double, 6>;
   static constexpr std::size_t kScoreFailed = 0, kScoreTogether = 4;
   [[nodiscard]] MachineRating<BinPackingScore> bin_packing_score(const JobSpec& spec,
@@ -315,7 +318,8 @@
                                                                  bool may_queue_fetch) const;
   [[nodiscard]] static BinPackingScore score_for_job(const Job& job, const Machine& m,
                                                      BinPackingScore of_kind);
-  /// Jobs for which the machines of a pass rank alike, as far as the jobs' own tasks have no say.
+  /// Jobs for which the machines of a pass rank alike, apart from the influence of the jobs' own
+  /// tasks.
   struct RankingKey {
     std::string image;
     Priority priority = Priority::Low;
@@ -339,18 +343,18 @@
   void machine_changed(Machine& m) { machines_changed_.push_back(&m); }
   void reserve(Machine& m, const Resources& room);
   void unreserve(Machine& m, const Resources& room);
-  /// The best machine for one more task of the job, as things stand; null if there is none.
+  /// The best machine for one more task of the job at present; null if there is none.
   Machine* best_machine(const Job& job, bool may_queue_fetch);
   Machine* migration_target(const Job& job, std::uint32_t index);
   [[nodiscard]] bool usable(const Machine& m) const;
-  /// Usable, and not being emptied.
+  /// Usable, and not draining.
   [[nodiscard]] bool open(const Machine& m) const { return usable(m) && !m.draining; }
   using Reservations = std::unordered_map<const Machine*, Resources>;
-  /// What a machine has free beside what is promised there.
+  /// A machine's free room beside what is reserved there.
   [[nodiscard]] static Resources room_beside(const Reservations& promised, const Machine& m);
-  /// The same of this pass's claims, once what is to be stopped there has gone.
+  /// The same for this pass's reservations, once the tasks being stopped there are gone.
   [[nodiscard]] Resources room_to_come(const Machine& m) const;
-  /// Room has grown: what the present pass found to be in vain may not be so any more.
+  /// Room has grown: what failed earlier in this pass may succeed now.
   void forget_failures();
   using Queues = std::array<std::vector<Job*>, kPriorities>;
   [[nodiscard]] Queues note_guarantees();
@@ -360,7 +364,7 @@
   [[nodiscard]] std::optional<Infeasibility> infeasibility(const JobSpec& spec) const;
 
   // gang_scheduling.cpp
-  /// A gang whose tasks have changed; it is looked at again with the next tick.
+  /// A gang whose tasks have changed; it is reviewed with the next tick.
   void review_gang(const Job& job);
   void review_gangs();
   Gang& gang_of(const Job& job);
@@ -381,15 +385,15 @@
   /// A machine that takes this many times its type's boot time isn't waited for any more.
   static constexpr double kLateBoot = 1.3;
   [[nodiscard]] std::string zone_to_scale_out_in(const Job& job, const std::string& best) const;
-  /// Stops a task and, if it is one of a gang, all the others of it.
+  /// Stops a task and, if it belongs to a gang, all other tasks of the gang.
   void stop_with_gang(TaskAttempt& p, double grace_s);
   void stop_gang(Job& job, double grace_s);
 
   // preemption.cpp
-  /// Only on machines that hold the job's image, or of a zone, if so asked.
+  /// Only on machines that hold the job's image, or of a zone, if so requested.
   bool preempt_for(const Job& job, bool warm_only = false, const std::string& zone = {});
   bool preempt_on_best_machine(const Job& job, bool warm_only, const std::string& zone);
-  /// The tasks to be stopped on a machine, and what that loses.
+  /// The tasks to be preempted on a machine, and the cost of that.
   struct PreemptionPlan {
     std::vector<TaskAttempt*> victims;
     double cost = 0;
@@ -414,7 +418,7 @@
   void stop_job(Job& job);
   [[nodiscard]] double grace_for(const Job& job) const;
 
-  // fleet_sizing.cpp
+  // autoscaler.cpp
   void autoscale_tick();
   void poll_cloud();
   void ask_for_list();
@@ -422,14 +426,14 @@
   void check_capacity();
   void handle_machine_list(const CloudResponse& reply);
   void autoscale();
-  /// A kind of machine: its type, cheap (spot) or ordinary.
+  /// A kind of machine: its type, and whether it is a spot or an on-demand instance.
   struct MachineKind {
     std::string type;
     bool spot = false;
     // NOLINTNEXTLINE(modernize-use-nullptr): as above
     auto operator<=>(const MachineKind&) const = default;
   };
-  /// Where machines of a kind are rented.
+  /// Where machines of a kind are launched.
   struct InstancePool {
     MachineKind kind;
     std::string zone;
@@ -441,12 +445,12 @@
     std::map<InstancePool, double> coming_in_zone;
     std::map<MachineKind, std::map<std::string, int>> by_zone;
   };
-  /// Room that is to be rented: in any zone, and for work that needs it in a certain one.
+  /// Room that is to be added: in any zone, and for work that needs it in a certain one.
   struct Demand {
     std::map<MachineKind, Resources> anywhere;
     std::map<InstancePool, Resources> in_zone;
   };
-  /// The size of the ordinary machines that take work, and what work that needs them uses.
+  /// The size of the on-demand machines that accept work, and what work that needs them uses.
   struct OnDemandCapacity {
     Resources size, used;
   };
@@ -493,49 +497,50 @@
   Time next_share_look_ = 0;
   EventLoopLag event_loop_lag_;  // of our ticks
 
-  /// Raised when we begin or end to lead; continuations of an older one end.
+  /// Incremented when this controller begins or ceases to lead; continuations of an older term end.
   std::uint64_t term_ = 0;
 
   // election
   Role role_ = Role::Follower;
-  std::uint64_t epoch_ = 0;  // ours while leading, else the highest heard of
+  std::uint64_t epoch_ = 0;  // ours while leading, else the highest observed
   std::uint64_t epoch_version_ = 0;
   std::uint64_t nonce_ = 0;
   std::uint64_t lease_ = 0;
-  Time lease_length_ = 0;  // of the lease that we have, or ask for
+  Time lease_length_ = 0;  // of the lease that we hold or request
   ElectionHistory election_history_;
   Time lease_expiry_ = 0, elected_at_ = 0;
   Time next_renew_ = 0;
   bool watching_ = false;
   Time watch_retry_ = 0, campaign_at_ = kNever;
-  Time election_backoff_until_ = 0;  // after an abdication
+  Time election_backoff_until_ = 0;  // after resigning
   std::string leader_name_;
   Time next_heartbeat_ = 0;
   Time last_path_ = 0;
   const std::uint64_t incarnation_;  // of this process
   PeerTable peers_;
 
-  // keeping workers' tasks alive by ourselves: under which token, until when, and when we last did
+  // keeping workers' tasks alive without a leader: under which fencing token, until when, and when
+  // last
   KeepAlivePermit keep_alive_permit_;
   Time next_redirect_tidy_ = 0;
   Time kept_alive_at_ = -kNever;
-  Time last_worker_heartbeat_ = -kNever;  // by ourselves
+  Time last_worker_heartbeat_ = -kNever;  // at this controller itself
   std::unordered_map<std::string, Time> redirected_at_;
 
   // versions
-  /// Every controller understands gangs; written down in the checkpoint once that is so.
+  /// Every controller understands gangs; recorded in the checkpoint once that is so.
   bool gangs_enabled_ = false, features_written_ = false;
 
-  // followers' part in intake
+  // followers' part in handling users' requests
   struct Forwarded {
     RequestSource source;
     UserOp op = UserOp::Query;
-    std::string id;  // of the job, or of the machine that reports
+    std::string id;  // of the job, or of the machine that sent the heartbeat
     std::size_t peer = 0;
     Time sent = 0, until = 0;
-    std::uint64_t fencing_token = 0;  // that a report showed
+    std::uint64_t fencing_token = 0;  // that a heartbeat showed
   };
-  /// The leader hasn't answered in time, or not so that it can be said any more.
+  /// The leader hasn't responded in time, or its response is no longer valid.
   void time_out(const Forwarded& f);
   std::map<std::uint64_t, Forwarded> forwarded_;
   std::uint64_t next_forward_ = 1;
@@ -549,7 +554,7 @@
     Time since = 0;
   };
   std::vector<Lookup> lookups_, lookups_served_;
-  /// Who waits for a job's tasks to be gone, to be told that it is cancelled.
+  /// A user who waits for a job's tasks to be gone, to be told that it is cancelled.
   struct CancelWait {
     RequestSource source;
     Time until = 0;
@@ -558,9 +563,9 @@
   bool refreshing_ = false;
   Time next_refresh_ = 0;
 
-  // rounds
+  // checkpoint commits
   std::uint64_t manifest_seq_ = 0, manifest_version_ = 0;
-  std::map<std::string, std::string> recent_records_;  // records in the head
+  std::map<std::string, std::string> recent_records_;  // records in the manifest
   std::vector<Job*> dirty_jobs_;
   /// Shards whose list of machines differs from the checkpoint's.
   std::set<std::size_t> dirty_machine_shards_;
@@ -588,23 +593,23 @@
     std::vector<PendingResponse> pending_responses;
     std::vector<std::string> machines_added, scale_outs;
     std::vector<FinishedTask> finished_tasks;
-    bool flush = false;     // copies records of the head to shards, and nothing else
-    bool shares = false;    // has writes of the shares
-    bool features = false;  // writes down that all controllers understand gangs
+    bool flush = false;     // copies records of the manifest to shards, and nothing else
+    bool shares = false;    // has writes of share records
+    bool features = false;  // records that all controllers understand gangs
   };
   CheckpointCommit commit_;
   bool commit_in_flight_ = false;
   Time commit_retry_at_ = kNever, last_commit_at_ = 0;
-  /// Rounds that the state service found too large.
+  /// Commits that the key-value store rejected as too large.
   unsigned rejected_commits_ = 0;
   std::vector<PendingResponse> pending_responses_;
   std::vector<FinishedTask> finished_tasks_;
 
-  // rebuild
+  // reconciliation
   bool reconciling_ = false;
   Time fence_at_ = 0;  // by then whatever a former leader kept alive has ended
   std::uint64_t next_attempt_ = 1;
-  /// Values of the checkpoint could not be read: jobs or machines that are not in the tables may
+  /// Checkpoint values that could not be read: jobs or machines that are not in the tables may
   /// exist all the same.
   bool unknown_jobs_ = false, unknown_machines_ = false;
 
@@ -632,16 +637,16 @@
   // placement
   std::unordered_map<std::string, Gang> gangs_;
   std::set<std::string> gangs_to_review_;
-  const Machine* heartbeat_sender_ = nullptr;  // whose report is being answered
+  const Machine* heartbeat_sender_ = nullptr;  // whose heartbeat is being answered
   bool scheduling_needed_ = false;
   Time next_scheduling_ = 0;
   std::vector<UnmetDemand> unmet_demand_;  // by kind, in the order of their first jobs
   std::unordered_map<const TeamQuota*, Resources> unmet_of_team_;
-  /// Work beyond any guarantee waits, and may have the ordinary machines that are up.
+  /// Work beyond any guaranteed quota waits, and may use the on-demand machines that are up.
   bool on_demand_awaited_ = false;
   Time drain_not_before_ = 0;
   int fetch_votes_ = 0;  // above 0: images fetched at the same time share the rate
-  /// Replicas on their way to another machine, and the room that is kept for them there.
+  /// Replicas migrating to another machine, and the room that is reserved for them there.
   struct Migration {
     std::string from, to;
     Resources need;
@@ -651,19 +656,19 @@
     bool begun = false;  // the replica was told to stop
   };
   std::unordered_map<std::string, Migration> migrations_;
-  std::set<std::string> stops_due_;  // machines with stops that haven't left yet
-  /// Room on machines that the present pass has promised to tasks of higher priority.
+  std::set<std::string> stops_due_;  // machines with stops that haven't been sent yet
+  /// Room on machines that the current pass has reserved for tasks of higher priority.
   Reservations reservations_;
-  /// What the present pass has found no room for, and nothing to stop for. Room only shrinks within
-  /// a pass; where it grows, these are forgotten.
+  /// Requests for which the current pass has found no room, and nothing to preempt. Room only
+  /// shrinks within a pass; where it grows, these are cleared.
   std::vector<ResourceRequest> no_room_for_;
   std::vector<FailedMigration> no_migration_for_;
-  /// Of the machines with room for the least that waits, and of all that take work, when the pass
-  /// began.
+  /// Rankings of the machines with room for the smallest waiting request, and of all that accept
+  /// work, when the pass began.
   RankingsByKind<RankingKey, BinPackingScore> rankings_{&Machine::room_index};
   RankingsByKind<PreemptionKey, double> preemption_rankings_{&Machine::open_index};
   std::vector<Machine*> machines_changed_;
-  /// Empty if it has to be made anew.
+  /// Empty if it has to be rebuilt.
   ImageHolders image_holders_;
   mutable std::uint64_t examined_ = 0;
   std::vector<FailedPreemption> no_preemption_for_;
