--- a/src/controller/actions.hpp
+++ b/src/controller/actions.hpp
@@ -26,6 +26,7 @@
   std::string body;    // of a submission
   bool relay = false;  // from a peer that has no path to the leader
 };
+/// A worker's heartbeat, received from it or forwarded by a peer.
 struct HeartbeatReceived {
   RequestSource source;
   Heartbeat heartbeat;
@@ -96,6 +97,7 @@
   std::size_t region = 0;  // among the other regions, in the order of the options
   RegionMessage message;
 };
+/// Asks for a Tick after that time (ms).
 struct ArmTimer {
   Time in_ms = 0;
 };
@@ -106,6 +108,7 @@
 using Action =
     std::variant<Response, CallKvStore, CallCloud, CallWorker, SendPeer, SendRegion, ArmTimer, Log>;
 
+/// `now`: monotonic, in ms; `wall_ms`: ms since the epoch of the wall clock.
 struct Clock {
   Time now = 0;
   std::int64_t wall_ms = 0;
--- a/src/controller/gang.hpp
+++ b/src/controller/gang.hpp
@@ -12,6 +12,7 @@
 
 namespace sailreel {
 
+/// The phases of a gang.
 enum class GangPhase : std::uint8_t {
   Placing,    // no task is on a machine
   Gathering,  // tasks are placed, and wait for the others of their attempt
@@ -31,6 +32,7 @@
   bool overdue = false;  // a start wasn't sent although its machine's heartbeat should have come
 };
 
+/// What the caller has to do for a gang.
 enum class GangDecision : std::uint8_t {
   Wait,
   PlaceAll,      // under a new attempt number
--- a/src/controller/gang_scheduling.cpp
+++ b/src/controller/gang_scheduling.cpp
@@ -12,7 +12,7 @@
 constexpr double kHeartbeatJitter = 0.25;
 /// A machine without a heartbeat for this many intervals isn't worth waiting for.
 constexpr double kOverdueHeartbeats = 1.5;
-/// In seconds: penalties of a machine that is otherwise an equal choice.
+/// In seconds: penalties added to a candidate's delay.
 constexpr double kFailedThere = 60, kOrdinaryForSpot = 2, kStrandedGpu = 0.1;
 
 std::uint32_t slots_in(const Resources& room, const Resources& each, std::uint32_t most) {
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -245,7 +245,7 @@
     return;
   }
   // A candidate is about to learn whether it leads. Its reads of the checkpoint and a lookup's must
-  // not share a snapshot: a lookup once found the emptied one, and told a user 404.
+  // not share a snapshot: a lookup once found it cleared, and told a user 404.
   if (role_ != Role::Follower) return;
   refreshing_ = true;
   lookups_served_ = std::move(lookups_);
--- a/src/controller/regional_quotas.hpp
+++ b/src/controller/regional_quotas.hpp
@@ -14,6 +14,8 @@
 
 namespace sailreel {
 
+/// The teams' limits in one region. Writes the caps to `tables`, which it doesn't own and which
+/// must outlive it; owns the share manager.
 class RegionalQuotas {
  public:
   /// Without federation in the options, limits are the settings' and nothing is ever written.
@@ -25,20 +27,26 @@
   /// these say that limits span regions and the options don't, or if they can't be read: then the
   /// caps stay at what was written, or at nothing.
   bool load(const Snapshot& checkpoint, std::uint64_t epoch, Time now);
+  /// This controller no longer leads.
   void stop();
 
   /// To be called periodically while this controller leads; `now` in ms. `complete`: everything
   /// that may run is counted. `all_share`: every controller of the region is known to share limits.
   std::vector<federation::ShareAction> observe(Time now, bool complete, bool all_share);
+  /// Processes a message of another region; returns what has to be sent or logged for it. `now` in
+  /// ms.
   std::vector<federation::ShareAction> take(Time now, const RegionMessage& message);
   /// The checkpoint commit that contains the last writes has succeeded.
   std::vector<federation::ShareAction> committed(Time now);
 
+  /// Whether share records have to be written, and the writes for the next checkpoint commit, at
+  /// most `most`.
   [[nodiscard]] bool wants_commit() const { return shares_ && shares_->wants_commit(); }
   std::vector<federation::ShareWrite> writes(std::size_t most) { return shares_->writes(most); }
 
   /// True if a cap was raised since the last call.
   bool take_raised() { return std::exchange(raised_, false); }
+  /// Null where limits don't span regions. Owned by this object.
   [[nodiscard]] const federation::ShareManager* shares() const { return shares_.get(); }
 
  private:
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -26,6 +26,7 @@
 /// Why a machine accepts no more work and is terminated once it is empty.
 enum class CordonCause : std::uint8_t { SpotNotice, Faulty };
 
+/// What is known of where a task is.
 enum class TaskState : std::uint8_t {
   Queued,   // certainly on no machine
   Unknown,  // may be on a machine that hasn't been heard since the failover
@@ -45,6 +46,7 @@
   std::string zone;
 };
 
+/// A job with its tasks. Owned by Tables; `team` is null if the settings do not name the team.
 struct Job {
   JobRecord record;
   bool committed = false;                 // its acceptance is in the checkpoint
@@ -145,6 +147,7 @@
   double beside_s = 0;  // the same of those that began with it and finished before it
 };
 
+/// A machine, as known from the checkpoint, the cloud's list and its heartbeats. Owned by Tables.
 struct Machine {
   std::string name, address, type, zone;
   bool spot = false;
@@ -200,6 +203,7 @@
   TaskAttempt* find(const TaskKey& key, std::uint64_t attempt);
 };
 
+/// A team's quotas from the settings, and what it uses of them.
 struct TeamQuota {
   Team limits;
   Resources used;  // by all that may be on a machine
@@ -212,23 +216,30 @@
   [[nodiscard]] bool within_cap(const Resources& total) const;
   /// True if one more task keeps within the limit. A limit of 0 means unlimited.
   [[nodiscard]] bool allows(const Resources& more) const;
+  /// True if that total is within the guaranteed quota; never true for a team without one.
   [[nodiscard]] bool within_guarantee(const Resources& total) const;
-  /// How much of its guaranteed quota the team uses; the queues are served in this order.
+  /// The fraction of its guaranteed quota that the team uses, of GPUs or CPUs, whichever is larger;
+  /// at least 1 for a team without one. The queues are served in this order.
   [[nodiscard]] double share() const;
 };
 
+/// Owns the jobs and machines. References and pointers to a job or machine are valid until it is
+/// removed, or until `clear`.
 class Tables {
  public:
   explicit Tables(const Settings& settings);
   void clear();
 
+  /// These look up by id or name; null if there is none.
   Job* job(const std::string& id);
   Machine* machine(const std::string& name);
   TeamQuota* team(const std::string& name);
   const MachineType* type(const std::string& name) const;
 
+  /// Adds a job; its tasks that the record doesn't show as done are queued.
   Job& add_job(JobRecord record);
   void remove_job(const std::string& id);
+  /// Returns the machine of that name, adding it if there is none; `now` in ms.
   Machine& add_machine(const std::string& name, Time now);
   void remove_machine(const std::string& name);
   /// The machines of a shard of the checkpoint, in the order of their names.
@@ -236,7 +247,8 @@
   /// Sets a machine's size from its type, once types are known.
   void size_machine(Machine& m) const;
 
-  /// Binds a task to a machine, counted against the machine's room, the team and the zone.
+  /// Binds a task to a machine, counted against the machine's room, the team and the zone. The
+  /// attempt is in the machine's list; the reference is valid until that list changes.
   TaskAttempt& place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt, Time now);
   /// Counts an orphaned attempt against the machine, the team and the zone.
   static void hold_orphan(Job& job, Machine& m, TaskAttempt& orphan);
@@ -254,6 +266,7 @@
   /// True if what is known of the job allows the tasks that it has in the zone.
   [[nodiscard]] static bool zone_allowed(const Job& job, const std::string& zone);
   [[nodiscard]] bool type_allowed(const JobSpec& s, const std::string& type) const;
+  /// Records a task as done; no effect if it is known already.
   void mark_done(Job& job, std::uint32_t index);
   /// Queues the tasks that weren't found anywhere.
   void unknown_to_queued(Job& job);
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -69,7 +69,7 @@
 }
 
 // Found on simulated machines: a lookup begun by a candidate was answered 404 from the snapshot
-// that winning had just emptied. Every poll here goes to controllers in the middle of an election.
+// that winning had just cleared. Every poll here goes to controllers in the middle of an election.
 TEST(Incident, PollsDuringAnElectionNeverFindNothing) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedRegion region(quiet(seed));
