--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -50,14 +50,14 @@
 
 void Controller::poll_cloud() {
   const Time now = clock_.now;
-  const std::uint64_t term = term_;
+  const std::uint64_t term = election_.term();
   if (now >= next_types_) {
     CloudRequest call;
     call.kind = CloudRequest::Kind::Types;
     if (outbox_.call_cloud(
             call,
             [this, term](const CloudResponse& r) {
-              if (term != term_) return;
+              if (term != election_.term()) return;
               if (r.status == 200)
                 handle_types(r);
               else
@@ -73,14 +73,14 @@
 // Asks for the list's next page; if the rate doesn't allow it now, later. A list that was begun
 // anew instead was never read to its end where its pages are more than the rate's burst.
 void Controller::ask_for_list() {
-  const std::uint64_t term = term_;
+  const std::uint64_t term = election_.term();
   CloudRequest call;
   call.kind = CloudRequest::Kind::List;
   call.after = listed_up_to_;
   listing_ = outbox_.call_cloud(
       call,
       [this, term](const CloudResponse& r) {
-        if (term == term_) handle_machine_list(r);
+        if (term == election_.term()) handle_machine_list(r);
       },
       CloudBudget::KeepReserve);
   if (listing_ && listed_up_to_.empty())
@@ -370,7 +370,7 @@
     PendingScaleOut scale_out;
     // The epoch makes the name our own; no other node ever uses it.
     const std::string name =
-        "r-" + std::to_string(epoch_) + "-" + std::to_string(next_scale_out_++);
+        "r-" + std::to_string(election_.epoch()) + "-" + std::to_string(next_scale_out_++);
     scale_out.request = {name, kind.type, zone, kind.spot, n};
     scale_out.since = clock_.now;
     // The rest is asked for once these have been answered.
@@ -387,7 +387,7 @@
 }
 
 void Controller::send_scale_outs() {
-  const std::uint64_t term = term_;
+  const std::uint64_t term = election_.term();
   for (auto& [name, scale_out] : scale_outs_) {
     if (!scale_out.committed || scale_out.asking || clock_.now < scale_out.retry) continue;
     CloudRequest call;
@@ -396,7 +396,7 @@
     scale_out.asking = outbox_.call_cloud(
         call,
         [this, term, name = name](const CloudResponse& reply) {
-          if (term == term_) handle_scale_out_response(name, reply);
+          if (term == election_.term()) handle_scale_out_response(name, reply);
         },
         CloudBudget::Full);
     if (!scale_out.asking) return;
@@ -622,12 +622,12 @@
     if (call.names.size() >= kMaxRelease) break;
     call.names.push_back(name);
   }
-  const std::uint64_t term = term_;
+  const std::uint64_t term = election_.term();
   const auto names = call.names;
   terminating_ = outbox_.call_cloud(
       std::move(call),
       [this, term, names](const CloudResponse& r) {
-        if (term != term_) return;
+        if (term != election_.term()) return;
         terminating_ = false;
         if (r.status != 200) return;
         for (const std::string& name : names) {
--- a/src/controller/checkpoint_commits.cpp
+++ b/src/controller/checkpoint_commits.cpp
@@ -45,7 +45,7 @@
 }
 
 void Controller::commit_if_due() {
-  if (role_ != Role::Leader) return;
+  if (!election_.is_leader()) return;
   if (commit_in_flight_) {
     if (clock_.now >= commit_retry_at_) {
       commit_retry_at_ = kNever;
@@ -105,7 +105,7 @@
   const std::size_t most = operations_limit();
   CompareAndSwapBuilder transaction(std::min(most, allowed), kConditionBytes + value_limit(1));
 
-  Manifest manifest{commit_.seq, epoch_, {}};
+  Manifest manifest{commit_.seq, election_.epoch(), {}};
   std::size_t manifest_bytes = add_scale_outs(manifest);
   add_features(transaction);
   add_shares(transaction);
@@ -132,9 +132,10 @@
 
   std::vector<std::string> records;
   for (const auto& [id, text] : commit_.recent_records) records.push_back(text);
-  commit_.call = std::move(transaction)
-                     .finish({{kEpochKey, epoch_version_}, {kManifestKey, manifest_version_}},
-                             {kManifestKey, encode_manifest(manifest, records), 0});
+  commit_.call =
+      std::move(transaction)
+          .finish({{kEpochKey, election_.epoch_version()}, {kManifestKey, manifest_version_}},
+                  {kManifestKey, encode_manifest(manifest, records), 0});
   for (auto& [id, job] : changed) {
     job->dirty = false;
     job->in_flight_phase = job->record.phase;
@@ -197,8 +198,9 @@
   commit_.seq = manifest_seq_;
   CompareAndSwapBuilder transaction(operations_limit(), kConditionBytes);
   flush_recent_records(transaction, SIZE_MAX);
-  commit_.call = std::move(transaction)
-                     .finish({{kEpochKey, epoch_version_}, {kManifestKey, manifest_version_}});
+  commit_.call =
+      std::move(transaction)
+          .finish({{kEpochKey, election_.epoch_version()}, {kManifestKey, manifest_version_}});
   outbox_.log(Log::Level::Info, LogEvent::ManifestFlush, {{"left", commit_.recent_records.size()}});
   commit_in_flight_ = true;
   resolve_uncertain_commit();
@@ -424,13 +426,13 @@
     commit_retry_at_ = clock_.now + 50;
     return;
   }
-  const std::uint64_t term = term_;
+  const std::uint64_t term = election_.term();
   outbox_.write_budget().spend(
       static_cast<double>(commit_.call.puts.size() + commit_.call.deletes.size()), clock_.now);
   outbox_.call_kv_store(
       commit_.call,
       [this, term](const KvResponse& reply) {
-        if (term == term_ && role_ == Role::Leader) handle_commit_response(reply);
+        if (term == election_.term() && election_.is_leader()) handle_commit_response(reply);
       },
       KvUrgency::Urgent);
 }
@@ -451,9 +453,7 @@
                {"largest_key", key},
                {"largest_bytes", largest}});
   rejected_commits_ = std::min(kMostRefusals, rejected_commits_ + 1);
-  revoke(lease_);
-  lease_expiry_ = std::min(lease_expiry_, clock_.now);
-  step_down(StepDownCause::CommitRejected);
+  election_.resign(StepDownCause::CommitRejected, {.back_off = false});
 }
 
 void Controller::handle_commit_response(const KvResponse& reply) {
@@ -473,9 +473,9 @@
                   {{"seq", commit_.seq}, {"status", reply.status}});
     return;
   }
-  if (commit_.flush) return step_down(StepDownCause::CheckpointOverwritten);
+  if (commit_.flush) return election_.step_down(StepDownCause::CheckpointOverwritten);
   // Either an earlier copy of it was carried out, or another leads.
-  const std::uint64_t term = term_;
+  const std::uint64_t term = election_.term();
   KvRequest get;
   get.kind = KvRequest::Kind::List;
   get.key = kManifestKey;
@@ -483,17 +483,17 @@
   outbox_.call_kv_store(
       get,
       [this, term](const KvResponse& r) {
-        if (term != term_ || role_ != Role::Leader) return;
+        if (term != election_.term() || !election_.is_leader()) return;
         if (r.status != 200) {
           commit_retry_at_ = clock_.now + 100;
           return;
         }
         Snapshot image;
         for (const KvItem& item : r.items) image.apply(item);
-        if (image.manifest.seq == commit_.seq && image.manifest.epoch == epoch_)
+        if (image.manifest.seq == commit_.seq && image.manifest.epoch == election_.epoch())
           commit_succeeded(image.manifest_version);
         else
-          step_down(StepDownCause::CheckpointOverwritten);
+          election_.step_down(StepDownCause::CheckpointOverwritten);
       },
       KvUrgency::Urgent);
 }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -21,12 +21,10 @@
       tables_(settings_),
       quotas_(settings_, options_.federation, tables_),
       event_loop_lag_(heartbeat_interval() / kLateTickShare, worker_lease()),
-      election_history_(worker_lease()),
       incarnation_((std::uint64_t{random_()} << 32) | random_() | 1),
       peers_(settings_.peers.size(), incarnation_, worker_lease(), keep_alive_span()),
-      shards_(value_limit(kValueFill)) {
-  nonce_ = (std::uint64_t{random_()} << 20) ^ random_();
-}
+      election_(settings_, options_, clock_, outbox_, peers_, random_, *this),
+      shards_(value_limit(kValueFill)) {}
 
 std::vector<Action> Controller::step(Clock clock, Input input) {
   // A clock that stood still or went back would stretch leases; it never runs backwards here.
@@ -34,7 +32,7 @@
   clock_.wall_ms = clock.wall_ms;
   std::visit([this](const auto& received) { handle(received); }, input);
   if (holds_valid_lease(clock_.now)) stop_tick();
-  if (role_ == Role::Leader) commit_if_due();
+  if (election_.is_leader()) commit_if_due();
   return outbox_.take_actions();
 }
 
@@ -57,9 +55,9 @@
 // gives commands last, only under a valid lease.
 void Controller::tick() {
   watch_event_loop_lag();
-  election_tick();
+  leadership_tick();
   intake_tick();
-  if (role_ == Role::Leader) {
+  if (election_.is_leader()) {
     reconcile();
     machine_tick();
     inquire_tick();
@@ -76,6 +74,73 @@
   outbox_.arm_timer(next_tick);
 }
 
+void Controller::leadership_tick() {
+  const Time now = clock_.now;
+  if (now >= next_heartbeat_) send_heartbeats();
+  const bool elected = election_.is_leader() || election_.role() == Role::Loading;
+  if (elected ? holds_valid_lease(now) : peers_.leader(now).has_value()) last_path_ = now;
+  if (election_.is_leader() && next_attempt_ > options_.attempts_per_epoch)
+    return election_.resign(StepDownCause::AttemptNumbersUsedUp);
+  election_.tick();
+}
+
+void Controller::campaign_begun() { restart_lookups(); }
+
+// Responses to what was asked under the former term are dropped, so its lookups start again.
+void Controller::restart_lookups() {
+  refreshing_ = false;
+  lookups_.insert(lookups_.end(), lookups_served_.begin(), lookups_served_.end());
+  lookups_served_.clear();
+}
+
+void Controller::lease_regained() { scheduling_needed_ = true; }
+
+void Controller::stepped_down(StepDownCause /*cause*/, bool led) {
+  snapshot_ = Snapshot{};
+  snapshot_loaded_ = false;
+  restart_lookups();
+  if (!led) return;
+  // Workers that know no other leader are kept alive for as long as if we still led.
+  keep_alive_permit_.allow(election_.epoch(), election_.lease_expiry() + keep_alive_span());
+  for (const PendingResponse& w : commit_.pending_responses)
+    outbox_.reject(w.source, RejectReason::LeadershipLost);
+  for (const PendingResponse& w : pending_responses_)
+    outbox_.reject(w.source, RejectReason::LeadershipLost);
+  for (const auto& [id, waits] : cancel_waits_)
+    for (const CancelWait& w : waits) outbox_.reject(w.source, RejectReason::LeadershipLost);
+  cancel_waits_.clear();
+  pending_responses_.clear();
+  commit_ = CheckpointCommit{};
+  commit_in_flight_ = false;
+  commit_retry_at_ = kNever;
+  finished_tasks_.clear();
+  recent_records_.clear();
+  dirty_jobs_.clear();
+  dirty_machine_shards_.clear();
+  stale_image_shards_.clear();
+  scale_outs_changed_ = false;
+  shards_.clear();
+  scale_outs_.clear();
+  termination_queue_.clear();
+  no_capacity_until_.clear();
+  unmet_demand_.clear();
+  reservations_.clear();
+  end_rankings();
+  migrations_.clear();
+  gangs_.clear();
+  gangs_to_review_.clear();
+  stops_due_.clear();
+  zone_reached_.clear();
+  zone_unreachable_at_.clear();
+  outbox_.forget_leader_calls();
+  terminating_ = listing_ = false;
+  listed_up_to_.clear();
+  reconciling_ = false;
+  quotas_.stop();
+  tables_.clear();
+  send_heartbeats();
+}
+
 // Says so, once for each worker's lease, if most ticks come late: the processor can't carry what
 // the settings describe.
 void Controller::watch_event_loop_lag() {
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -16,9 +16,9 @@
 #include <vector>
 
 #include "controller/actions.hpp"
-#include "controller/election_history.hpp"
 #include "controller/event_loop_lag.hpp"
 #include "controller/gang.hpp"
+#include "controller/leader_election.hpp"
 #include "controller/machine_ranking.hpp"
 #include "controller/outbox.hpp"
 #include "controller/peer_table.hpp"
@@ -34,7 +34,7 @@
 
 namespace sailreel {
 
-class Controller {
+class Controller final : private LeaderElection::Listener {
  public:
   Controller(Settings settings, Options options, std::uint64_t seed);
 
@@ -45,11 +45,9 @@
 
   /// Whether users should be sent to this node.
   [[nodiscard]] bool healthy(Time now) const;
-  [[nodiscard]] bool leading() const { return role_ == Role::Leader; }
-  [[nodiscard]] std::uint64_t epoch() const { return epoch_; }
-  [[nodiscard]] bool holds_valid_lease(Time now) const {
-    return role_ == Role::Leader && now < lease_expiry_;
-  }
+  [[nodiscard]] bool leading() const { return election_.is_leader(); }
+  [[nodiscard]] std::uint64_t epoch() const { return election_.epoch(); }
+  [[nodiscard]] bool holds_valid_lease(Time now) const { return election_.holds_valid_lease(now); }
   [[nodiscard]] const Tables& tables() const { return tables_; }
   [[nodiscard]] const RegionalQuotas& quotas() const { return quotas_; }
   [[nodiscard]] bool reconciling() const { return reconciling_; }
@@ -71,27 +69,19 @@
   void handle(const RegionMessageReceived& input) { region_input(input); }
   void tick();
   void watch_event_loop_lag();
-  [[nodiscard]] Time command_until() const { return lease_expiry_; }
+  [[nodiscard]] Time command_until() const { return election_.lease_expiry(); }
   [[nodiscard]] Time heartbeat_interval() const {
     return ms(settings_.workers.heartbeat_interval_s);
   }
   [[nodiscard]] Time worker_lease() const { return ms(settings_.workers.lease_s); }
 
-  // election.cpp
-  void election_tick();
-  void watch_leader();
-  void learn_leader(const KvItem* item);
-  void campaign();
-  void claim(std::uint64_t lease, Time granted);
-  void set_epoch(std::uint64_t epoch);
-  [[nodiscard]] Time shortest_lease() const {
-    return ms(settings_.workers.lease_s * options_.leader_lease_ratio);
-  }
-  void load(const std::string& from, std::uint64_t revision);
-  void renew();
-  void step_down(StepDownCause cause);
-  void revoke(std::uint64_t lease);
-  void resign(StepDownCause cause);
+  void leadership_tick();
+  void campaign_begun() override;
+  void stepped_down(StepDownCause cause, bool led) override;
+  void lease_regained() override;
+  void restart_lookups();
+
+  // controller_heartbeats.cpp
   void peer_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat);
   void send_heartbeats();
 
@@ -175,6 +165,8 @@
   void stop_beyond_cap(const std::string& name, Priority below);
 
   // rebuild.cpp
+  void elected() override;
+  void load(const std::string& from, std::uint64_t revision);
   void begin_reconciliation();
   void note_unreadable(const Snapshot& image);
   void load_shards(const Snapshot& image);
@@ -493,27 +485,12 @@
   Time next_share_look_ = 0;
   EventLoopLag event_loop_lag_;  // of our ticks
 
-  /// Raised when we begin or end to lead; continuations of an older one end.
-  std::uint64_t term_ = 0;
-
-  // election
-  Role role_ = Role::Follower;
-  std::uint64_t epoch_ = 0;  // ours while leading, else the highest heard of
-  std::uint64_t epoch_version_ = 0;
-  std::uint64_t nonce_ = 0;
-  std::uint64_t lease_ = 0;
-  Time lease_length_ = 0;  // of the lease that we have, or ask for
-  ElectionHistory election_history_;
-  Time lease_expiry_ = 0, elected_at_ = 0;
-  Time next_renew_ = 0;
-  bool watching_ = false;
-  Time watch_retry_ = 0, campaign_at_ = kNever;
-  Time election_backoff_until_ = 0;  // after an abdication
-  std::string leader_name_;
+  // leadership
   Time next_heartbeat_ = 0;
   Time last_path_ = 0;
   const std::uint64_t incarnation_;  // of this process
   PeerTable peers_;
+  LeaderElection election_;
 
   // keeping workers' tasks alive by ourselves: under which token, until when, and when we last did
   KeepAlivePermit keep_alive_permit_;
--- a/src/controller/failure_detection.cpp
+++ b/src/controller/failure_detection.cpp
@@ -16,7 +16,7 @@
 
 void Controller::machine_tick() {
   const FleetContact contact = fleet_contact();
-  if (workers_lost(contact)) return resign(StepDownCause::NoWorkerHeard);
+  if (workers_lost(contact)) return election_.resign(StepDownCause::NoWorkerHeard);
   const bool few = few_silent(contact.silent, contact.up);
   for (auto& [name, m] : tables_.machines) watch_machine(*m, few);
   // Before the silent ones are asked, as it asks one of each zone that does answer: with few
@@ -47,7 +47,7 @@
 bool Controller::workers_lost(const FleetContact& contact) const {
   const Time now = clock_.now;
   if (!holds_valid_lease(now) || settings_.peers.empty() || contact.up <= 1 ||
-      now - elected_at_ <= unheard_after())
+      now - election_.elected_at() <= unheard_after())
     return false;
   const bool alone = std::none_of(peers_.begin(), peers_.end(), [&](const PeerView& v) {
     return v.hears_leader && now - v.last_heartbeat <= unheard_after();
@@ -90,7 +90,7 @@
 // zones were apart, a rule by the share of silent machines alone returned healthy ones.
 void Controller::detect_dead_machines() {
   // What was up when the former leader ended, and hasn't been heard for as long, is silent too.
-  const bool awaited = reconciling_ && clock_.now - elected_at_ > silent_after();
+  const bool awaited = reconciling_ && clock_.now - election_.elected_at() > silent_after();
   const auto silent = [&](const Machine& m) {
     return m.heard_in_epoch ? m.silent : awaited && m.recorded && !m.lease_passed;
   };
@@ -125,7 +125,7 @@
     if (zone.witness == nullptr) {
       // All of a zone at once is rather the zone; the only one of its zone is judged by the rest.
       if (few && zone.up == 1) terminate_instance(*m, cause);
-    } else if (reached > (m->heard_in_epoch ? m->silent_since : elected_at_)) {
+    } else if (reached > (m->heard_in_epoch ? m->silent_since : election_.elected_at())) {
       // An inquiry that left before the zone was reached says nothing: it may have met the end of a
       // cut that others were out of a moment sooner.
       const bool few_of_zone = zone.silent == 1 || zone.silent * kDeadShare <= zone.up;
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -10,16 +10,16 @@
   const Time now = clock_.now;
   const Heartbeat& r = in.heartbeat;
   if (in.source.kind == RequestSource::Kind::Local) last_worker_heartbeat_ = now;
-  if (role_ != Role::Leader) return forward_heartbeat(in);
-  if (r.fencing_token > epoch_) {
-    step_down(StepDownCause::HigherEpochAtWorker);
+  if (!election_.is_leader()) return forward_heartbeat(in);
+  if (r.fencing_token > election_.epoch()) {
+    election_.step_down(StepDownCause::HigherEpochAtWorker);
     return outbox_.respond(in.source, 421, encode_redirect({}));
   }
   if (!holds_valid_lease(now)) return handle_heartbeat_without_lease(in);
   if (redirect_to_own_zone(in)) return;
   if (terminated_.contains(r.machine))
     return outbox_.respond(in.source, 503, encode_error("machine was returned"));
-  if (r.fencing_token < epoch_) return handle_heartbeat_with_old_fencing_token(in);
+  if (r.fencing_token < election_.epoch()) return handle_heartbeat_with_old_fencing_token(in);
   const HeartbeatOutcome outcome = apply_heartbeat(r, {});
   Machine* m = tables_.machine(r.machine);
   if (outcome == HeartbeatOutcome::IncarnationExpired) return reject_heartbeat(in, *m);
@@ -32,19 +32,20 @@
   heartbeat_sender_ = nullptr;
   m->answered = now;
   const auto commands = commands_for(*m, r.seq);
-  outbox_.respond(in.source, 200, encode_heartbeat_response(epoch_, commands), 0, command_until());
+  outbox_.respond(in.source, 200, encode_heartbeat_response(election_.epoch(), commands), 0,
+                  command_until());
 }
 
 // The worker's tasks live on for a bounded time while we can't tell whether we still lead.
 void Controller::handle_heartbeat_without_lease(const HeartbeatReceived& in) {
-  const Time now = clock_.now, until = lease_expiry_ + keep_alive_span();
+  const Time now = clock_.now, until = election_.lease_expiry() + keep_alive_span();
   if (now >= until) return outbox_.respond(in.source, 503, encode_error("lease lapsed"));
   if (Machine* m = tables_.machine(in.heartbeat.machine)) {
     if (!m->incarnation_fence.admits(in.heartbeat.incarnation)) return reject_heartbeat(in, *m);
     m->answered = now;
     if (!is_late(*m, in.heartbeat)) m->last_heartbeat = now;
   }
-  outbox_.respond(in.source, 200, encode_heartbeat_response(epoch_, {}), 0, until);
+  outbox_.respond(in.source, 200, encode_heartbeat_response(election_.epoch(), {}), 0, until);
 }
 
 // Perhaps a copy from an earlier time. It learns our token; only what it reports under that counts.
@@ -64,7 +65,8 @@
     }
   }
   if (m != nullptr) m->answered = now;
-  outbox_.respond(in.source, 200, encode_heartbeat_response(epoch_, {}), 0, command_until());
+  outbox_.respond(in.source, 200, encode_heartbeat_response(election_.epoch(), {}), 0,
+                  command_until());
 }
 
 // A report of a session that is proved to be over. Held back by the network, such reports were
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -231,7 +231,7 @@
 
 // Brings the image up to the present revision, then answers whoever asked before that began.
 void Controller::refresh() {
-  if (role_ == Role::Leader || role_ == Role::Loading) {
+  if (election_.is_leader() || election_.role() == Role::Loading) {
     // Asked while lapsed or loading: the answer comes from our own tables once we command.
     if (!holds_valid_lease(clock_.now)) return;
     auto asked = std::move(lookups_);
@@ -241,7 +241,7 @@
   }
   // A candidate is about to know whether it leads. Its reads of the checkpoint and a look-up's must
   // not share a picture: a look-up once found the emptied one, and told a user 404.
-  if (role_ != Role::Follower) return;
+  if (election_.role() != Role::Follower) return;
   refreshing_ = true;
   lookups_served_ = std::move(lookups_);
   lookups_.clear();
@@ -256,14 +256,14 @@
     snapshot_ = Snapshot{};
     return refresh_list("", 0);
   }
-  const std::uint64_t term = term_;
+  const std::uint64_t term = election_.term();
   KvRequest watch;
   watch.kind = KvRequest::Kind::Watch;
   watch.key = kPrefix;
   watch.revision = snapshot_revision_;
   watch.wait_ms = 0;
   const bool sent = outbox_.call_kv_store(watch, [this, term](const KvResponse& r) {
-    if (term != term_) return;
+    if (term != election_.term()) return;
     if (r.status == 410) snapshot_loaded_ = false;
     if (r.status == 200) {
       for (const KvItem& item : r.items) snapshot_.apply(item);
@@ -275,13 +275,13 @@
 }
 
 void Controller::refresh_list(const std::string& from, std::uint64_t revision) {
-  const std::uint64_t term = term_;
+  const std::uint64_t term = election_.term();
   KvRequest list;
   list.kind = KvRequest::Kind::List;
   list.key = kPrefix;
   list.from = from;
   const bool sent = outbox_.call_kv_store(list, [this, term, revision](const KvResponse& r) {
-    if (term != term_) return;
+    if (term != election_.term()) return;
     if (r.status != 200) return finish_lookups(false);
     for (const KvItem& item : r.items) snapshot_.apply(item);
     // Later pages may be newer than the first; changes since the first are read again by the next
--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -327,7 +327,9 @@
 }
 
 // Rises across epochs with nothing remembered.
-std::uint64_t Controller::attempt_number() { return (epoch_ << kAttemptBits) + next_attempt_++; }
+std::uint64_t Controller::attempt_number() {
+  return (election_.epoch() << kAttemptBits) + next_attempt_++;
+}
 
 // Where a replica that was stopped to be moved is awaited, if it still can go there.
 Machine* Controller::migration_target(const Job& job, std::uint32_t index) {
--- a/src/controller/preemption.cpp
+++ b/src/controller/preemption.cpp
@@ -43,14 +43,14 @@
       if (p.stop && p.state >= AttemptState::Sent && p.state <= AttemptState::Running)
         stops.push_back({Command::Op::Stop, p.key, p.attempt, p.grace_s});
     if (stops.empty()) continue;
-    outbox_.call_worker(m->address, encode_direct(epoch_, m->incarnation, stops), command_until(),
-                        [this, name = m->name, sent = clock_.now](
-                            int status, const std::optional<Heartbeat>& heartbeat) {
-                          if (status == 200 && heartbeat && heartbeat->machine == name &&
-                              heartbeat->fencing_token == epoch_ &&
-                              tables_.machine(name) != nullptr)
-                            apply_heartbeat(*heartbeat, sent);
-                        });
+    outbox_.call_worker(
+        m->address, encode_direct(election_.epoch(), m->incarnation, stops), command_until(),
+        [this, name = m->name, sent = clock_.now](int status,
+                                                  const std::optional<Heartbeat>& heartbeat) {
+          if (status == 200 && heartbeat && heartbeat->machine == name &&
+              heartbeat->fencing_token == election_.epoch() && tables_.machine(name) != nullptr)
+            apply_heartbeat(*heartbeat, sent);
+        });
   }
 }
 
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -15,19 +15,49 @@
 }
 }  // namespace
 
+void Controller::elected() {
+  snapshot_ = Snapshot{};
+  snapshot_loaded_ = false;
+  loading_ = Snapshot{};
+  load("", 0);
+}
+
+// Reads the whole checkpoint. Nobody else can change it any more: every write is conditional
+// on the epoch, which is ours.
+void Controller::load(const std::string& from, std::uint64_t revision) {
+  const std::uint64_t term = election_.term();
+  KvRequest list;
+  list.kind = KvRequest::Kind::List;
+  list.key = kPrefix;
+  list.from = from;
+  outbox_.call_kv_store(
+      list,
+      [this, term, from, revision](const KvResponse& r) {
+        if (term != election_.term()) return;
+        if (r.status != 200) {
+          if (clock_.now >= election_.lease_expiry())
+            return election_.step_down(StepDownCause::CheckpointTimeout);
+          return load(from, revision);
+        }
+        for (const KvItem& item : r.items) loading_.apply(item);
+        if (r.more && !r.items.empty()) return load(r.items.back().key, r.revision);
+        begin_reconciliation();
+      },
+      KvUrgency::Urgent);
+}
+
 void Controller::begin_reconciliation() {
-  role_ = Role::Leader;
+  election_.checkpoint_loaded();
   const Time now = clock_.now;
-  fence_at_ = elected_at_ + with_drift(keep_alive_span() + worker_lease());
+  fence_at_ = election_.elected_at() + with_drift(keep_alive_span() + worker_lease());
   reconciling_ = true;
   next_attempt_ = 1;
   next_scale_out_ = 1;
   Snapshot image = std::exchange(loading_, Snapshot{});
   note_unreadable(image);
   if (image.unreadable.contains(kManifestKey) || image.unreadable.contains(kEpochKey)) {
-    revoke(lease_);
-    election_backoff_until_ = now + worker_lease();
-    return step_down(StepDownCause::ManifestUnreadable);
+    // Workers that know no other leader are kept alive for as long as the lease would have lasted.
+    return election_.resign(StepDownCause::ManifestUnreadable, {.expire_now = false});
   }
   tables_.clear();
   manifest_seq_ = image.manifest.seq;
@@ -38,7 +68,7 @@
   features_written_ = image.features.gangs;
   gangs_enabled_ = gangs_enabled_ || image.features.gangs;
   load_machines(image);
-  if (!quotas_.load(image, epoch_, now))
+  if (!quotas_.load(image, election_.epoch(), now))
     outbox_.log(Log::Level::Error, LogEvent::SharesWithoutOptions);
   terminated_.clear();
   capacity_checked_ = false;
@@ -50,7 +80,7 @@
                {"finished", tables_.finished.size()},
                {"machines", tables_.machines.size()},
                {"seq", manifest_seq_},
-               {"after_ms", now - elected_at_},
+               {"after_ms", now - election_.elected_at()},
                {"fence_ms", fence_at_ - now}});
   send_heartbeats();
   reconcile();
@@ -165,7 +195,7 @@
   if (!missing.empty()) detect_dead_machines();
   // So would one that the former leader had returned without having written so; the cloud doesn't
   // list that, and so nothing tells its zone.
-  if (now - elected_at_ > silent_after() && few_silent(missing.size(), recorded))
+  if (now - election_.elected_at() > silent_after() && few_silent(missing.size(), recorded))
     for (Machine* m : missing)
       if (m->zone.empty() && m->probe_failures >= 2)
         terminate_instance(*m, TerminationCause::SilentSinceFailover);
@@ -187,7 +217,7 @@
   }
   scheduling_needed_ = true;
   outbox_.log(Log::Level::Info, LogEvent::Reconciled,
-              {{"after_ms", now - elected_at_}, {"unheard", unheard}});
+              {{"after_ms", now - election_.elected_at()}, {"unheard", unheard}});
 }
 
 // It may hold tasks, and hasn't been heard under our token.
@@ -225,7 +255,7 @@
   const std::string name = m.name;
   const Time sent = clock_.now;
   outbox_.call_worker(
-      m.address, encode_direct(epoch_, m.probe_incarnation, {}), command_until(),
+      m.address, encode_direct(election_.epoch(), m.probe_incarnation, {}), command_until(),
       [this, name, sent](int status, const std::optional<Heartbeat>& heartbeat) {
         Machine* machine = tables_.machine(name);
         if (machine == nullptr) return;
@@ -238,7 +268,8 @@
           return;
         }
         machine->probe_failures = 0;
-        if (heartbeat->fencing_token > epoch_) return step_down(StepDownCause::HigherEpochAtWorker);
+        if (heartbeat->fencing_token > election_.epoch())
+          return election_.step_down(StepDownCause::HigherEpochAtWorker);
         if (status == 200) {
           zone_reached_[heartbeat->zone] = clock_.now;
           apply_heartbeat(*heartbeat, sent);
--- /dev/null
+++ b/tests/leader_election_test.cpp
@@ -0,0 +1,284 @@
+// The election alone, without a controller: every response of the key-value store is made by hand.
+#include "controller/leader_election.hpp"
+
+#include <gtest/gtest.h>
+
+#include <deque>
+#include <utility>
+#include <variant>
+#include <vector>
+
+#include "sim/simulated_region.hpp"
+#include "storage/checkpoint.hpp"
+
+namespace sailreel {
+namespace {
+
+constexpr std::uint64_t kLease = 77, kEpochVersion = 40, kClaimRevision = 41;
+
+Settings alone() {
+  Settings settings = sim::sample_settings(0);
+  settings.peers.clear();
+  return settings;
+}
+
+class Election : public testing::Test, protected LeaderElection::Listener {
+ protected:
+  void campaign_begun() override { ++campaigns_; }
+  void elected() override { ++elections_; }
+  void stepped_down(StepDownCause cause, bool led) override { ended_.emplace_back(cause, led); }
+  void lease_regained() override { ++regained_; }
+
+  /// Moves the clock on by the given milliseconds and ticks.
+  void tick_after(Time passed) {
+    clock_.now += passed;
+    election_.tick();
+    collect();
+  }
+
+  /// Lets the given time pass, then answers the oldest call that is open; returns its request.
+  KvRequest answer(KvResponse response, Time after = 0) {
+    if (calls_.empty()) {
+      ADD_FAILURE() << "no call is open";
+      return {};
+    }
+    const CallKvStore call = std::move(calls_.front());
+    calls_.pop_front();
+    clock_.now += after;
+    outbox_.handle(KvResponseReceived{call.call, std::move(response)});
+    collect();
+    return call.request;
+  }
+
+  static KvResponse ok() {
+    KvResponse response;
+    response.status = 200;
+    response.revision = kClaimRevision;
+    return response;
+  }
+  static KvResponse failed(int status) {
+    KvResponse response;
+    response.status = status;
+    return response;
+  }
+  static KvResponse granted() {
+    KvResponse response = ok();
+    response.lease = kLease;
+    return response;
+  }
+  static KvResponse epoch_of_a_former_leader(std::uint64_t epoch) {
+    KvResponse response = ok();
+    response.items = {{kEpochKey, encode_leader({"other", epoch, 1}), kEpochVersion, false}};
+    return response;
+  }
+
+  /// Up to the claim, which is the open call then. The lease was asked for at `asked_at_`.
+  void campaign() {
+    tick_after(1'000);
+    EXPECT_EQ(answer(ok()).key, kLeaderKey);  // nobody leads
+    tick_after(30);                           // at most so much jitter
+    ASSERT_EQ(election_.role(), Role::Candidate);
+    asked_at_ = clock_.now;
+    const KvRequest grant = answer(granted(), 15);
+    EXPECT_EQ(grant.kind, KvRequest::Kind::Grant);
+    lease_length_ = grant.ttl_ms;
+    EXPECT_EQ(answer(epoch_of_a_former_leader(6), 15).key, kEpochKey);
+    ASSERT_EQ(calls_.size(), 1U);
+  }
+
+  void lead() {
+    campaign();
+    answer(ok(), 15);
+    ASSERT_EQ(election_.role(), Role::Loading);
+    election_.checkpoint_loaded();
+    ASSERT_TRUE(election_.is_leader());
+  }
+
+  /// The last moment at which a lease counts that was asked for at `asked`, with the margin for
+  /// clocks that run at different rates.
+  [[nodiscard]] Time expiry_of(Time asked) const {
+    return asked + lease_length_ - lease_length_ / 500 - 20;
+  }
+
+  const Settings settings_ = alone();
+  const Options options_{};
+  Clock clock_{10'000, 0};
+  Outbox outbox_{settings_, options_, clock_};
+  PeerTable peers_{0, 1, ms(settings_.workers.lease_s), 2 * ms(settings_.workers.lease_s)};
+  pcg32 random_{1};
+  LeaderElection election_{settings_, options_, clock_, outbox_, peers_, random_, *this};
+
+  std::deque<CallKvStore> calls_;
+  std::vector<std::pair<StepDownCause, bool>> ended_;  // with whether we led
+  int campaigns_ = 0, elections_ = 0, regained_ = 0;
+  Time asked_at_ = 0, lease_length_ = 0;
+
+ private:
+  void collect() {
+    for (Action& action : outbox_.take_actions())
+      if (auto* call = std::get_if<CallKvStore>(&action)) calls_.push_back(std::move(*call));
+  }
+};
+
+using Ended = std::vector<std::pair<StepDownCause, bool>>;
+
+TEST_F(Election, ClaimsTheLeadershipByCompareAndSwap) {
+  campaign();
+  EXPECT_EQ(campaigns_, 1);
+  EXPECT_EQ(elections_, 0);
+  const KvRequest claim = answer(ok());
+  EXPECT_EQ(claim.kind, KvRequest::Kind::Txn);
+  // Only if nobody holds the leader's key, and nobody has raised the epoch since it was read.
+  ASSERT_EQ(claim.conditions.size(), 2U);
+  EXPECT_EQ(claim.conditions[0].key, kLeaderKey);
+  EXPECT_EQ(claim.conditions[0].version, 0U);
+  EXPECT_EQ(claim.conditions[1].key, kEpochKey);
+  EXPECT_EQ(claim.conditions[1].version, kEpochVersion);
+  // The leader's key goes with the lease; the epoch stays.
+  ASSERT_EQ(claim.puts.size(), 2U);
+  EXPECT_EQ(claim.puts[0].key, kLeaderKey);
+  EXPECT_EQ(claim.puts[0].lease, kLease);
+  EXPECT_EQ(claim.puts[1].key, kEpochKey);
+  EXPECT_EQ(claim.puts[1].lease, 0U);
+  const auto record = decode_leader(claim.puts[1].value);
+  ASSERT_TRUE(record.has_value());
+  EXPECT_EQ(record->epoch, 7U);
+  EXPECT_EQ(record->node, settings_.name);
+
+  EXPECT_EQ(elections_, 1);
+  EXPECT_EQ(election_.epoch(), 7U);
+  EXPECT_EQ(election_.epoch_version(), kClaimRevision);
+  EXPECT_EQ(election_.elected_at(), clock_.now);
+  // No commands before the checkpoint has been read.
+  EXPECT_EQ(election_.role(), Role::Loading);
+  EXPECT_FALSE(election_.holds_valid_lease(clock_.now));
+  election_.checkpoint_loaded();
+  EXPECT_TRUE(election_.holds_valid_lease(clock_.now));
+}
+
+TEST_F(Election, ALostClaimStepsDownAndRevokesTheLease) {
+  campaign();
+  const std::uint64_t term = election_.term();
+  answer(failed(409));
+  EXPECT_EQ(ended_, (Ended{{StepDownCause::LostElection, false}}));
+  EXPECT_EQ(election_.role(), Role::Follower);
+  EXPECT_GT(election_.term(), term);
+  EXPECT_EQ(election_.epoch(), 6U);
+  EXPECT_EQ(elections_, 0);
+  const KvRequest revoke = answer(ok());
+  EXPECT_EQ(revoke.kind, KvRequest::Kind::Revoke);
+  EXPECT_EQ(revoke.lease, kLease);
+}
+
+TEST_F(Election, AClaimWithoutAResponseStepsDownWithItsOwnCause) {
+  campaign();
+  answer(failed(0));
+  EXPECT_EQ(ended_, (Ended{{StepDownCause::ClaimNotAnswered, false}}));
+  EXPECT_EQ(answer(ok()).kind, KvRequest::Kind::Revoke);
+}
+
+TEST_F(Election, ALeaseIsCountedFromBeforeTheRequestLeft) {
+  lead();
+  ASSERT_EQ(clock_.now, asked_at_ + 45);
+  EXPECT_EQ(election_.lease_expiry(), expiry_of(asked_at_));
+  EXPECT_TRUE(election_.holds_valid_lease(election_.lease_expiry() - 1));
+  EXPECT_FALSE(election_.holds_valid_lease(election_.lease_expiry()));
+
+  tick_after(lease_length_ / 4);
+  const Time sent = clock_.now;
+  const KvRequest renewal = answer(ok(), 60);
+  EXPECT_EQ(renewal.kind, KvRequest::Kind::Renew);
+  EXPECT_EQ(renewal.lease, kLease);
+  EXPECT_EQ(election_.lease_expiry(), expiry_of(sent));
+  EXPECT_EQ(regained_, 0);
+}
+
+// The response to a renewal comes when the lease has expired on our clock, but a part of the
+// renewed one is left.
+TEST_F(Election, ALateRenewalRegainsTheLease) {
+  lead();
+  clock_.now = election_.lease_expiry() - 1;
+  tick_after(0);
+  const Time sent = clock_.now;
+  ASSERT_EQ(calls_.size(), 1U);
+  clock_.now += 1;
+  EXPECT_FALSE(election_.holds_valid_lease(clock_.now));
+  answer(ok());
+  EXPECT_EQ(regained_, 1);
+  EXPECT_TRUE(election_.holds_valid_lease(clock_.now));
+  EXPECT_EQ(election_.lease_expiry(), expiry_of(sent));
+}
+
+TEST_F(Election, ALeaseThatTheStoreHasEndedEndsTheLeadership) {
+  lead();
+  tick_after(lease_length_ / 4);
+  answer(failed(404));
+  EXPECT_EQ(ended_, (Ended{{StepDownCause::LeaseEnded, true}}));
+}
+
+TEST_F(Election, AResignationRevokesTheLeaseAndBacksOff) {
+  lead();
+  const Time resigned = clock_.now, worker_lease = ms(settings_.workers.lease_s);
+  election_.resign(StepDownCause::NoWorkerHeard);
+  EXPECT_EQ(ended_, (Ended{{StepDownCause::NoWorkerHeard, true}}));
+  EXPECT_EQ(election_.lease_expiry(), resigned);
+  tick_after(0);
+  EXPECT_EQ(answer(ok()).kind, KvRequest::Kind::Revoke);
+  // Nobody leads, and yet it leaves the leadership to others for a worker's lease.
+  tick_after(100);
+  EXPECT_EQ(answer(ok()).key, kLeaderKey);
+  clock_.now = resigned + worker_lease - 1;
+  tick_after(0);
+  EXPECT_EQ(election_.role(), Role::Follower);
+  tick_after(1);
+  EXPECT_EQ(election_.role(), Role::Candidate);
+}
+
+TEST_F(Election, AResignationMayDoWithoutBackingOff) {
+  lead();
+  election_.resign(StepDownCause::CommitRejected, {.back_off = false});
+  EXPECT_EQ(election_.lease_expiry(), clock_.now);
+  tick_after(100);
+  EXPECT_EQ(answer(ok()).kind, KvRequest::Kind::Revoke);
+  EXPECT_EQ(answer(ok()).key, kLeaderKey);
+  tick_after(30);
+  EXPECT_EQ(election_.role(), Role::Candidate);
+}
+
+TEST_F(Election, AResignationMayKeepTheExpiry) {
+  lead();
+  const Time expiry = election_.lease_expiry();
+  ASSERT_GT(expiry, clock_.now);
+  election_.resign(StepDownCause::ManifestUnreadable, {.expire_now = false});
+  EXPECT_EQ(election_.lease_expiry(), expiry);
+  EXPECT_FALSE(election_.holds_valid_lease(clock_.now));
+}
+
+TEST_F(Election, AHigherEpochOfALeaderEndsTheLeadership) {
+  lead();
+  election_.note_epoch(9, false);  // only heard of: our lease still holds
+  election_.note_epoch(7, true);
+  EXPECT_TRUE(election_.is_leader());
+  EXPECT_EQ(election_.epoch(), 7U);
+  election_.note_epoch(8, true);
+  EXPECT_EQ(ended_, (Ended{{StepDownCause::HigherEpochAtPeer, true}}));
+  election_.note_epoch(8, true);
+  EXPECT_EQ(election_.epoch(), 8U);
+}
+
+// Two renewals' responses arrive after the step down: they belong to a former term.
+TEST_F(Election, AResponseOfAFormerTermChangesNothing) {
+  lead();
+  tick_after(lease_length_ / 4);
+  tick_after(lease_length_ / 4);
+  ASSERT_EQ(calls_.size(), 2U);
+  const Time expiry = election_.lease_expiry();
+  election_.step_down(StepDownCause::CheckpointOverwritten);
+  answer(ok());
+  EXPECT_EQ(election_.lease_expiry(), expiry);
+  answer(failed(404));
+  EXPECT_EQ(ended_, (Ended{{StepDownCause::CheckpointOverwritten, true}}));
+}
+
+}  // namespace
+}  // namespace sailreel
