--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -330,7 +330,9 @@
 }
 
 // Increases across epochs without any stored state.
-std::uint64_t Controller::attempt_number() { return (epoch_ << kAttemptBits) + next_attempt_++; }
+std::uint64_t Controller::attempt_number() {
+  return (election_.epoch() << kAttemptBits) + next_attempt_++;
+}
 
 // The machine that awaits a replica stopped for migration, if it can still start there.
 Machine* Controller::migration_target(const Job& job, std::uint32_t index) {
