--- a/src/federation/share_manager.hpp
+++ b/src/federation/share_manager.hpp
@@ -124,6 +124,7 @@
   /// than all of its predecessors.
   struct MessageNumber {
     std::uint64_t epoch = 0, sequence = 0;
+    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 mistakes the generated comparison
     auto operator<=>(const MessageNumber&) const = default;
   };
   struct RegionView {
--- a/src/storage/checkpoint_records.cpp
+++ b/src/storage/checkpoint_records.cpp
@@ -9,32 +9,34 @@
 
 /// A job record is stored as an array, which is far shorter than an object; these are the positions
 /// of its fields. A final record ends after the number of tasks.
-enum Position : unsigned {
-  kId,
-  kPhase,
-  kSequence,
-  kTasks,
-  kFinalSize,
-  kJobClass = kFinalSize,
-  kTeam,
-  kKind,
-  kPriority,
-  kCpus,
-  kGpus,
-  kMemoryGb,
-  kImage,
-  kImageGb,
-  kTypes,
-  kZone,
-  kFlags,
-  kEstimate,
-  kCheckpointInterval,
-  kSaveTime,
-  kDeadline,
-  kSubmittedWallMs,
-  kDoneBits,
-  kStarted,
-  kActiveSize,
+struct Position {
+  enum : unsigned {
+    Id,
+    Phase,
+    Sequence,
+    Tasks,
+    FinalSize,
+    JobClass = FinalSize,
+    Team,
+    Kind,
+    Priority,
+    Cpus,
+    Gpus,
+    MemoryGb,
+    Image,
+    ImageGb,
+    Types,
+    Zone,
+    Flags,
+    Estimate,
+    CheckpointInterval,
+    SaveTime,
+    Deadline,
+    SubmittedWallMs,
+    DoneBits,
+    Started,
+    ActiveSize,
+  };
 };
 
 constexpr unsigned kOneZoneFlag = 1, kSpreadFlag = 2, kSpotFlag = 4, kCancelAskedFlag = 8;
@@ -49,30 +51,31 @@
   };
   const auto whole = [&](unsigned at) { return value[at].IsUint64() ? value[at].GetUint64() : 0; };
   JobSpec& spec = record.spec;
-  spec.job_class = text_or_empty(value[kJobClass]);
-  spec.team = text_or_empty(value[kTeam]);
-  spec.kind = static_cast<JobKind>(whole(kKind));
-  spec.priority = static_cast<Priority>(whole(kPriority));
-  spec.need = {number(kCpus), number(kGpus), number(kMemoryGb)};
-  spec.image = text_or_empty(value[kImage]);
-  spec.image_gb = number(kImageGb);
-  spec.any_type = !value[kTypes].IsArray();
+  spec.job_class = text_or_empty(value[Position::JobClass]);
+  spec.team = text_or_empty(value[Position::Team]);
+  spec.kind = static_cast<JobKind>(whole(Position::Kind));
+  spec.priority = static_cast<Priority>(whole(Position::Priority));
+  spec.need = {number(Position::Cpus), number(Position::Gpus), number(Position::MemoryGb)};
+  spec.image = text_or_empty(value[Position::Image]);
+  spec.image_gb = number(Position::ImageGb);
+  spec.any_type = !value[Position::Types].IsArray();
   if (!spec.any_type)
-    for (const auto& type : value[kTypes].GetArray()) spec.types.push_back(text_or_empty(type));
-  spec.zone = text_or_empty(value[kZone]);
-  const std::uint64_t flags = whole(kFlags);
+    for (const auto& type : value[Position::Types].GetArray())
+      spec.types.push_back(text_or_empty(type));
+  spec.zone = text_or_empty(value[Position::Zone]);
+  const std::uint64_t flags = whole(Position::Flags);
   spec.one_zone = (flags & kOneZoneFlag) != 0;
   spec.spread = (flags & kSpreadFlag) != 0;
   spec.spot = (flags & kSpotFlag) != 0;
   record.cancel_asked = (flags & kCancelAskedFlag) != 0;
-  spec.estimate_s = number(kEstimate);
-  spec.checkpoint_s = number(kCheckpointInterval);
-  spec.save_s = number(kSaveTime);
-  if (value[kDeadline].IsNumber()) spec.deadline_s = value[kDeadline].GetDouble();
-  record.submitted_wall_ms = static_cast<std::int64_t>(whole(kSubmittedWallMs));
+  spec.estimate_s = number(Position::Estimate);
+  spec.checkpoint_s = number(Position::CheckpointInterval);
+  spec.save_s = number(Position::SaveTime);
+  if (value[Position::Deadline].IsNumber()) spec.deadline_s = value[Position::Deadline].GetDouble();
+  record.submitted_wall_ms = static_cast<std::int64_t>(whole(Position::SubmittedWallMs));
   record.done = Bitmap(spec.tasks);
-  record.done.merge_hex(0, text_or_empty(value[kDoneBits]));
-  record.started = static_cast<std::uint32_t>(whole(kStarted));
+  record.done.merge_hex(0, text_or_empty(value[Position::DoneBits]));
+  record.started = static_cast<std::uint32_t>(whole(Position::Started));
 }
 
 void write_description(json::Writer& writer, const JobRecord& record) {
@@ -148,17 +151,18 @@
   const auto invalid = [](std::string_view field) {
     return DecodeError{DecodeErrorKind::InvalidField, field};
   };
-  if (!value.IsArray() || (value.Size() != kFinalSize && value.Size() != kActiveSize))
+  if (!value.IsArray() ||
+      (value.Size() != Position::FinalSize && value.Size() != Position::ActiveSize))
     return invalid("record");
   const auto whole = [&](unsigned at) { return value[at].IsUint64() ? value[at].GetUint64() : 0; };
   JobRecord record;
-  record.spec.id = text_or_empty(value[kId]);
-  record.phase = static_cast<Phase>(whole(kPhase));
-  record.seq = whole(kSequence);
-  record.spec.tasks = static_cast<std::uint32_t>(whole(kTasks));
+  record.spec.id = text_or_empty(value[Position::Id]);
+  record.phase = static_cast<Phase>(whole(Position::Phase));
+  record.seq = whole(Position::Sequence);
+  record.spec.tasks = static_cast<std::uint32_t>(whole(Position::Tasks));
   if (record.spec.id.empty()) return invalid("id");
   if (record.spec.tasks == 0) return invalid("tasks");
-  record.final = value.Size() == kFinalSize;
+  record.final = value.Size() == Position::FinalSize;
   if (!record.final)
     decode_description(value, record);
   else if (record.phase != Phase::Done && record.phase != Phase::Cancelled)
