--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -374,7 +374,7 @@
     scale_out.request = {name, kind.type, zone, kind.spot, n};
     scale_out.since = clock_.now;
     // The rest is asked for once these have been answered.
-    if (scale_out_bytes() + scale_out_size(scale_out.request) > value_limit(kScaleOutFill)) return;
+    if (!checkpoint_.scale_out_fits(scale_out.request)) return;
     outbox_.log(Log::Level::Info, LogEvent::ScaleOut,
                 {{"request", name},
                  {"type", kind.type},
@@ -382,7 +382,7 @@
                  {"spot", kind.spot ? 1 : 0},
                  {"count", n}});
     scale_outs_[name] = std::move(scale_out);
-    scale_outs_changed_ = true;
+    checkpoint_.mark_scale_outs_changed();
   }
 }
 
@@ -419,7 +419,7 @@
   }
   if (reply.status == 200 || reply.status == 400 || reply.no_capacity) {
     scale_outs_.erase(it);
-    scale_outs_changed_ = true;
+    checkpoint_.mark_scale_outs_changed();
   } else {
     // No answer: the same request again, since it may have been carried out.
     open.retry = clock_.now + kScaleOutRetry;
--- /dev/null
+++ b/src/controller/checkpoint_writer.cpp
@@ -0,0 +1,307 @@
+// When a commit is sent, and what its outcome means.
+#include "controller/checkpoint_writer.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+namespace sailreel {
+namespace {
+/// Values aren't limited to less than this, however often commits are rejected.
+constexpr double kLeastValueKb = 1;
+/// Commits don't get smaller than after so many rejections.
+constexpr unsigned kMostRejections = 3;
+/// Commits that no user waits for are at least this part of a heartbeat interval apart.
+constexpr Time kCommitsPerHeartbeat = 8;
+/// In ms: until a commit is repeated, after an error of the store and without a valid lease.
+constexpr Time kRetryAfterError = 100, kRetryWithoutLease = 50;
+}  // namespace
+
+CheckpointWriter::CheckpointWriter(const Environment& environment)
+    : settings_(environment.settings),
+      clock_(environment.clock),
+      outbox_(environment.outbox),
+      tables_(environment.tables),
+      quotas_(environment.quotas),
+      peers_(environment.peers),
+      scale_outs_(environment.scale_outs),
+      listener_(environment.listener),
+      shards_(value_limit(kValueFill)) {}
+
+void CheckpointWriter::load(const Snapshot& image) {
+  manifest_seq_ = image.manifest.seq;
+  manifest_version_ = image.manifest_version;
+  load_shards(image);
+  features_written_ = image.features.gangs;
+  gangs_enabled_ = gangs_enabled_ || image.features.gangs;
+  scale_outs_changed_ = true;
+}
+
+// A shard that is larger than may be written, as one of a time with higher limits, stays as it is:
+// what is stored stays readable. Its jobs go elsewhere when they change.
+void CheckpointWriter::load_shards(const Snapshot& image) {
+  shards_ = JobShards(value_limit(kValueFill));
+  for (const std::string& key : image.unreadable)
+    if (const auto shard = shard_number(key)) shards_.close(*shard);
+  for (const auto& [shard, bytes] : image.shard_bytes)
+    if (bytes > value_limit(kShardGrowthFill)) shards_.close(shard);
+  for (const auto& [id, shard] : image.shard_of) {
+    const JobRecord& record = image.jobs.at(id);
+    shards_.add(id, shard, record_reserve(record.final, encode_record(record).size()));
+  }
+  recent_records_.clear();
+  for (const std::string& id : image.in_manifest)
+    recent_records_[id] = encode_record(image.jobs.at(id));
+}
+
+void CheckpointWriter::reset() {
+  for (const PendingResponse& response : commit_.pending_responses)
+    outbox_.reject(response.source, RejectReason::LeadershipLost);
+  for (const PendingResponse& response : pending_responses_)
+    outbox_.reject(response.source, RejectReason::LeadershipLost);
+  pending_responses_.clear();
+  commit_ = CheckpointCommit{};
+  commit_in_flight_ = false;
+  commit_retry_at_ = kNever;
+  finished_tasks_.clear();
+  recent_records_.clear();
+  changed_jobs_.clear();
+  changed_machine_shards_.clear();
+  stale_image_shards_.clear();
+  scale_outs_changed_ = false;
+  shards_.clear();
+}
+
+void CheckpointWriter::mark_changed(Job& job) {
+  if (!job.dirty) changed_jobs_.push_back(&job);
+  job.dirty = true;
+}
+
+void CheckpointWriter::mark_machine_changed(const std::string& machine) {
+  changed_machine_shards_.insert(machine_shard(machine));
+}
+
+void CheckpointWriter::mark_images_changed(const std::string& machine) {
+  stale_image_shards_.insert(machine_shard(machine));
+}
+
+void CheckpointWriter::finished_on(const std::string& machine, const Job& job,
+                                   std::uint32_t index) {
+  finished_tasks_.push_back({job.spec().id, index, machine});
+}
+
+// With the commit in flight, if that has what is known of the job.
+void CheckpointWriter::respond_after_commit(const Job& job, const RequestSource& source,
+                                            int status) {
+  if (commit_in_doubt()) return outbox_.reject(source, RejectReason::KvStoreNotResponding);
+  if (too_many_waiting()) return outbox_.reject(source, RejectReason::TooManyRequests);
+  // The commit in flight may have been sent before the last change: a cancellation once got the
+  // response "running" with the commit that recorded that it had been asked for.
+  const bool with_this = job.in_flight_phase && !job.dirty;
+  (with_this ? commit_.pending_responses : pending_responses_)
+      .push_back({source, status, job.spec().id});
+}
+
+bool CheckpointWriter::too_many_waiting() const {
+  return pending_responses_.size() + commit_.pending_responses.size() > most_open_requests();
+}
+
+std::size_t CheckpointWriter::most_open_requests() const {
+  return settings_.limits.sockets * (1 + peers_.size());
+}
+
+bool CheckpointWriter::leads_in(std::uint64_t term) const {
+  const LeaderTerm leader = listener_.leader_term();
+  return leader.term == term && leader.leads;
+}
+
+bool CheckpointWriter::commit_needed() const {
+  return (!features_written_ && peers_.all_understand_gangs()) || !changed_jobs_.empty() ||
+         !changed_machine_shards_.empty() || scale_outs_changed_ || !pending_responses_.empty() ||
+         !finished_tasks_.empty() || quotas_.wants_commit();
+}
+
+// A user, a worker, or another region's work waits for what the next commit brings.
+bool CheckpointWriter::someone_waits() const {
+  return !pending_responses_.empty() || quotas_.wants_commit();
+}
+
+void CheckpointWriter::commit_if_due() {
+  const LeaderTerm leader = listener_.leader_term();
+  if (!leader.leads) return;
+  if (commit_in_flight_) {
+    if (clock_.now >= commit_retry_at_) {
+      commit_retry_at_ = kNever;
+      resolve_uncertain_commit();
+    }
+    return;
+  }
+  if (!leader.holds_valid_lease || (!commit_needed() && !image_hints_due())) return;
+  // What nobody waits for is gathered for a moment: each commit writes the whole manifest.
+  if (!someone_waits() &&
+      clock_.now < last_commit_at_ + heartbeat_interval() / kCommitsPerHeartbeat)
+    return;
+  double needed = 1;
+  if (!someone_waits())
+    needed += kLeastOperations + kBackgroundReserve * outbox_.write_budget().burst();
+  if (!outbox_.write_budget().allows(needed, clock_.now)) return;
+  if (!outbox_.kv_budget_allows(settings_.store.rps / 10)) return;
+  send_commit();
+}
+
+bool CheckpointWriter::image_hints_due() {
+  return !stale_image_shards_.empty() && operations_allowed(kImageHintReserve) > 0;
+}
+
+std::size_t CheckpointWriter::value_limit(double fill) const {
+  const double divisor = std::exp2(static_cast<double>(rejected_commits_));
+  return static_cast<std::size_t>(std::max(kLeastValueKb, settings_.store.value_kb / divisor) *
+                                  1024 * fill);
+}
+
+// Sends the commit in flight, again if need be. Without a response it may have been carried out, or
+// may be later; but as a compare-and-swap on the manifest it can be so only once, and nothing else
+// is written until its outcome is known.
+void CheckpointWriter::resolve_uncertain_commit() {
+  const LeaderTerm leader = listener_.leader_term();
+  if (!leader.holds_valid_lease) {
+    commit_retry_at_ = clock_.now + kRetryWithoutLease;
+    return;
+  }
+  outbox_.write_budget().spend(
+      static_cast<double>(commit_.call.puts.size() + commit_.call.deletes.size()), clock_.now);
+  outbox_.call_kv_store(
+      commit_.call,
+      [this, term = leader.term](const KvResponse& response) {
+        if (leads_in(term)) handle_commit_response(response);
+      },
+      KvUrgency::Urgent);
+}
+
+// Too large, although it is within the limits as we know them.
+void CheckpointWriter::commit_rejected() {
+  std::size_t largest = 0;
+  std::string key;
+  for (const KvRequest::Put& put : commit_.call.puts) {
+    if (put.value.size() < largest) continue;
+    largest = put.value.size();
+    key = put.key;
+  }
+  outbox_.log(Log::Level::Error, LogEvent::CommitRejected,
+              {{"seq", commit_.seq},
+               {"operations", commit_.call.puts.size() + commit_.call.deletes.size()},
+               {"largest_key", key},
+               {"largest_bytes", largest}});
+  rejected_commits_ = std::min(kMostRejections, rejected_commits_ + 1);
+  listener_.commit_rejected();
+}
+
+void CheckpointWriter::handle_commit_response(const KvResponse& response) {
+  if (response.status == 200) return commit_succeeded(response.revision);
+  if (response.status == 400) return commit_rejected();
+  if (response.status != 409) return commit_not_answered(response.status);
+  if (commit_.flush) return listener_.checkpoint_overwritten();
+  look_for_commit();
+}
+
+// The store was not reached, or couldn't say what became of the commit. Whoever waits is told at
+// once to come back; what they asked for goes on to be written, and a repeat finds it.
+void CheckpointWriter::commit_not_answered(int status) {
+  commit_retry_at_ = clock_.now + (status == 0 ? 0 : kRetryAfterError);
+  for (auto* pending_responses : {&commit_.pending_responses, &pending_responses_}) {
+    for (const PendingResponse& response : *pending_responses)
+      outbox_.reject(response.source, RejectReason::KvStoreNotResponding);
+    pending_responses->clear();
+  }
+  if (commit_.retries++ == 0)
+    outbox_.log(Log::Level::Info, LogEvent::CommitRetry,
+                {{"seq", commit_.seq}, {"status", status}});
+}
+
+// The manifest has another version than the commit is conditional on: either an earlier copy of the
+// commit was carried out, or another controller leads.
+void CheckpointWriter::look_for_commit() {
+  KvRequest get;
+  get.kind = KvRequest::Kind::List;
+  get.key = kManifestKey;
+  get.limit = 1;
+  outbox_.call_kv_store(
+      get,
+      [this, term = listener_.leader_term().term](const KvResponse& response) {
+        if (!leads_in(term)) return;
+        if (response.status != 200) {
+          commit_retry_at_ = clock_.now + kRetryAfterError;
+          return;
+        }
+        Snapshot image;
+        for (const KvItem& item : response.items) image.apply(item);
+        if (image.manifest.seq == commit_.seq &&
+            image.manifest.epoch == listener_.leader_term().epoch)
+          commit_succeeded(image.manifest_version);
+        else
+          listener_.checkpoint_overwritten();
+      },
+      KvUrgency::Urgent);
+}
+
+void CheckpointWriter::commit_succeeded(std::uint64_t revision) {
+  CheckpointCommit commit = std::exchange(commit_, CheckpointCommit{});
+  commit_in_flight_ = false;
+  last_commit_at_ = clock_.now;
+  commit_retry_at_ = kNever;
+  recent_records_ = std::move(commit.recent_records);
+  if (commit.flush) return;
+  manifest_seq_ = commit.seq;
+  manifest_version_ = revision;
+  if (commit.features) {
+    features_written_ = gangs_enabled_ = true;
+    outbox_.log(Log::Level::Info, LogEvent::GangsEnabled);
+  }
+  if (commit.shares) listener_.shares_committed();
+  machines_committed(commit.machines_added);
+  listener_.scale_outs_committed(commit.scale_outs);
+  finished_tasks_committed(commit.finished_tasks);
+  const std::vector<Job*> over = jobs_committed(commit.jobs);
+  for (const PendingResponse& response : commit.pending_responses)
+    listener_.respond_with_committed_job(response.source, response.status, response.id);
+  for (Job* job : over) listener_.job_over(*job);
+}
+
+void CheckpointWriter::machines_committed(const std::vector<std::string>& names) {
+  for (const std::string& name : names)
+    if (Machine* machine = tables_.machine(name)) {
+      if (!machine->recorded) listener_.scheduling_possible();
+      machine->recorded = true;
+      machine->record_dirty = false;
+    }
+}
+
+// Now that it is committed that a task is finished, its worker may forget it.
+void CheckpointWriter::finished_tasks_committed(const std::vector<FinishedTask>& finished) {
+  for (const FinishedTask& task : finished)
+    if (Machine* machine = tables_.machine(task.machine))
+      for (TaskAttempt& attempt : machine->attempts)
+        if (attempt.state == AttemptState::Exited && attempt.key.index == task.index &&
+            attempt.key.job == task.job)
+          attempt.exit_committed = true;
+}
+
+// Returns the jobs whose last record this was.
+std::vector<Job*> CheckpointWriter::jobs_committed(
+    const std::vector<CheckpointCommit::Change>& changes) {
+  std::vector<Job*> over;
+  for (const auto& [id, phase, final, started] : changes) {
+    Job* job = tables_.job(id);
+    if (job == nullptr) continue;
+    if (!job->committed) listener_.scheduling_possible();
+    job->committed = true;
+    job->in_flight_phase.reset();
+    job->stored = std::move(job->in_flight_record);
+    job->committed_phase = phase;
+    job->started = started;
+    if (final) over.push_back(job);
+  }
+  return over;
+}
+
+}  // namespace sailreel
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -24,7 +24,7 @@
       election_history_(worker_lease()),
       incarnation_((std::uint64_t{random_()} << 32) | random_() | 1),
       peers_(settings_.peers.size(), incarnation_, worker_lease(), keep_alive_span()),
-      shards_(value_limit(kValueFill)) {
+      checkpoint_({settings_, clock_, outbox_, tables_, quotas_, peers_, scale_outs_, *this}) {
   nonce_ = (std::uint64_t{random_()} << 20) ^ random_();
 }
 
@@ -34,7 +34,7 @@
   clock_.wall_ms = clock.wall_ms;
   std::visit([this](const auto& received) { handle(received); }, input);
   if (holds_valid_lease(clock_.now)) stop_tick();
-  if (role_ == Role::Leader) commit_if_due();
+  if (role_ == Role::Leader) checkpoint_.commit_if_due();
   return outbox_.take_actions();
 }
 
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -16,25 +16,25 @@
 #include <vector>
 
 #include "controller/actions.hpp"
+#include "controller/checkpoint_writer.hpp"
 #include "controller/election_history.hpp"
 #include "controller/event_loop_lag.hpp"
 #include "controller/gang.hpp"
 #include "controller/machine_ranking.hpp"
 #include "controller/outbox.hpp"
 #include "controller/peer_table.hpp"
+#include "controller/pending_scale_out.hpp"
 #include "controller/regional_quotas.hpp"
 #include "protocol/messages.hpp"
 #include "protocol/peer_frames.hpp"
 #include "protocol/settings.hpp"
 #include "protocol/user_codec.hpp"
 #include "storage/checkpoint.hpp"
-#include "storage/compare_and_swap_builder.hpp"
-#include "storage/job_shards.hpp"
 #include "storage/tables.hpp"
 
 namespace sailreel {
 
-class Controller {
+class Controller : private CheckpointListener {
  public:
   Controller(Settings settings, Options options, std::uint64_t seed);
 
@@ -56,7 +56,7 @@
   /// How many jobs and machines were looked at, apart from the regular looks at the whole fleet (a
   /// fixed number for each report's interval). A measure of work that, unlike time, is the same on
   /// every run.
-  [[nodiscard]] std::uint64_t examined() const { return examined_; }
+  [[nodiscard]] std::uint64_t examined() const { return examined_ + checkpoint_.examined(); }
 
  private:
   // controller.cpp
@@ -110,6 +110,7 @@
   void handle_peer_response(std::size_t peer, const PeerResponse& response);
   void intake_tick();
   void look_up(const RequestSource& source, const std::string& id);
+  void respond_unknown(const RequestSource& source, bool unreadable, Time valid_until);
   void refresh();
   void refresh_list(const std::string& from, std::uint64_t revision);
   void finish_lookups(bool ok);
@@ -117,67 +118,28 @@
   [[nodiscard]] JobView view(const std::string& id, const FinishedJob& job) const;
   void respond_with_job(const RequestSource& source, int status, const JobView& view);
 
-  // rounds.cpp
-  struct PendingResponse {
-    RequestSource source;
-    int status = 200;
-    std::string id;
-  };
-  void respond_unknown(const RequestSource& source, bool unreadable, Time valid_until);
-  [[nodiscard]] bool too_many_waiting() const;
-  [[nodiscard]] std::size_t most_open_requests() const;
-  void respond_after_commit(const Job& job, const RequestSource& source, int status);
+  // checkpoint_outcomes.cpp
+  [[nodiscard]] LeaderTerm leader_term() const override;
+  void shares_committed() override;
+  void scheduling_possible() override;
+  void scale_outs_committed(const std::vector<std::string>& names) override;
+  void respond_with_committed_job(const RequestSource& source, int status,
+                                  const std::string& id) override;
+  void job_over(Job& job) override;
+  void commit_rejected() override;
+  void checkpoint_overwritten() override;
   void respond_committed(const RequestSource& source, int status, const Job& job);
-  void commit_if_due();
-  void send_commit();
-  void handle_commit_response(const KvResponse& reply);
-  void commit_succeeded(std::uint64_t revision);
-  void resolve_uncertain_commit();
-  [[nodiscard]] bool commit_needed() const;
-  [[nodiscard]] bool someone_waits() const;
-  [[nodiscard]] bool image_hints_due();
-  [[nodiscard]] std::size_t operations_allowed(double reserve_share);
-  std::string record_text(Job& job, std::uint64_t seq);
-  [[nodiscard]] std::size_t value_limit(double fill) const;
-  void send_flush();
-  void log_commit();
-  void commit_rejected();
-  [[nodiscard]] std::size_t operations_limit() const;
-  [[nodiscard]] std::size_t manifest_bytes_of(
-      const std::map<std::string, std::string>& recent_records) const;
-  [[nodiscard]] std::size_t scale_out_bytes() const;
-  [[nodiscard]] static std::size_t scale_out_size(const ScaleOutRequest& scale_out);
-  void add_features(CompareAndSwapBuilder& transaction);
-  std::size_t add_scale_outs(Manifest& manifest);
-  void add_machine_shards(CompareAndSwapBuilder& transaction);
-  bool add_machine_shard(CompareAndSwapBuilder& transaction, std::size_t shard);
-  std::map<std::string, Job*> add_bitmaps(CompareAndSwapBuilder& transaction,
-                                          std::vector<Job*>& postponed);
-  [[nodiscard]] bool small_pieces() const;
-  bool add_bitmap(CompareAndSwapBuilder& transaction, Job& job);
-  static bool erase_bitmap(CompareAndSwapBuilder& transaction, Job& job);
-  std::size_t flush_recent_records(CompareAndSwapBuilder& transaction, std::size_t wanted);
-  bool put_shard(CompareAndSwapBuilder& transaction, std::size_t shard);
-  std::size_t reserve_for(const std::string& id, const std::string& text);
-  std::string text_for_shard(const std::string& id);
-  void postpone_excess(std::map<std::string, Job*>& changed, std::vector<Job*>& postponed,
-                       std::size_t manifest_bytes);
-  void move_pending_responses_to_commit();
   void finalize_if_over(Job& job);
-  void touch(Job& job);
-  void finish_job(Job& job);
 
   // share_moves.cpp
   void share_tick();
   void region_input(const RegionMessageReceived& input);
   void perform_share_actions(std::vector<federation::ShareAction> actions);
-  void add_shares(CompareAndSwapBuilder& transaction);
   void stop_beyond_cap(const std::string& name, Priority below);
 
   // rebuild.cpp
   void begin_reconciliation();
   void note_unreadable(const Snapshot& image);
-  void load_shards(const Snapshot& image);
   void load_scale_outs(const Snapshot& image);
   void load_jobs(Snapshot& image);
   void load_job(JobRecord record);
@@ -522,10 +484,6 @@
   Time last_worker_heartbeat_ = -kNever;  // by ourselves
   std::unordered_map<std::string, Time> redirected_at_;
 
-  // versions
-  /// Every controller understands gangs; written down in the checkpoint once that is so.
-  bool gangs_enabled_ = false, features_written_ = false;
-
   // followers' part in intake
   struct Forwarded {
     RequestSource source;
@@ -558,47 +516,7 @@
   bool refreshing_ = false;
   Time next_refresh_ = 0;
 
-  // rounds
-  std::uint64_t manifest_seq_ = 0, manifest_version_ = 0;
-  std::map<std::string, std::string> recent_records_;  // records in the head
-  std::vector<Job*> dirty_jobs_;
-  /// Shards whose list of machines differs from the checkpoint's.
-  std::set<std::size_t> dirty_machine_shards_;
-  /// Shards in which only the images that machines hold differ: a hint for a later leader, written
-  /// from what the limit on writes leaves over.
-  std::set<std::size_t> stale_image_shards_;
-  bool scale_outs_changed_ = false;
-  JobShards shards_;
-  struct FinishedTask {
-    std::string job;
-    std::uint32_t index = 0;
-    std::string machine;  // that reported it
-  };
-  struct CheckpointCommit {
-    KvRequest call;
-    std::uint64_t seq = 0, retries = 0;
-    std::map<std::string, std::string> recent_records;
-    struct Change {
-      std::string id;
-      Phase phase = Phase::Active;
-      bool final = false;
-      std::uint32_t started = 0;
-    };
-    std::vector<Change> jobs;
-    std::vector<PendingResponse> pending_responses;
-    std::vector<std::string> machines_added, scale_outs;
-    std::vector<FinishedTask> finished_tasks;
-    bool flush = false;     // copies records of the head to shards, and nothing else
-    bool shares = false;    // has writes of the shares
-    bool features = false;  // writes down that all controllers understand gangs
-  };
-  CheckpointCommit commit_;
-  bool commit_in_flight_ = false;
-  Time commit_retry_at_ = kNever, last_commit_at_ = 0;
-  /// Rounds that the state service found too large.
-  unsigned rejected_commits_ = 0;
-  std::vector<PendingResponse> pending_responses_;
-  std::vector<FinishedTask> finished_tasks_;
+  CheckpointWriter checkpoint_;
 
   // rebuild
   bool reconciling_ = false;
@@ -609,12 +527,7 @@
   bool unknown_jobs_ = false, unknown_machines_ = false;
 
   // machines
-  struct PendingScaleOut {
-    ScaleOutRequest request;
-    bool committed = false, asking = false;
-    Time retry = 0, since = 0;
-  };
-  std::map<std::string, PendingScaleOut> scale_outs_;
+  PendingScaleOuts scale_outs_;
   std::uint64_t next_scale_out_ = 1;
   std::map<InstancePool, Time> no_capacity_until_;
   std::set<std::string> termination_queue_;
--- a/src/controller/election.cpp
+++ b/src/controller/election.cpp
@@ -243,24 +243,10 @@
   if (!led) return;
   // Workers that know of no other leader are kept alive for as long as if we still led.
   keep_alive_permit_.allow(epoch_, lease_expiry_ + keep_alive_span());
-  for (const PendingResponse& w : commit_.pending_responses)
-    outbox_.reject(w.source, RejectReason::LeadershipLost);
-  for (const PendingResponse& w : pending_responses_)
-    outbox_.reject(w.source, RejectReason::LeadershipLost);
+  checkpoint_.reset();
   for (const auto& [id, waits] : cancel_waits_)
     for (const CancelWait& w : waits) outbox_.reject(w.source, RejectReason::LeadershipLost);
   cancel_waits_.clear();
-  pending_responses_.clear();
-  commit_ = CheckpointCommit{};
-  commit_in_flight_ = false;
-  commit_retry_at_ = kNever;
-  finished_tasks_.clear();
-  recent_records_.clear();
-  dirty_jobs_.clear();
-  dirty_machine_shards_.clear();
-  stale_image_shards_.clear();
-  scale_outs_changed_ = false;
-  shards_.clear();
   scale_outs_.clear();
   termination_queue_.clear();
   no_capacity_until_.clear();
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -165,11 +165,11 @@
 void Controller::note_address(Machine& m, const std::string& address) {
   if (m.address != address) {
     m.address = address;
-    if (m.recorded) dirty_machine_shards_.insert(machine_shard(m.name));
+    if (m.recorded) checkpoint_.mark_machine_changed(m.name);
   }
   if (m.recorded || m.record_dirty) return;
   m.record_dirty = true;
-  dirty_machine_shards_.insert(machine_shard(m.name));
+  checkpoint_.mark_machine_changed(m.name);
 }
 
 void Controller::record_heartbeat(Machine& m, const Heartbeat& r) {
--- a/src/controller/image_fetches.cpp
+++ b/src/controller/image_fetches.cpp
@@ -8,7 +8,7 @@
 // A task runs, so its machine has its image.
 void Controller::note_image(Machine& m, const JobSpec& spec) {
   note_fetch_ended(m, spec.image);
-  if (m.recorded && !m.has_image(spec.image)) stale_image_shards_.insert(machine_shard(m.name));
+  if (m.recorded && !m.has_image(spec.image)) checkpoint_.mark_images_changed(m.name);
   m.touch_image(spec.image, spec.image_gb);
 }
 
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -24,7 +24,7 @@
   // A request is handed on once, or once more where its first receiver has no way to the leader:
   // two nodes that take each other for the leader must not play ball with it.
   const bool may_forward = (r.source.kind == RequestSource::Kind::Local || r.relay) &&
-                           forwarded_.size() < most_open_requests();
+                           forwarded_.size() < checkpoint_.most_open_requests();
   if (const auto leader = peers_.leader(clock_.now); leader && may_forward) {
     // An older version would place a gang in its own way.
     if (r.op == UserOp::Submit && !peers_[*leader].understands_gangs && is_gang_submission(r.body))
@@ -79,22 +79,24 @@
   if (tables_.types.empty()) return outbox_.reject(r.source, RejectReason::MachineTypesUnknown);
   if (const auto cause = infeasibility(*spec))
     return outbox_.respond(r.source, 422, encode_error(to_string(*cause)));
-  if (spec->kind == JobKind::Gang && !gangs_enabled_)
+  if (spec->kind == JobKind::Gang && !checkpoint_.gangs_enabled())
     return outbox_.reject(r.source, RejectReason::GangsNotEnabled);
-  if (commit_.retries > 0) return outbox_.reject(r.source, RejectReason::KvStoreNotResponding);
-  if (too_many_waiting()) return outbox_.reject(r.source, RejectReason::TooManySubmissions);
+  if (checkpoint_.commit_in_doubt())
+    return outbox_.reject(r.source, RejectReason::KvStoreNotResponding);
+  if (checkpoint_.too_many_waiting())
+    return outbox_.reject(r.source, RejectReason::TooManySubmissions);
   JobRecord record;
   record.spec = std::move(*spec);
   record.submitted_wall_ms = clock_.wall_ms;
   // One round less before its start: a gang's aim is a matter of seconds.
   if (record.spec.kind == JobKind::Gang) record.started = record.spec.tasks;
   // The head gives it to a shard at once if it is large itself.
-  if (record_reserve(false, encode_record(record).size()) > value_limit(kValueFill))
+  if (record_reserve(false, encode_record(record).size()) > checkpoint_.value_limit(kValueFill))
     return outbox_.respond(r.source, 422, encode_error("its description is too large to be kept"));
   Job& job = tables_.add_job(std::move(record));
   job.accepted = clock_.now;
-  touch(job);
-  respond_after_commit(job, r.source, 201);
+  checkpoint_.mark_changed(job);
+  checkpoint_.respond_after_commit(job, r.source, 201);
   outbox_.log(Log::Level::Info, LogEvent::JobSubmitted,
               {{"job", job.spec().id},
                {"class", job.spec().job_class},
@@ -121,12 +123,12 @@
   if (job == nullptr) return respond_unknown(r.source, unknown_jobs_, command_until());
   if (job->record.phase != Phase::Active) {
     if (job->record.phase == job->committed_phase) return respond_committed(r.source, 200, *job);
-    return respond_after_commit(*job, r.source, 200);
+    return checkpoint_.respond_after_commit(*job, r.source, 200);
   }
   if (!job->record.cancel_asked) {
     // Written too: a later leader goes on stopping it, and its user need not ask again.
     job->record.cancel_asked = true;
-    touch(*job);
+    checkpoint_.mark_changed(*job);
     outbox_.log(Log::Level::Info, LogEvent::JobCancelRequested, {{"job", r.id}});
     stop_job(*job);
     scheduling_needed_ = true;
@@ -142,7 +144,7 @@
 Time Controller::cancel_wait() const { return std::clamp<Time>(worker_lease() / 50, 100, 500); }
 
 bool Controller::stops_at_once(const Job& job) const {
-  if (job.unknown > 0 || commit_.retries > 0) return false;
+  if (job.unknown > 0 || checkpoint_.commit_in_doubt()) return false;
   return std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& t) {
     return t.machine == nullptr || (t.machine->heard_in_epoch && !t.machine->silent);
   });
@@ -162,7 +164,7 @@
   job.record.phase = Phase::Cancelled;
   const auto waits = cancel_waits_.extract(job.spec().id);
   if (!waits) return;
-  for (const CancelWait& w : waits.mapped()) respond_after_commit(job, w.source, 200);
+  for (const CancelWait& w : waits.mapped()) checkpoint_.respond_after_commit(job, w.source, 200);
 }
 
 void Controller::forward(const RequestSource& source, UserOp op, const std::string& id,
--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -269,7 +269,7 @@
   m.idle_since = 0;
   if (job.record.started > index) return;
   job.record.started = index + 1;
-  touch(job);
+  checkpoint_.mark_changed(job);
 }
 
 // Adds to what more machines could serve: what the team's limit allows beyond what it has and what
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -30,26 +30,20 @@
     return step_down(StepDownCause::ManifestUnreadable);
   }
   tables_.clear();
-  manifest_seq_ = image.manifest.seq;
-  manifest_version_ = image.manifest_version;
-  load_shards(image);
+  checkpoint_.load(image);
   load_jobs(image);
   load_scale_outs(image);
-  features_written_ = image.features.gangs;
-  gangs_enabled_ = gangs_enabled_ || image.features.gangs;
   load_machines(image);
   if (!quotas_.load(image, epoch_, now))
     outbox_.log(Log::Level::Error, LogEvent::SharesWithoutOptions);
   terminated_.clear();
   capacity_checked_ = false;
   next_types_ = next_list_ = next_sizing_ = now;
-  // Written at once, so that the head carries the new epoch before anything depends on it.
-  scale_outs_changed_ = true;
   outbox_.log(Log::Level::Info, LogEvent::Leading,
               {{"jobs", tables_.jobs.size()},
                {"finished", tables_.finished.size()},
                {"machines", tables_.machines.size()},
-               {"seq", manifest_seq_},
+               {"seq", checkpoint_.manifest_seq()},
                {"after_ms", now - elected_at_},
                {"fence_ms", fence_at_ - now}});
   send_heartbeats();
@@ -69,28 +63,11 @@
   }
 }
 
-// A shard that is larger than may be written, as one of a time with higher limits, stays as it is:
-// what is stored stays readable. Its jobs go elsewhere when they change.
-void Controller::load_shards(const Snapshot& image) {
-  shards_ = JobShards(value_limit(kValueFill));
-  for (const std::string& key : image.unreadable)
-    if (const auto shard = shard_number(key)) shards_.close(*shard);
-  for (const auto& [shard, bytes] : image.shard_bytes)
-    if (bytes > value_limit(kShardGrowthFill)) shards_.close(shard);
-  for (const auto& [id, shard] : image.shard_of) {
-    const JobRecord& record = image.jobs.at(id);
-    shards_.add(id, shard, record_reserve(record.final, encode_record(record).size()));
-  }
-  recent_records_.clear();
-  for (const std::string& id : image.in_manifest)
-    recent_records_[id] = encode_record(image.jobs.at(id));
-}
-
 // Rentals beyond what the head may hold, as after a time with higher limits, are left out: machines
 // of theirs are found in the cloud's list and by their reports.
 void Controller::load_scale_outs(const Snapshot& image) {
   for (const ScaleOutRequest& scale_out : image.manifest.scale_outs)
-    if (scale_out_bytes() + scale_out_size(scale_out) <= value_limit(kScaleOutFill))
+    if (checkpoint_.scale_out_fits(scale_out))
       scale_outs_[scale_out.request] = {scale_out, true, false, clock_.now, clock_.now};
 }
 
--- a/src/controller/share_moves.cpp
+++ b/src/controller/share_moves.cpp
@@ -5,8 +5,6 @@
 namespace {
 /// The share manager is told of the load so often within a report's interval.
 constexpr Time kLooksPerHeartbeat = 10;
-/// Writes of shares in one round: with the head, that makes five operations.
-constexpr std::size_t kMostShareWrites = 4;
 }  // namespace
 
 void Controller::share_tick() {
@@ -37,16 +35,6 @@
   if (quotas_.take_raised()) scheduling_needed_ = true;
 }
 
-// Adds what is to be written of the shares; all of it, or none.
-void Controller::add_shares(CompareAndSwapBuilder& transaction) {
-  if (!quotas_.wants_commit()) return;
-  const std::size_t room = operations_limit() - transaction.operations();
-  for (auto& write : quotas_.writes(std::min(room, kMostShareWrites))) {
-    commit_.shares = true;
-    transaction.put(write.key, std::move(write.value));
-  }
-}
-
 // Stops tasks of the team of lower priority than that, the least important first, until what is
 // left is within its cap.
 void Controller::stop_beyond_cap(const std::string& name, Priority below) {
--- a/src/controller/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -163,8 +163,8 @@
   // The tasks of a gang complete together: one that is done says it of all.
   for (std::uint32_t i = 0; is_gang(job) && i < job.spec().tasks; ++i) tables_.mark_done(job, i);
   if (job.active() && job.record.done.count() == job.spec().tasks) job.record.phase = Phase::Done;
-  touch(job);
-  finished_tasks_.push_back({job.spec().id, index, m.name});
+  checkpoint_.mark_changed(job);
+  checkpoint_.finished_on(m.name, job, index);
 }
 
 void Controller::task_exited(Machine& m, TaskAttempt& p) {
@@ -197,7 +197,7 @@
     if (task.state == TaskState::Done && (!was_held || gang_done)) {
       // Known already: either committed, or in a round to come that settles it.
       p.exit_committed = job->record.done.test(p.key.index) && !job->dirty && !job->in_flight_phase;
-      if (!p.exit_committed) finished_tasks_.push_back({job->spec().id, p.key.index, m.name});
+      if (!p.exit_committed) checkpoint_.finished_on(m.name, *job, p.key.index);
     } else {
       note_finished(*job, p.key.index, m);
       if (task.machine != nullptr && task.machine != &m)
@@ -326,7 +326,7 @@
 void Controller::machine_gone(Machine& m, IncarnationLossCause cause) {
   outbox_.log(Log::Level::Info, LogEvent::MachineGone, {{"machine", m.name}, {"cause", cause}});
   incarnation_lost(m, cause);
-  if (m.recorded || m.record_dirty) dirty_machine_shards_.insert(machine_shard(m.name));
+  if (m.recorded || m.record_dirty) checkpoint_.mark_machine_changed(m.name);
   reservations_.erase(&m);
   scheduling_needed_ = true;
   tables_.remove_machine(std::string(m.name));
