--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -24,7 +24,7 @@
       incarnation_((std::uint64_t{random_()} << 32) | random_() | 1),
       peers_(settings_.peers.size(), incarnation_, worker_lease(), keep_alive_span()),
       election_(settings_, options_, clock_, outbox_, peers_, random_, *this),
-      shards_(value_limit(kValueFill)) {}
+      checkpoint_({settings_, clock_, outbox_, tables_, quotas_, peers_, scale_outs_, *this}) {}
 
 std::vector<Action> Controller::step(Clock clock, Input input) {
   // A clock that stood still or went back would stretch leases; it never runs backwards here.
@@ -32,7 +32,7 @@
   clock_.wall_ms = clock.wall_ms;
   std::visit([this](const auto& received) { handle(received); }, input);
   if (holds_valid_lease(clock_.now)) stop_tick();
-  if (election_.is_leader()) commit_if_due();
+  if (election_.is_leader()) checkpoint_.commit_if_due();
   return outbox_.take_actions();
 }
 
@@ -102,24 +102,10 @@
   if (!led) return;
   // Workers that know no other leader are kept alive for as long as if we still led.
   keep_alive_permit_.allow(election_.epoch(), election_.lease_expiry() + keep_alive_span());
-  for (const PendingResponse& w : commit_.pending_responses)
-    outbox_.reject(w.source, RejectReason::LeadershipLost);
-  for (const PendingResponse& w : pending_responses_)
-    outbox_.reject(w.source, RejectReason::LeadershipLost);
+  checkpoint_.reset();
   for (const auto& [id, waits] : cancel_waits_)
     for (const CancelWait& w : waits) outbox_.reject(w.source, RejectReason::LeadershipLost);
   cancel_waits_.clear();
-  pending_responses_.clear();
-  commit_ = CheckpointCommit{};
-  commit_in_flight_ = false;
-  commit_retry_at_ = kNever;
-  finished_tasks_.clear();
-  recent_records_.clear();
-  dirty_jobs_.clear();
-  dirty_machine_shards_.clear();
-  stale_image_shards_.clear();
-  scale_outs_changed_ = false;
-  shards_.clear();
   scale_outs_.clear();
   termination_queue_.clear();
   no_capacity_until_.clear();
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -60,26 +60,20 @@
     return election_.resign(StepDownCause::ManifestUnreadable, {.expire_now = false});
   }
   tables_.clear();
-  manifest_seq_ = image.manifest.seq;
-  manifest_version_ = image.manifest_version;
-  load_shards(image);
+  checkpoint_.load(image);
   load_jobs(image);
   load_scale_outs(image);
-  features_written_ = image.features.gangs;
-  gangs_enabled_ = gangs_enabled_ || image.features.gangs;
   load_machines(image);
   if (!quotas_.load(image, election_.epoch(), now))
     outbox_.log(Log::Level::Error, LogEvent::SharesWithoutOptions);
   terminated_.clear();
   capacity_checked_ = false;
   next_types_ = next_list_ = next_sizing_ = now;
-  // Written at once, so that the manifest carries the new epoch before anything depends on it.
-  scale_outs_changed_ = true;
   outbox_.log(Log::Level::Info, LogEvent::Leading,
               {{"jobs", tables_.jobs.size()},
                {"finished", tables_.finished.size()},
                {"machines", tables_.machines.size()},
-               {"seq", manifest_seq_},
+               {"seq", checkpoint_.manifest_seq()},
                {"after_ms", now - election_.elected_at()},
                {"fence_ms", fence_at_ - now}});
   send_heartbeats();
@@ -99,28 +93,11 @@
   }
 }
 
-// A shard above the write limit, as one from a time with higher limits, stays as it is: what is
-// stored stays readable. Its jobs move to other shards when they change.
-void Controller::load_shards(const Snapshot& image) {
-  shards_ = JobShards(value_limit(kValueFill));
-  for (const std::string& key : image.unreadable)
-    if (const auto shard = shard_number(key)) shards_.close(*shard);
-  for (const auto& [shard, bytes] : image.shard_bytes)
-    if (bytes > value_limit(kShardGrowthFill)) shards_.close(shard);
-  for (const auto& [id, shard] : image.shard_of) {
-    const JobRecord& record = image.jobs.at(id);
-    shards_.add(id, shard, record_reserve(record.final, encode_record(record).size()));
-  }
-  recent_records_.clear();
-  for (const std::string& id : image.in_manifest)
-    recent_records_[id] = encode_record(image.jobs.at(id));
-}
-
 // Scale-out requests beyond what the manifest may hold, as after a time with higher limits, are
 // left out: their machines are found in the cloud's list and by their heartbeats.
 void Controller::load_scale_outs(const Snapshot& image) {
   for (const ScaleOutRequest& scale_out : image.manifest.scale_outs)
-    if (scale_out_bytes() + scale_out_size(scale_out) <= value_limit(kScaleOutFill))
+    if (checkpoint_.scale_out_fits(scale_out))
       scale_outs_[scale_out.request] = {scale_out, true, false, clock_.now, clock_.now};
 }
 
--- a/src/controller/share_moves.cpp
+++ b/src/controller/share_moves.cpp
@@ -5,8 +5,6 @@
 namespace {
 /// How often the share manager is told of the load within a heartbeat interval.
 constexpr Time kLooksPerHeartbeat = 10;
-/// Share writes in one checkpoint commit: with the manifest, that makes five operations.
-constexpr std::size_t kMostShareWrites = 4;
 }  // namespace
 
 void Controller::share_tick() {
@@ -37,16 +35,6 @@
   if (quotas_.take_raised()) scheduling_needed_ = true;
 }
 
-// Adds the pending writes of share records to the transaction: all of them, or none.
-void Controller::add_shares(CompareAndSwapBuilder& transaction) {
-  if (!quotas_.wants_commit()) return;
-  const std::size_t room = operations_limit() - transaction.operations();
-  for (auto& write : quotas_.writes(std::min(room, kMostShareWrites))) {
-    commit_.shares = true;
-    transaction.put(write.key, std::move(write.value));
-  }
-}
-
 // Stops the team's tasks below that priority, the least important first, until the rest is within
 // its cap.
 void Controller::stop_beyond_cap(const std::string& name, Priority below) {
