--- a/tests/behaviour_digest.cpp
+++ b/tests/behaviour_digest.cpp
@@ -6,6 +6,7 @@
 #include <CLI/CLI.hpp>
 #include <cstdint>
 #include <cstdio>
+#include <exception>
 #include <functional>
 #include <map>
 #include <memory>
@@ -170,4 +171,13 @@
 }  // namespace
 }  // namespace sailreel::sim
 
-int main(int argc, char** argv) { return sailreel::sim::run(argc, argv); }
+int main(int argc, char** argv) {
+  try {
+    return sailreel::sim::run(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "behaviour_digest: %s\n", error.what());
+  } catch (...) {
+    std::fprintf(stderr, "behaviour_digest: unknown exception\n");
+  }
+  return 1;
+}
