--- a/src/controller/actions.hpp
+++ b/src/controller/actions.hpp
@@ -1,4 +1,4 @@
-// Inputs of a controller's step and the actions that it returns.
+// The inputs of a controller's step and the actions that the step returns.
 #pragma once
 
 #include <cstdint>
@@ -11,96 +11,109 @@
 
 namespace sailreel {
 
-/// Where a request came from, and so where its response goes.
+/// Where a request came from, which is also where its response is sent.
 struct RequestSource {
   enum class Kind : std::uint8_t { None, Local, Peer } kind = Kind::None;
-  std::uint64_t link = 0;  // connection, or peer link
-  std::uint64_t call = 0;  // the peer's number for the request
+  std::uint64_t link = 0;  // the user's or worker's connection, or the link to the peer
+  std::uint64_t call = 0;  // the number that the peer gave the request
 };
 
 // ---- inputs ----
+/// A user's request, received from the user or forwarded by a peer.
 struct UserRequest {
   RequestSource source;
   UserOp op = UserOp::Query;
   std::string id;      // empty for a submission
   std::string body;    // of a submission
-  bool relay = false;  // from a peer that has no path to the leader
+  bool relay = false;  // forwarded by a peer that has no path to the leader
 };
 /// A worker's heartbeat, received from it or forwarded by a peer.
 struct HeartbeatReceived {
   RequestSource source;
   Heartbeat heartbeat;
-  std::string raw;  // as received, to be forwarded
+  std::string raw;  // the encoded heartbeat as received, for forwarding
 };
+/// The response to a CallKvStore action.
 struct KvResponseReceived {
   std::uint64_t call = 0;
   KvResponse reply;
 };
+/// The response to a CallCloud action.
 struct CloudResponseReceived {
   std::uint64_t call = 0;
   CloudResponse reply;
 };
-/// The response to a direct command or inquiry.
+/// The response to a CallWorker action.
 struct WorkerResponseReceived {
   std::uint64_t call = 0;
   int status = 0;
   std::optional<Heartbeat> heartbeat;
 };
+/// A peer's heartbeat or response. A peer's requests arrive as UserRequest or HeartbeatReceived.
 struct PeerMessageReceived {
   std::size_t peer = 0;
-  PeerMessage
-      message;  // a heartbeat or a response; requests come as UserRequest or HeartbeatReceived
+  PeerMessage message;
 };
-/// A message of another region's leader, or of a former one.
+/// A message from the leader of another region, or from a former leader.
 struct RegionMessageReceived {
   RegionMessage message;
 };
+/// The link to the peer broke.
 struct PeerDisconnected {
   std::size_t peer = 0;
 };
+/// Starts a step without other input, usually because the timer of an ArmTimer action has expired.
 struct Tick {};
 using Input = std::variant<Tick, UserRequest, HeartbeatReceived, KvResponseReceived,
                            CloudResponseReceived, WorkerResponseReceived, PeerMessageReceived,
                            PeerDisconnected, RegionMessageReceived>;
 
 // ---- actions ----
+/// Responds to a user, worker or peer.
 struct Response {
   RequestSource source;
   int status = 0;
   std::string body;
   int retry_after_s = 0;
-  /// Not to be sent at or after this time (ms): the lease that backs it may have expired by then.
+  /// The response must not be sent at or after this time (ms), because the lease that it relies on
+  /// may have expired by then.
   Time valid_until = kNever;
 };
+/// Sends a request to the key-value store. `call` identifies the response.
 struct CallKvStore {
   std::uint64_t call = 0;
   KvRequest request;
   Time timeout_ms = 0;
 };
+/// Sends a request to the cloud. `call` identifies the response.
 struct CallCloud {
   std::uint64_t call = 0;
   CloudRequest request;
   Time timeout_ms = 0;
 };
+/// Sends a command or an inquiry directly to a worker, but not at or after `valid_until`. `call`
+/// identifies the response.
 struct CallWorker {
   std::uint64_t call = 0;
   std::string address, body;
   Time timeout_ms = 0;
   Time valid_until = kNever;
 };
+/// Sends a message to a controller of this region.
 struct SendPeer {
   std::size_t peer = 0;
   PeerMessage message;
 };
-/// Sent to the region's leader; other controllers there ignore it.
+/// Sends a message to the leader of another region. The other controllers of that region ignore it.
 struct SendRegion {
-  std::size_t region = 0;  // among the other regions, in the order of the options
+  std::size_t region = 0;  // index among the other regions, in the order of the options
   RegionMessage message;
 };
-/// Asks for a Tick after that time (ms).
+/// Requests a Tick after `in_ms`.
 struct ArmTimer {
   Time in_ms = 0;
 };
+/// Writes a log line.
 struct Log {
   enum class Level : std::uint8_t { Debug, Info, Error, Warning } level = Level::Info;
   std::string text;
@@ -108,7 +121,7 @@
 using Action =
     std::variant<Response, CallKvStore, CallCloud, CallWorker, SendPeer, SendRegion, ArmTimer, Log>;
 
-/// `now`: monotonic, in ms; `wall_ms`: ms since the epoch of the wall clock.
+/// The time of a step. `now`: monotonic, in ms; `wall_ms`: wall clock, in ms since the Unix epoch.
 struct Clock {
   Time now = 0;
   std::int64_t wall_ms = 0;
--- a/src/controller/causes.hpp
+++ b/src/controller/causes.hpp
@@ -1,5 +1,6 @@
-// Why a controller did something: causes that are logged, and reasons that are told to users. One
-// `to_string` for each; what leaves for users keeps the wording that it always had.
+// Causes of a controller's decisions, which are logged, and reasons that are part of responses to
+// users. `to_string` returns the text of each. The texts that users receive stay the same in all
+// versions.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +11,7 @@
 
 namespace sailreel {
 
-/// What a controller is in the election.
+/// The state of a controller in the election. `Loading`: elected, but still reading the checkpoint.
 enum class Role : std::uint8_t { Follower, Candidate, Loading, Leader };
 
 /// Why a candidate or leader became a follower again.
@@ -18,16 +19,16 @@
   NoLeaseGranted,
   EpochUnreadable,
   LostElection,           // another candidate took the leader's key first
-  ClaimNotAnswered,       // the outcome of our own attempt is unknown
-  CheckpointTimeout,      // it could not be read within the lease
-  ManifestUnreadable,     // without it nothing can be committed
-  LeaseEnded,             // the key-value store doesn't know the lease any more
-  HigherEpochAtPeer,      // another leader was elected since
-  HigherEpochAtWorker,    // a worker has seen a later fencing token than ours
+  ClaimNotAnswered,       // the outcome of this controller's claim is unknown
+  CheckpointTimeout,      // the checkpoint could not be read within the lease
+  ManifestUnreadable,     // without the manifest nothing can be committed
+  LeaseEnded,             // the key-value store has ended the lease
+  HigherEpochAtPeer,      // another leader has been elected since
+  HigherEpochAtWorker,    // a worker has seen a higher fencing token than this leader's
   CheckpointOverwritten,  // the manifest was written under another epoch
   CommitRejected,         // the key-value store does not accept a commit of this size
-  AttemptNumbersUsedUp,   // the next leader's epoch begins a new range
-  NoWorkerHeard,          // a peer may be better connected
+  AttemptNumbersUsedUp,   // the epoch has no attempt number left; the next epoch has a new range
+  NoWorkerHeard,          // no worker reaches this leader; a peer may be better connected
 };
 
 /// Why a request is answered with 503.
@@ -54,7 +55,7 @@
   NoMachineType,
 };
 
-/// Why an instance is returned to the cloud.
+/// Why the controller terminates a cloud instance.
 enum class TerminationCause : std::uint8_t {
   LaunchFailed,
   NeverCameUp,
@@ -67,20 +68,20 @@
   SilentSinceFailover,
   UnheardSinceFailover,
 };
-/// The cause for a machine that was cordoned and is empty now.
+/// The termination cause of a machine that was cordoned and has no tasks left.
 TerminationCause termination_cause(CordonCause cause);
 
-/// Why a machine gets no work for a while.
+/// Why no tasks are placed on a machine for some time.
 enum class QuarantineCause : std::uint8_t { ReceivesNothing, StartsNotAcknowledged, TaskErrors };
 
-/// Why all attempts of a machine's incarnation are known to be over.
+/// Why all attempts of a machine's incarnation are known to have ended.
 enum class IncarnationLossCause : std::uint8_t { LeaseExpired, NewIncarnation, Terminated };
 
 std::string_view to_string(Role role);
 std::string_view to_string(StepDownCause cause);
-/// The wording is part of the response's body.
+/// The text is part of the response's body.
 std::string_view to_string(RejectReason reason);
-/// The same.
+/// The text is part of the response's body.
 std::string_view to_string(Infeasibility cause);
 std::string_view to_string(TerminationCause cause);
 std::string_view to_string(CordonCause cause);
--- a/src/controller/checkpoint_outcomes.cpp
+++ b/src/controller/checkpoint_outcomes.cpp
@@ -1,4 +1,4 @@
-// What committed changes, and commits that fail, mean for users, jobs, scale-outs and leadership.
+// Applies the outcomes of commits to users' requests, jobs, scale-outs and the leadership.
 #include <algorithm>
 
 #include "controller/controller.hpp"
@@ -38,16 +38,16 @@
   election_.step_down(StepDownCause::CheckpointOverwritten);
 }
 
-// While a commit is in flight, or its response was lost, another controller may have read what it
-// wrote and told a user so. Responses about what it changes wait until its outcome is known: the
-// old state may be out of date already.
+// While a commit is in flight or its response was lost, another controller may have read the commit
+// from the store and reported its changes to a user. The old state may then be out of date, so
+// responses about a job that the commit changes wait until the outcome is known.
 void Controller::respond_committed(const RequestSource& source, int status, const Job& job) {
   if (!job.committed || job.in_doubt())
     return checkpoint_.respond_after_commit(job, source, status);
   respond_with_job(source, status, view(job));
 }
 
-// Marks a job that is over for its last record, once none of its tasks can be on a machine.
+// Marks the record of a job that is over as final, once none of its tasks can be on a machine.
 void Controller::finalize_if_over(Job& job) {
   if (job.active() || job.record.final || job.placed > 0 || job.unknown > 0) return;
   if (!job.orphans.empty()) return;
@@ -58,7 +58,7 @@
     for (std::size_t i = 0; i * kSmallPieceBits < job.spec().tasks; ++i) job.dirty_pieces.insert(i);
 }
 
-// The job's last record is committed: only its final state is kept.
+// The job's last record is committed. Only a summary of the finished job is kept.
 void Controller::job_over(Job& job) {
   const std::string id = job.spec().id;
   const bool done = job.record.phase == Phase::Done;
--- a/src/controller/checkpoint_transaction.cpp
+++ b/src/controller/checkpoint_transaction.cpp
@@ -1,4 +1,4 @@
-// Puts a commit's transaction together within the limits of the key-value store.
+// Builds the transaction of a commit within the limits of the key-value store.
 #include <algorithm>
 #include <utility>
 
@@ -6,17 +6,19 @@
 
 namespace sailreel {
 namespace {
-/// The manifest keeps the latest records while they take less than this part of its value; then
-/// they are flushed to their shards.
+/// Recent records are flushed from the manifest to their shards when the manifest takes more than
+/// this share of the limit on a value.
 constexpr double kFlushAbove = 0.75;
-/// They are flushed until the manifest is down to this. The longer they stay, the more changes of a
-/// job and of its neighbours in a shard are written at once.
+/// A flush reduces the manifest to this share of the limit. The longer records stay in the
+/// manifest, the more changes of a job and of the other jobs in its shard are combined into one
+/// write.
 constexpr double kFlushDownTo = 0.45;
-/// What the conditions of a commit take, at most.
+/// Upper bound of the size of a commit's conditions.
 constexpr std::size_t kConditionBytes = 1024;
-/// What stands between and around the records of a value, and the fields of a scale-out request.
+/// Allowance for the punctuation of a value around its records, and of a scale-out request around
+/// its fields.
 constexpr std::size_t kPunctuationBytes = 64;
-/// Writes of shares in one commit: with the manifest, that makes five operations.
+/// Maximum number of share writes in one commit: five operations together with the manifest.
 constexpr std::size_t kMostShareWrites = 4;
 
 std::string record_text(Job& job, std::uint64_t seq) {
@@ -29,7 +31,8 @@
          scale_out.zone.size();
 }
 
-// A finished job's pieces are deleted, as far as there are any. `dirty_pieces` says which are left.
+// Deletes the bitmap pieces that a finished job has in the checkpoint. Returns false if the
+// transaction is full; `dirty_pieces` then holds the pieces that are left.
 bool erase_bitmap(CompareAndSwapBuilder& transaction, Job& job) {
   const std::string& id = job.spec().id;
   constexpr std::size_t kSmallPerPiece = kPieceBits / kSmallPieceBits;
@@ -47,7 +50,8 @@
 
 }  // namespace
 
-// How many writes beside the manifest leave that share of the burst.
+// Returns the number of writes beside the manifest that leave `reserve_share` of the write burst
+// unspent.
 std::size_t CheckpointWriter::operations_allowed(double reserve_share) {
   const double available = outbox_.write_budget().available(clock_.now);
   return static_cast<std::size_t>(
@@ -58,7 +62,7 @@
   return std::max<std::size_t>(1 + kLeastOperations, settings_.store.txn_ops >> rejected_commits_);
 }
 
-// Puts the next commit together and sends it.
+// Builds the next commit and sends it.
 void CheckpointWriter::send_commit() {
   commit_ = CheckpointCommit{};
   commit_.recent_records = recent_records_;
@@ -75,13 +79,14 @@
   std::size_t manifest_bytes = add_scale_outs(manifest);
   add_features(transaction);
   add_shares(transaction);
-  // Where a transaction takes few changes, lists of machines leave some to a manifest that fills
-  // up.
+  // If the manifest is about to be flushed, the machine lists get at most half of the operations.
+  // The flush needs the others, also where the store allows few operations in a transaction.
   if (manifest_bytes_of(commit_.recent_records) > value_limit(kFlushAbove))
     transaction.limit_operations(1 + (std::min(most, allowed) - 1) / 2);
   add_machine_shards(transaction);
   transaction.limit_operations(std::min(most, allowed));
-  // Users may wait for what depends on these.
+  // Users may wait for jobs whose bitmaps have to be written first, so these may use all
+  // operations.
   if (!pending_responses_.empty()) transaction.limit_operations(most);
   std::vector<Job*> postponed;
   std::map<std::string, Job*> changed = add_bitmaps(transaction, postponed);
@@ -89,7 +94,7 @@
   for (auto& [id, job] : changed)
     commit_.recent_records[id] = job->in_flight_record = record_text(*job, commit_.seq);
   for (const auto& [id, text] : commit_.recent_records) manifest_bytes += text.size() + 1;
-  // Without all operations, a manifest that is full would take no more records.
+  // A full manifest takes no more records until it is flushed, so the flush may use all operations.
   const bool full = manifest_bytes > value_limit(kValueFill);
   transaction.limit_operations(full ? most
                                     : std::min(most, std::max(allowed, transaction.operations())));
@@ -114,7 +119,7 @@
   resolve_uncertain_commit();
 }
 
-// What a commit writes, by the kind of key.
+// Logs the number of a commit's writes by the kind of key.
 void CheckpointWriter::log_commit() {
   std::size_t jobs = 0, machines = 0, other = 0;
   for (const KvRequest::Put& put : commit_.call.puts) {
@@ -136,7 +141,7 @@
        {"responses", commit_.pending_responses.size()}});
 }
 
-// What a manifest with these records, and the pending scale-outs, takes.
+// Returns the size of a manifest with these records and the pending scale-outs.
 std::size_t CheckpointWriter::manifest_bytes_of(
     const std::map<std::string, std::string>& recent_records) const {
   std::size_t bytes = scale_out_bytes();
@@ -154,10 +159,11 @@
   return scale_out_bytes() + scale_out_size(scale_out) <= value_limit(kScaleOutFill);
 }
 
-// A manifest of a time with higher limits is too large to be written again with one change: first
-// its records are flushed to shards, a few in each commit, while it stays as it is. Each shard is
-// written once, and always with the same records: so a copy of such a transaction that is carried
-// out late changes nothing, although no key that it is conditional on has changed meanwhile.
+// Flushes records of a manifest that was written under higher limits and is now too large to be
+// written again. Its records are first flushed to their shards, a few in each commit, while the
+// manifest stays unchanged. Each shard is written once, and always with the same records. Therefore
+// a copy of such a transaction that is carried out late changes nothing, although its conditions
+// still hold.
 void CheckpointWriter::send_flush() {
   commit_.flush = true;
   commit_.seq = manifest_seq_;
@@ -171,7 +177,7 @@
   resolve_uncertain_commit();
 }
 
-// The pending scale-outs lie in the manifest; what they take isn't there for jobs. Returns their
+// Adds the pending scale-outs to the manifest, where they reduce the room for jobs. Returns their
 // size.
 std::size_t CheckpointWriter::add_scale_outs(Manifest& manifest) {
   for (const auto& [request, scale_out] : scale_outs_) {
@@ -182,14 +188,15 @@
   return scale_out_bytes();
 }
 
-// Once every controller understands gangs, that is written down: a later leader need not hear all
-// of them again.
+// Records that every controller understands gangs once this is so, so that a later leader need not
+// hear from all of them again.
 void CheckpointWriter::add_features(CompareAndSwapBuilder& transaction) {
   if (features_written_ || !peers_.all_understand_gangs()) return;
   commit_.features = transaction.put(kFeaturesKey, encode_features({.gangs = true}));
 }
 
-// Adds what is to be written of the shares; all of it, or none.
+// Adds the pending writes of shares, as many as fit. `writes` returns only complete changes, so all
+// of the writes that it returns have to be part of the commit.
 void CheckpointWriter::add_shares(CompareAndSwapBuilder& transaction) {
   if (!quotas_.wants_commit()) return;
   const std::size_t room = operations_limit() - transaction.operations();
@@ -214,8 +221,9 @@
   }
 }
 
-// The machines of the shard alone are looked at. A look at all machines for each shard grew with
-// the square of a fleet that boots: at some 5,000 machines the leader lost its lease.
+// Examines only the machines of the shard. Examining all machines for each shard took time that
+// grew with the square of the number of booting machines: at about 5,000 machines the leader lost
+// its lease.
 bool CheckpointWriter::add_machine_shard(CompareAndSwapBuilder& transaction, std::size_t shard) {
   std::vector<MachineRecord> list;
   std::vector<std::string> names;
@@ -237,7 +245,7 @@
 }
 
 // Adds the changed pieces of the jobs' bitmaps. Returns the jobs whose record may be written in
-// this commit: those of which no piece is left.
+// this commit because no changed piece is left; the others are added to `postponed`.
 std::map<std::string, Job*> CheckpointWriter::add_bitmaps(CompareAndSwapBuilder& transaction,
                                                           std::vector<Job*>& postponed) {
   std::map<std::string, Job*> whole;
@@ -249,9 +257,9 @@
   return whole;
 }
 
-// Whether pieces of the larger kind may be too large to be written. As long as a controller of an
-// older version may lead, which reads only these, they are written all the same, unless that was
-// refused before.
+// Whether bitmaps are written in small pieces because regular pieces may be too large. A controller
+// of an older version reads only regular pieces. As long as one may lead, regular pieces are
+// written nevertheless, unless the store has rejected a commit.
 bool CheckpointWriter::small_pieces() const {
   return value_limit(1) < encode_piece(std::string(kPieceBits / kBitsPerDigit, '0')).size() &&
          (gangs_enabled_ || rejected_commits_ > 0);
@@ -275,14 +283,15 @@
   return true;
 }
 
-// Flushes `wanted` bytes of the recent records, or as much as the transaction takes, to their
-// shards, together with what lies there already. Returns how many bytes of the manifest that frees.
+// Flushes `wanted` bytes of the recent records, or as many as the transaction takes, to their
+// shards, which keep their other records. Returns the number of bytes that this frees in the
+// manifest.
 std::size_t CheckpointWriter::flush_recent_records(CompareAndSwapBuilder& transaction,
                                                    std::size_t wanted) {
   std::map<std::size_t, std::vector<std::string>> by_shard;
   for (const auto& [id, text] : commit_.recent_records)
     by_shard[shards_.place(id, reserve_for(id, text))].push_back(id);
-  // Those first that free most with one write.
+  // Shards with the most recent records come first, because one write frees the most then.
   std::vector<std::pair<std::size_t, std::size_t>> order;  // recent records, and their shard
   order.reserve(by_shard.size());
   for (const auto& [shard, ids] : by_shard) order.emplace_back(ids.size(), shard);
@@ -300,7 +309,8 @@
   return freed;
 }
 
-// Writes a shard with all its jobs; false if it doesn't fit.
+// Writes a shard with all its jobs; returns false if the shard is too large or the transaction
+// full.
 bool CheckpointWriter::put_shard(CompareAndSwapBuilder& transaction, std::size_t shard) {
   std::vector<std::string> records;
   std::size_t bytes = kPunctuationBytes;
@@ -313,7 +323,7 @@
     records.push_back(std::move(text));
   }
   if (bytes > value_limit(kShardGrowthFill)) {
-    // It has outgrown its value: its jobs go elsewhere with their next change.
+    // The shard is larger than a value may be. Its jobs are assigned other shards when they change.
     shards_.close(shard);
     return false;
   }
@@ -325,12 +335,12 @@
   return record_reserve(job == nullptr || job->record.final, text.size());
 }
 
-// A job's record for its shard; empty if there is none yet.
+// Returns the text of a job's record for its shard; empty if the job has no record yet.
 std::string CheckpointWriter::text_for_shard(const std::string& id) {
   if (const auto recent = commit_.recent_records.find(id); recent != commit_.recent_records.end())
     return recent->second;
-  // As the checkpoint has it. Encoded from memory, a change that waits for a later commit would be
-  // read by other controllers before that commit, and told to users.
+  // The record as the checkpoint has it. If it were encoded from memory, other controllers could
+  // read a change that waits for a later commit, and report it to users before that commit.
   if (const Job* job = tables_.job(id)) return job->stored;
   const auto finished = tables_.finished.find(id);
   if (finished == tables_.finished.end()) return {};
@@ -343,7 +353,8 @@
   return encode_record(record);
 }
 
-// A burst larger than one commit: the rest of it waits for the next.
+// Moves changed jobs whose records don't fit into the manifest to `postponed`; they wait for the
+// next commit.
 void CheckpointWriter::postpone_excess(std::map<std::string, Job*>& changed,
                                        std::vector<Job*>& postponed, std::size_t manifest_bytes) {
   for (auto it = changed.begin();
@@ -365,7 +376,8 @@
   }
 }
 
-// Users and workers who wait for a job of this commit get their response with it, the others later.
+// Assigns to this commit the pending responses and finished tasks of all jobs that are not
+// postponed. The others stay for a later commit.
 void CheckpointWriter::move_pending_responses_to_commit() {
   std::set<std::string> postponed;
   for (const Job* job : changed_jobs_) postponed.insert(job->spec().id);
--- a/src/controller/checkpoint_writer.cpp
+++ b/src/controller/checkpoint_writer.cpp
@@ -1,4 +1,4 @@
-// When a commit is sent, and what its outcome means.
+// Decides when a commit is sent, and processes its outcome.
 #include "controller/checkpoint_writer.hpp"
 
 #include <algorithm>
@@ -7,13 +7,14 @@
 
 namespace sailreel {
 namespace {
-/// Values aren't limited to less than this, however often commits are rejected.
+/// The limit on a value is never lower than this, however many commits are rejected.
 constexpr double kLeastValueKb = 1;
-/// Commits don't get smaller than after so many rejections.
+/// Rejections beyond this number don't make commits smaller.
 constexpr unsigned kMostRejections = 3;
-/// Commits that no user waits for are at least this part of a heartbeat interval apart.
+/// Commits that no user waits for are at least a heartbeat interval divided by this apart.
 constexpr Time kCommitsPerHeartbeat = 8;
-/// In ms: until a commit is repeated, after an error of the store and without a valid lease.
+/// Delays (ms) until a commit is repeated: after an error of the store, and while the controller
+/// has no valid lease.
 constexpr Time kRetryAfterError = 100, kRetryWithoutLease = 50;
 }  // namespace
 
@@ -37,8 +38,9 @@
   scale_outs_changed_ = true;
 }
 
-// A shard that is larger than may be written, as one of a time with higher limits, stays as it is:
-// what is stored stays readable. Its jobs go elsewhere when they change.
+// A shard that is larger than the limits allow to be written, because it was written under higher
+// limits, is not written again, so that its records stay readable. A job of such a shard is
+// assigned another shard when it changes.
 void CheckpointWriter::load_shards(const Snapshot& image) {
   shards_ = JobShards(value_limit(kValueFill));
   for (const std::string& key : image.unreadable)
@@ -90,13 +92,15 @@
   finished_tasks_.push_back({job.spec().id, index, machine});
 }
 
-// With the commit in flight, if that has what is known of the job.
+// The response is sent with the commit in flight if that commit contains the job's present state,
+// otherwise with the next one.
 void CheckpointWriter::respond_after_commit(const Job& job, const RequestSource& source,
                                             int status) {
   if (commit_in_doubt()) return outbox_.reject(source, RejectReason::KvStoreNotResponding);
   if (too_many_waiting()) return outbox_.reject(source, RejectReason::TooManyRequests);
-  // The commit in flight may have been sent before the last change: a cancellation once got the
-  // response "running" with the commit that recorded that it had been asked for.
+  // The commit in flight may have been sent before the job's last change. Without the check of
+  // `dirty`, a cancellation got the response "running" with the commit that only recorded the
+  // request to cancel.
   const bool with_this = job.in_flight_phase && !job.dirty;
   (with_this ? commit_.pending_responses : pending_responses_)
       .push_back({source, status, job.spec().id});
@@ -121,7 +125,8 @@
          !finished_tasks_.empty() || quotas_.wants_commit();
 }
 
-// A user, a worker, or another region's work waits for what the next commit brings.
+// Whether a request, or a change of the shares that other regions depend on, waits for the next
+// commit.
 bool CheckpointWriter::someone_waits() const {
   return !pending_responses_.empty() || quotas_.wants_commit();
 }
@@ -137,7 +142,8 @@
     return;
   }
   if (!leader.holds_valid_lease || (!commit_needed() && !image_hints_due())) return;
-  // What nobody waits for is gathered for a moment: each commit writes the whole manifest.
+  // Changes that no user waits for are batched for a short time, because each commit writes the
+  // whole manifest.
   if (!someone_waits() &&
       clock_.now < last_commit_at_ + heartbeat_interval() / kCommitsPerHeartbeat)
     return;
@@ -159,9 +165,9 @@
                                   1024 * fill);
 }
 
-// Sends the commit in flight, again if need be. Without a response it may have been carried out, or
-// may be later; but as a compare-and-swap on the manifest it can be so only once, and nothing else
-// is written until its outcome is known.
+// Sends the commit in flight, for the first time or again. A commit without a response may have
+// been carried out, or may be carried out later. As a compare-and-swap on the manifest it can take
+// effect only once, and nothing else is written until its outcome is known.
 void CheckpointWriter::resolve_uncertain_commit() {
   const LeaderTerm leader = listener_.leader_term();
   if (!leader.holds_valid_lease) {
@@ -178,7 +184,7 @@
       KvUrgency::Urgent);
 }
 
-// Too large, although it is within the limits as we know them.
+// The store rejects the commit as too large, although it is within the known limits.
 void CheckpointWriter::commit_rejected() {
   std::size_t largest = 0;
   std::string key;
@@ -204,8 +210,9 @@
   look_for_commit();
 }
 
-// The store was not reached, or couldn't say what became of the commit. Whoever waits is told at
-// once to come back; what they asked for goes on to be written, and a repeat finds it.
+// The store was not reached, or could not report the outcome of the commit. Waiting requests are
+// rejected at once, so that clients retry. The commit is repeated nevertheless, and a client's
+// retry finds what it has written.
 void CheckpointWriter::commit_not_answered(int status) {
   commit_retry_at_ = clock_.now + (status == 0 ? 0 : kRetryAfterError);
   for (auto* pending_responses : {&commit_.pending_responses, &pending_responses_}) {
@@ -218,8 +225,9 @@
                 {{"seq", commit_.seq}, {"status", status}});
 }
 
-// The manifest has another version than the commit is conditional on: either an earlier copy of the
-// commit was carried out, or another controller leads.
+// Reads the manifest after a failed condition. Its version differs from the one that the commit is
+// conditional on because either an earlier copy of the commit was carried out, or another
+// controller leads.
 void CheckpointWriter::look_for_commit() {
   KvRequest get;
   get.kind = KvRequest::Kind::List;
@@ -276,7 +284,7 @@
     }
 }
 
-// Now that it is committed that a task is finished, its worker may forget it.
+// The end of these tasks is committed, so their workers may forget them.
 void CheckpointWriter::finished_tasks_committed(const std::vector<FinishedTask>& finished) {
   for (const FinishedTask& task : finished)
     if (Machine* machine = tables_.machine(task.machine))
@@ -286,7 +294,7 @@
           attempt.exit_committed = true;
 }
 
-// Returns the jobs whose last record this was.
+// Returns the jobs whose last record is committed.
 std::vector<Job*> CheckpointWriter::jobs_committed(
     const std::vector<CheckpointCommit::Change>& changes) {
   std::vector<Job*> over;
--- a/src/controller/checkpoint_writer.hpp
+++ b/src/controller/checkpoint_writer.hpp
@@ -1,5 +1,5 @@
 // Writes a leader's changes to the checkpoint in the key-value store. One compare-and-swap
-// transaction is in flight at a time; all that changes meanwhile goes into the next (group commit).
+// transaction is in flight at a time; changes made meanwhile go into the next one (group commit).
 #pragma once
 
 #include <cstddef>
@@ -22,19 +22,22 @@
 
 namespace sailreel {
 
-/// What the election says of this controller's leadership at the present moment.
+/// This controller's leadership at the present moment, as the election reports it.
 struct LeaderTerm {
-  /// Raised when leading begins or ends. A response to a call of an older term is dropped.
+  /// Incremented by each campaign and each step-down. The response to a call of an older term is
+  /// dropped.
   std::uint64_t term = 0;
   /// The fencing token, and the version of its key, on which each commit is conditional.
   std::uint64_t epoch = 0, epoch_version = 0;
-  /// The checkpoint is loaded and leadership not given up; the lease may have expired all the same.
+  /// The checkpoint is loaded and the controller hasn't stepped down. Its lease may have expired.
   bool leads = false;
   bool holds_valid_lease = false;
 };
 
-/// What the outcome of a commit means outside the checkpoint. Called within the step that takes the
-/// key-value store's response in, for one commit in the order of the functions here.
+/// Applies the outcome of a commit outside of the checkpoint. The functions are called within the
+/// step that receives the key-value store's response. For one commit they are called in the order
+/// of their declarations, except that `scheduling_possible` is called for each new machine before
+/// and for each new job after `scale_outs_committed`.
 class CheckpointListener {
  public:
   CheckpointListener() = default;
@@ -43,40 +46,42 @@
 
   [[nodiscard]] virtual LeaderTerm leader_term() const = 0;
 
-  /// What the regional quotas last gave to be written is committed.
+  /// The writes that the regional quotas last returned are committed.
   virtual void shares_committed() = 0;
-  /// A machine or a job is in the checkpoint for the first time, and may be scheduled from now on.
+  /// A machine or a job is in the checkpoint for the first time and may be scheduled from now on.
   virtual void scheduling_possible() = 0;
-  /// The cloud may be asked for these.
+  /// These scale-out requests are committed and may be sent to the cloud.
   virtual void scale_outs_committed(const std::vector<std::string>& names) = 0;
-  /// Someone waited for what is now committed of the job.
+  /// The state of the job for which the request waited is committed; the request gets its response.
   virtual void respond_with_committed_job(const RequestSource& source, int status,
                                           const std::string& id) = 0;
-  /// The job's last record is committed; it leaves the tables.
+  /// The job's last record is committed; the job has to be removed from the tables.
   virtual void job_over(Job& job) = 0;
 
-  /// The store refuses the commit's size. Whether an earlier copy of it was carried out isn't
-  /// known, so the lease is to be given back: whoever leads next reads that.
+  /// The store rejects the commit because of its size. It is unknown whether an earlier copy of the
+  /// commit was carried out, so the lease has to be given back: the next leader reads the
+  /// checkpoint, and with it the outcome.
   virtual void commit_rejected() = 0;
-  /// The conditions of a commit don't hold any more: another leader has written the checkpoint.
+  /// The conditions of a commit no longer hold: another leader has written the checkpoint.
   virtual void checkpoint_overwritten() = 0;
 
  protected:
   ~CheckpointListener() = default;
 };
 
-/// Owns what this controller knows of the checkpoint while it leads: the manifest's version, the
-/// recent records in it, what has changed since, the commit in flight, and who waits for a commit.
+/// Owns a leader's view of the checkpoint: the manifest's version and recent records, the changes
+/// since, the commit in flight, and the requests that wait for a commit.
 ///
-/// Nothing depends on a change before it is committed: users get their response, workers may forget
-/// finished tasks, and the cloud is asked for instances only afterwards. Each commit is a
-/// compare-and-swap on the epoch's key and the manifest's, so that a former leader's fails.
+/// Nothing depends on a change before it is committed: only then do users get their response, may
+/// workers forget finished tasks, and is the cloud asked for instances. Each commit is a
+/// compare-and-swap on the keys of the epoch and the manifest, so that a former leader's commit
+/// fails.
 ///
-/// Belongs to Controller, which calls `commit_if_due` at the end of each step. Times are ms of the
+/// Owned by Controller, which calls `commit_if_due` at the end of each step. Times are in ms on the
 /// controller's clock.
 class CheckpointWriter {
  public:
-  /// What the writer reads or changes but doesn't own; all of it has to outlive the writer.
+  /// The objects that the writer reads or changes but doesn't own. They must outlive the writer.
   struct Environment {
     const Settings& settings;
     const Clock& clock;
@@ -92,52 +97,56 @@
   CheckpointWriter(const CheckpointWriter&) = delete;
   CheckpointWriter& operator=(const CheckpointWriter&) = delete;
 
-  /// Begins with what a new leader has read. To be called before the jobs are moved out of it. The
-  /// next commit is due at once, so that the manifest carries the new epoch before anything depends
-  /// on it.
+  /// Starts from the checkpoint that a new leader has read. Must be called before the jobs are
+  /// moved out of `image`. The next commit is due at once, so that the manifest contains the new
+  /// epoch before anything depends on it.
   void load(const Snapshot& image);
-  /// Leadership has ended: rejects whoever waits, and forgets all changes and the commit in flight.
-  /// How often commits were rejected is kept: the limits of the store hold for the next term too.
+  /// Called when leadership has ended. Rejects all waiting requests, and discards all changes and
+  /// the commit in flight. Keeps the count of rejected commits, because the limits of the store
+  /// hold for the next term too.
   void reset();
 
+  /// The job's record differs from the checkpoint; the next commit includes it.
   void mark_changed(Job& job);
-  /// The job is removed from the tables; a change of it isn't written any more.
+  /// The job is removed from the tables; its changes are no longer written.
   void forget(const Job& job) { std::erase(changed_jobs_, &job); }
   /// The machine joins or leaves the list of recorded machines, or has a new address.
   void mark_machine_changed(const std::string& machine);
-  /// The images that the machine holds have changed: a hint for a later leader, written from what
-  /// the limit on writes leaves over.
+  /// The set of images that the machine holds has changed. The images are a hint for a later leader
+  /// and are written only while enough of the write budget is left.
   void mark_images_changed(const std::string& machine);
-  /// A scale-out request was added to or removed from the pending ones.
+  /// A pending scale-out request was added or removed.
   void mark_scale_outs_changed() { scale_outs_changed_ = true; }
-  /// The worker may forget the task once its end is committed.
+  /// The task has finished on the machine. Once this is committed, the worker may forget the task.
   void finished_on(const std::string& machine, const Job& job, std::uint32_t index);
 
-  /// Responds with the job once all that is known of it now is committed.
+  /// Responds with the job once its present state is committed.
   void respond_after_commit(const Job& job, const RequestSource& source, int status);
-  /// Sends the next commit if there is something to write and the write budget allows it; repeats
-  /// one that wasn't answered.
+  /// Sends the next commit if there are changes and the write budget allows it, or repeats a commit
+  /// that wasn't answered.
   void commit_if_due();
 
-  /// The commit in flight wasn't answered: it may or may not have been carried out.
+  /// Whether the commit in flight wasn't answered, so that it may or may not have been carried out.
   [[nodiscard]] bool commit_in_doubt() const { return commit_.retries > 0; }
-  /// More responses wait for commits than there are sockets at all controllers.
+  /// Whether more responses wait for commits than all controllers together have sockets.
   [[nodiscard]] bool too_many_waiting() const;
-  /// How many requests can be open: each who waits has a socket at one of the controllers.
+  /// The largest possible number of open requests: each of them has a socket at one of the
+  /// controllers.
   [[nodiscard]] std::size_t most_open_requests() const;
-  /// Every controller understands gangs, and that is committed; a gang may be accepted.
+  /// Whether gangs may be accepted: it is committed that every controller understands them.
   [[nodiscard]] bool gangs_enabled() const { return gangs_enabled_; }
-  /// Sequence number of the manifest as last committed.
+  /// Sequence number of the last committed manifest.
   [[nodiscard]] std::uint64_t manifest_seq() const { return manifest_seq_; }
-  /// That part of the largest value in bytes which may be written: the settings' limit, halved for
-  /// each commit that the store rejected all the same.
+  /// The share `fill` of the largest value, in bytes, that may be written. The largest value is the
+  /// limit of the settings, halved for each commit that the store has rejected nevertheless.
   [[nodiscard]] std::size_t value_limit(double fill) const;
   /// Whether the manifest has room for one more pending scale-out.
   [[nodiscard]] bool scale_out_fits(const ScaleOutRequest& scale_out) const;
-  /// How many machines were looked at: a measure of work that is the same on every run.
+  /// The number of machines examined so far: a measure of work that is the same on every run.
   [[nodiscard]] std::uint64_t examined() const { return examined_; }
 
  private:
+  /// A request that gets its response after a commit.
   struct PendingResponse {
     RequestSource source;
     int status = 200;
@@ -146,12 +155,14 @@
   struct FinishedTask {
     std::string job;
     std::uint32_t index = 0;
-    std::string machine;  // that reported it
+    std::string machine;  // the machine that reported the end of the task
   };
+  /// A commit, and what becomes true once it has succeeded.
   struct CheckpointCommit {
     KvRequest call;
     std::uint64_t seq = 0, retries = 0;
     std::map<std::string, std::string> recent_records;
+    /// A job whose record is part of the commit.
     struct Change {
       std::string id;
       Phase phase = Phase::Active;
@@ -162,23 +173,23 @@
     std::vector<PendingResponse> pending_responses;
     std::vector<std::string> machines_added, scale_outs;
     std::vector<FinishedTask> finished_tasks;
-    bool flush = false;     // copies recent records to shards, and nothing else
-    bool shares = false;    // has writes of the shares
-    bool features = false;  // writes down that all controllers understand gangs
+    bool flush = false;     // only copies recent records to their shards
+    bool shares = false;    // contains writes of the regional quotas' shares
+    bool features = false;  // records that all controllers understand gangs
   };
 
-  /// Shares of the burst of writes that are left to what is more urgent. A commit that no user
-  /// waits for leaves the larger one; beside its manifest, a commit that users wait for leaves the
-  /// smaller one to the next of its kind. Commits that overdrew the budget once made submissions
-  /// wait for 0.9 s.
+  /// Shares of the write burst that a commit leaves unspent for more urgent writes. A commit that
+  /// no user waits for leaves the larger share. A commit that users wait for leaves the smaller one
+  /// to the next such commit, but always writes its manifest. When commits overdrew the budget,
+  /// submissions waited for 0.9 s.
   static constexpr double kBackgroundReserve = 0.5, kUrgentReserve = 0.25;
-  /// Images are written as long as this share of the burst is left.
+  /// Changed images are written only as long as this share of the write burst is left.
   static constexpr double kImageHintReserve = 0.75;
-  /// A commit that no user waits for has room for at least so many writes beside its manifest: with
-  /// none, it would write its manifest again and again, and get nowhere.
+  /// A commit that no user waits for has room for at least this many writes beside its manifest.
+  /// Without any, it would write its manifest repeatedly and make no progress.
   static constexpr std::size_t kLeastOperations = 2;
 
-  // checkpoint_writer.cpp: when a commit is sent, and what its outcome means
+  // checkpoint_writer.cpp: decides when a commit is sent, and processes its outcome
   [[nodiscard]] Time heartbeat_interval() const {
     return ms(settings_.workers.heartbeat_interval_s);
   }
@@ -197,7 +208,7 @@
   void finished_tasks_committed(const std::vector<FinishedTask>& finished);
   std::vector<Job*> jobs_committed(const std::vector<CheckpointCommit::Change>& changes);
 
-  // checkpoint_transaction.cpp: what goes into a commit, within the limits of the store
+  // checkpoint_transaction.cpp: chooses the contents of a commit, within the limits of the store
   [[nodiscard]] std::size_t operations_allowed(double reserve_share);
   [[nodiscard]] std::size_t operations_limit() const;
   void send_commit();
@@ -232,18 +243,18 @@
   const PendingScaleOuts& scale_outs_;
   CheckpointListener& listener_;
 
-  /// The manifest as last committed.
+  /// Sequence number and version of the last committed manifest.
   std::uint64_t manifest_seq_ = 0, manifest_version_ = 0;
-  std::map<std::string, std::string> recent_records_;  // in the manifest, by their jobs
+  std::map<std::string, std::string> recent_records_;  // the manifest's records, by job id
   bool features_written_ = false, gangs_enabled_ = false;
-  /// How many commits the store found too large.
+  /// The number of commits that the store has rejected as too large, at most `kMostRejections`.
   unsigned rejected_commits_ = 0;
   JobShards shards_;
 
   std::vector<Job*> changed_jobs_;
-  /// Shards whose list of machines differs from the checkpoint's.
+  /// Machine shards whose list of machines differs from the checkpoint's.
   std::set<std::size_t> changed_machine_shards_;
-  /// Shards in which only the images that machines hold differ.
+  /// Machine shards in which only the images that machines hold differ from the checkpoint's.
   std::set<std::size_t> stale_image_shards_;
   bool scale_outs_changed_ = false;
   std::vector<PendingResponse> pending_responses_;
--- a/src/controller/election_history.hpp
+++ b/src/controller/election_history.hpp
@@ -9,15 +9,17 @@
 
 namespace sailreel {
 
-/// Where processors can't keep up, leases expire before they are renewed, and each leader change
-/// costs more of the missing processor time: once, elections went on for as long as the day
-/// (incident election-storm). So leases double with each change above the usual number within a
-/// span, up to a bound, and are short again after a quiet span. Times in ms.
+/// On overloaded processors, leases expire before they are renewed, and each leader change costs
+/// further processor time, so that elections can follow one another for as long as the overload
+/// lasts (docs/incidents/election-storm.md). Therefore the lease length doubles with each leader
+/// change above the usual number within a time span, up to a bound, and is short again after a span
+/// without changes. Times are in ms.
 class ElectionHistory {
  public:
   explicit ElectionHistory(Time span) : span_(span) {}
 
-  /// An epoch was observed. What was before the first one is unknown, and doesn't count.
+  /// Records an epoch that was observed. The first recorded epoch doesn't count as a change,
+  /// because the epoch before it is unknown.
   void note(std::uint64_t epoch, Time now) {
     if (!changes_.empty() && epoch <= changes_.back().epoch) return;
     changes_.push_back({epoch, now});
@@ -39,7 +41,8 @@
   }
 
  private:
-  /// A leader and its successor may well end within one span.
+  /// Changes within a span that don't lengthen the lease: a leader and its successor may both fail
+  /// within one span.
   static constexpr std::uint64_t kUsualChanges = 2;
 
   struct Change {
@@ -47,7 +50,8 @@
     Time at = 0;
   };
 
-  /// Keeps the last change before the span: later changes are counted from its epoch.
+  /// Removes the changes before the span, except for the last of them: later changes are counted
+  /// from its epoch.
   void forget(Time now) {
     while (changes_.size() > 1 && changes_[1].at <= now - span_) changes_.pop_front();
   }
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -9,10 +9,12 @@
 /// The leader's lease is renewed this often within its length, so that one lost or slow response
 /// doesn't end it.
 constexpr Time kRenewalsPerLease = 4;
+/// How long one watch request waits for a change of the leader's key.
 constexpr Time kWatchMs = 10'000;
+/// Write operations of one claim: the leader's key and the epoch's.
 constexpr double kClaimWrites = 2;
-/// A leader's lease is at most this share of a worker's: after a leader's failure nobody leads
-/// until its lease has expired.
+/// A leader's lease is at most a worker's lease divided by this. The lease has to be short because
+/// after a leader's failure no controller leads until it has expired.
 constexpr Time kLongestLeaseShare = 2;
 }  // namespace
 
@@ -42,7 +44,7 @@
   if (!watching_ && now >= watch_retry_) watch_leader();
 }
 
-// Reads who leads, then waits for a change of that.
+// Reads the leader's key, then watches it for a change.
 void LeaderElection::watch_leader() {
   watching_ = true;
   KvRequest get;
@@ -55,8 +57,8 @@
       [this, term](const KvResponse& r) {
         if (term != term_) return;
         watching_ = false;
-        // A controller that the key-value store rejects gets 503 at once; without a pause it would
-        // ask again at every tick.
+        // A controller whose requests the key-value store rejects gets 503 at once. Without a pause
+        // it would send a request at every tick.
         watch_retry_ = clock_.now + worker_lease() / 40;
         if (r.status != 200) return;
         learn_leader(r.items.empty() ? nullptr : &r.items.front());
@@ -87,7 +89,7 @@
   if (item == nullptr) {
     leader_name_.clear();
     if (campaign_at_ == kNever) {
-      // Followers campaign one after the other, by the order of their names and with jitter, so
+      // Followers campaign one after the other, in the order of their names and with jitter, so
       // that their claims rarely collide.
       Time rank = 0;
       for (const PeerSettings& s : settings_.peers)
@@ -145,7 +147,7 @@
       KvUrgency::Urgent);
 }
 
-// One compare-and-swap takes the leader's key and raises the epoch.
+// Takes the leader's key and increments the epoch in one compare-and-swap.
 void LeaderElection::claim(std::uint64_t lease, Time granted) {
   const std::uint64_t term = term_;
   const std::uint64_t epoch = epoch_ + 1;
@@ -160,15 +162,15 @@
       [this, term, lease, granted, epoch](const KvResponse& r) {
         if (term != term_) return;
         if (r.status != 200) {
-          // Without a response it may still be carried out, even late. Revoking the lease makes it
-          // fail whenever it arrives.
+          // Without a response, the store may still carry the claim out, even late. Revoking the
+          // lease makes the claim fail whenever it arrives.
           revoke(lease);
           return step_down(r.status == 409 ? StepDownCause::LostElection
                                            : StepDownCause::ClaimNotAnswered);
         }
         set_epoch(epoch);
         epoch_version_ = r.revision;
-        // The other candidates' claims fail, but use up the store's write limit all the same.
+        // The other candidates' claims fail, but they count against the store's write limit too.
         outbox_.write_budget().spend(kClaimWrites * static_cast<double>(peers_.size()), clock_.now);
         lease_id_ = lease;
         lease_expiry_ = granted + lease_length_ - lease_length_ / 500 - 20;
@@ -182,7 +184,7 @@
       KvUrgency::Urgent);
 }
 
-// A renewal doesn't wait for the response to the one before: that may be lost, and times out only
+// A renewal doesn't wait for the response to the previous one, which may be lost and times out only
 // after a tenth of a worker's lease.
 void LeaderElection::renew() {
   const std::uint64_t term = term_;
@@ -201,12 +203,13 @@
           next_renewal_ = std::max(next_renewal_, clock_.now + ttl / (kRenewalsPerLease * 4));
           return;
         }
-        // Counted from before the request left: the earliest moment at which the store can have
-        // begun to count.
+        // The lease is counted from before the request was sent, the earliest time at which the
+        // store can have restarted it.
         const bool lapsed = clock_.now >= lease_expiry_;
         lease_expiry_ = std::max(lease_expiry_, sent + ttl - ttl / 500 - 20);
         if (lapsed && holds_valid_lease(clock_.now)) {
-          // Renewed after all: the store hadn't ended it, so nobody else can have held it.
+          // The renewal shows that the store had not ended the lease, so no other controller can
+          // have held it.
           outbox_.log(Log::Level::Info, LogEvent::LeaseRegained);
           listener_.lease_regained();
         }
@@ -242,7 +245,8 @@
 void LeaderElection::resign(StepDownCause cause, Resignation how) {
   revoke(lease_id_);
   if (how.back_off) election_backoff_until_ = clock_.now + worker_lease();
-  // Another may lead from now on, and counts from then how long we keep tasks alive.
+  // Another controller may lead from now on. The time for which this one keeps tasks alive without
+  // a leader is counted from `lease_expiry_`.
   if (how.expire_now) lease_expiry_ = std::min(lease_expiry_, clock_.now);
   step_down(cause);
 }
--- a/src/controller/leader_election.hpp
+++ b/src/controller/leader_election.hpp
@@ -1,4 +1,5 @@
-// Which controller leads: a lease in the key-value store, and an epoch that rises with each leader.
+// Leader election among the controllers of a region. The leader holds a lease in the key-value
+// store, and each new leader increments the epoch.
 #pragma once
 
 #include <cstdint>
@@ -14,74 +15,78 @@
 
 namespace sailreel {
 
-/// One controller's part in the election: follows the leader's key, campaigns when that is gone,
-/// renews the lease while leading. Owns the role, the epoch and the lease; what a leader does with
-/// the leadership belongs to the listener. All times are milliseconds on the controller's clock.
+/// One controller's side of the election: it watches the leader's key, campaigns when the key is
+/// gone, and renews the lease while it leads. Owns the role, the epoch and the lease; the listener
+/// implements what a leader does. All times are milliseconds on the controller's clock.
 class LeaderElection {
  public:
-  /// Is told of changes of the role, within the step that brings them. The election's own state is
-  /// up to date by then, so that the accessors may be used.
+  /// Receives changes of the role, within the step in which they happen. The election's state is
+  /// updated before each call, so the accessors may be used.
   class Listener {
    public:
     Listener() = default;
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
 
-    /// A campaign begins under a new term: continuations of the former term will not run.
+    /// A campaign has begun under a new term. Continuations of the previous term do nothing from
+    /// now on.
     virtual void campaign_begun() = 0;
     /// The election is won. The role is `Loading` until `checkpoint_loaded` is called.
     virtual void elected() = 0;
-    /// `led`: the role was `Leader` before; else a campaign failed or the checkpoint was not read.
+    /// `led`: the role was `Leader` before. Otherwise a campaign failed, or the checkpoint was not
+    /// read.
     virtual void stepped_down(StepDownCause cause, bool led) = 0;
-    /// A lease that had expired on our clock was renewed after all.
+    /// The lease had expired on the controller's clock, but the store has renewed it.
     virtual void lease_regained() = 0;
 
    protected:
     ~Listener() = default;
   };
 
-  /// What a leader that gives its lease back does besides.
+  /// Options of `resign`.
   struct Resignation {
-    /// Doesn't campaign for the length of a worker's lease, so that a peer is elected.
+    /// Whether this controller doesn't campaign for the length of a worker's lease, so that a peer
+    /// is elected.
     bool back_off = true;
-    /// Counts the lease as over at once, and no longer as valid up to its expiry.
+    /// Whether `lease_expiry` moves to the present moment. Otherwise it stays as it is.
     bool expire_now = true;
   };
 
-  /// Keeps references, which have to outlive it; the clock is the present step's. The generator is
-  /// shared with the controller, as a day's replay depends on the order of all draws.
+  /// Keeps references to all arguments, which must outlive the election. `clock` holds the time of
+  /// the current step. `random` is shared with the controller, because the replay of a simulated
+  /// day depends on the order of all draws.
   LeaderElection(const Settings& settings, const Options& options, const Clock& clock,
                  Outbox& outbox, const PeerTable& peers, pcg32& random, Listener& listener);
 
   [[nodiscard]] Role role() const { return role_; }
   [[nodiscard]] bool is_leader() const { return role_ == Role::Leader; }
-  /// Whether we may give commands at this moment.
+  /// Whether this controller may issue commands at `now`.
   [[nodiscard]] bool holds_valid_lease(Time now) const {
     return is_leader() && now < lease_expiry_;
   }
-  /// Ours while leading, else the highest that was heard of.
+  /// The controller's own epoch while it leads, otherwise the highest epoch that it has observed.
   [[nodiscard]] std::uint64_t epoch() const { return epoch_; }
-  /// The version of the epoch's key: a condition of everything that a leader writes.
+  /// The version of the epoch's key. Every write of a leader is conditional on it.
   [[nodiscard]] std::uint64_t epoch_version() const { return epoch_version_; }
-  /// Raised by each campaign and each step down. A continuation that finds another term than the
-  /// one it was made under must do nothing.
+  /// Incremented by each campaign and each step-down. A continuation must do nothing if the term
+  /// differs from the one in which it was created.
   [[nodiscard]] std::uint64_t term() const { return term_; }
   [[nodiscard]] Time elected_at() const { return elected_at_; }
-  /// From this moment on another controller may hold the lease. Counted from before the request for
-  /// it left, with a margin for clocks that run at different rates.
+  /// From this time on, another controller may hold the lease. The lease is counted from before its
+  /// request was sent, with a margin for clocks that run at different rates.
   [[nodiscard]] Time lease_expiry() const { return lease_expiry_; }
 
-  /// Renews, campaigns or asks who leads, whichever is due.
+  /// Renews the lease, campaigns, or reads the leader's key, whichever is due.
   void tick();
-  /// The checkpoint has been read: from now on we lead.
+  /// Changes the role from `Loading` to `Leader`. Called when the checkpoint has been read.
   void checkpoint_loaded() { role_ = Role::Leader; }
-  /// Becomes a follower. The lease is left to expire.
+  /// Becomes a follower. The lease is not revoked and expires in the store.
   void step_down(StepDownCause cause);
-  /// Gives the lease back, so that it can be taken at once, and steps down.
+  /// Revokes the lease, so that another controller can be elected at once, and steps down.
   void resign(StepDownCause cause, Resignation how);
   void resign(StepDownCause cause) { resign(cause, Resignation{}); }
-  /// A peer has named an epoch; `leading`: it says that it leads under it. A higher one than ours
-  /// ends our leadership then.
+  /// Processes an epoch that a peer has reported. `leading`: the peer reports that it leads under
+  /// this epoch. If it does and the epoch is higher than this leader's, this leader steps down.
   void note_epoch(std::uint64_t epoch, bool leading);
 
  private:
@@ -109,15 +114,15 @@
   std::uint64_t term_ = 0;
   std::uint64_t epoch_ = 0;
   std::uint64_t epoch_version_ = 0;
-  std::uint64_t nonce_;  // tells our claims of the same epoch apart
+  std::uint64_t nonce_;  // distinguishes this controller's claims of the same epoch
   std::uint64_t lease_id_ = 0;
-  Time lease_length_ = 0;  // of the lease that we have, or ask for
+  Time lease_length_ = 0;  // of the lease that is held or requested
   ElectionHistory election_history_;
   Time lease_expiry_ = 0, elected_at_ = 0;
   Time next_renewal_ = 0;
   bool watching_ = false;
   Time watch_retry_ = 0;
-  Time campaign_at_ = kNever;        // never: a leader is known, or nothing is yet
+  Time campaign_at_ = kNever;        // kNever: a leader is known, or the key hasn't been read yet
   Time election_backoff_until_ = 0;  // after a resignation
   std::string leader_name_;
 };
--- a/src/controller/log_line.hpp
+++ b/src/controller/log_line.hpp
@@ -1,5 +1,5 @@
-// Log lines of a controller: an event's name and typed fields, joined to `key=value` text in one
-// place. docs/operations.md explains each event.
+// Formats a controller's log lines: the name of an event and typed fields, as `key=value` text.
+// docs/operations.md explains each event.
 #pragma once
 
 #include <concepts>
@@ -14,6 +14,7 @@
 
 namespace sailreel {
 
+/// The events that a controller logs.
 enum class LogEvent : std::uint8_t {
   // leadership and checkpoint
   Elected,
@@ -67,7 +68,7 @@
 };
 std::string_view to_string(LogEvent event);
 
-/// One field of a log line. Holds views: it must not outlive the call that logs it.
+/// One field of a log line. It holds views and must not outlive the call that logs it.
 class LogField {
  public:
   LogField(std::string_view key, std::string_view text) : key_(key), value_(text) {}
@@ -81,6 +82,7 @@
   requires std::is_enum_v<Cause> LogField(std::string_view key, Cause cause)
       : key_(key), value_(Quoted{to_string(cause)}) {}
 
+  /// Appends the field as `key=value`.
   void append_to(std::string& line) const;
 
  private:
@@ -92,6 +94,7 @@
   std::variant<std::string_view, std::int64_t, std::uint64_t, Quoted, const TaskKey*> value_;
 };
 
+/// Returns the line without a line break, beginning with the epoch and the event.
 std::string format_log_line(std::uint64_t epoch, LogEvent event,
                             std::initializer_list<LogField> fields);
 
--- a/src/controller/outbox.cpp
+++ b/src/controller/outbox.cpp
@@ -7,13 +7,15 @@
 
 namespace sailreel {
 namespace {
-/// One in so many of our sockets may wait for workers' responses to direct calls; a few more are
-/// open for calls that are just over.
+/// One in this many of the controller's sockets may wait for the response to a direct call to a
+/// worker. A few more are open for calls that have just ended.
 constexpr std::size_t kCallShare = 5;
-/// Share of the cloud's request limit that we use, and the burst in seconds of that limit.
+/// Share of the cloud's request limit that the controller uses, and the burst in seconds of that
+/// limit.
 constexpr double kCloudShare = 0.8, kCloudBurst = 1.2;
-/// Share of the key-value store's request limit that is left to urgent requests.
+/// Share of the key-value store's request limit that is reserved for urgent requests.
 constexpr double kUrgentKvReserve = 0.05;
+/// Lower bounds (ms) of the timeouts, which otherwise are parts of a worker's lease.
 constexpr Time kLeastKvTimeout = 500, kLeastWorkerTimeout = 500;
 }  // namespace
 
@@ -96,7 +98,7 @@
   actions_.push_back(Log{level, "epoch=" + std::to_string(log_epoch_) + " " + text});
 }
 
-// The continuation is taken out first: it may make further calls.
+// The continuation is removed before it runs, because it may make further calls.
 void Outbox::handle(const KvResponseReceived& input) {
   if (auto node = kv_calls_.extract(input.call)) node.mapped()(input.reply);
 }
--- a/src/controller/outbox.hpp
+++ b/src/controller/outbox.hpp
@@ -1,6 +1,5 @@
-// Everything that leaves a controller within a step: responses, calls to the key-value store, the
-// cloud and workers, messages to other controllers, timers and log lines. Keeps the continuations
-// of calls in flight and the budgets of the services' request limits.
+// Collects the outputs of a controller's step: responses, calls to the key-value store, the cloud
+// and workers, messages to other controllers, timers and log lines.
 #pragma once
 
 #include <cstdint>
@@ -19,45 +18,51 @@
 
 namespace sailreel {
 
-/// Runs with the response to a call, in the step that takes the response in.
+/// Runs with the response to a call, in the step that receives the response.
 using KvContinuation = std::function<void(const KvResponse&)>;
 using CloudContinuation = std::function<void(const CloudResponse&)>;
-/// Gets the HTTP status, 0 without a response, and the heartbeat that the response carried.
+/// Receives the HTTP status (0 without a response) and the heartbeat that the response contained.
 using WorkerContinuation = std::function<void(int, const std::optional<Heartbeat>&)>;
 
-/// Which requests to the key-value store may exceed the budget: renewals and elections, which would
-/// otherwise cost the leadership.
+/// Whether a request to the key-value store may exceed the budget. Urgent requests are those of the
+/// election, lease renewals, whose delay would cost the leadership, and checkpoint commits.
 enum class KvUrgency : std::uint8_t { WithinBudget, Urgent };
 
-/// Whether a request to the cloud leaves a part of the budget to others.
+/// Whether a request to the cloud may use the whole budget, or must leave room for one more
+/// request.
 enum class CloudBudget : std::uint8_t { Full, KeepReserve };
 
+/// Collects the actions of a step. Owns the continuations of the calls in flight and the rate
+/// limiters for the external services.
 class Outbox {
  public:
-  /// Keeps references: settings and clock have to outlive it. The clock is the present step's.
+  /// Keeps references to settings and clock, which must outlive the outbox. `clock` holds the time
+  /// of the current step.
   Outbox(const Settings& settings, const Options& options, const Clock& clock);
 
-  /// What the step has collected, in order; the outbox is empty afterwards.
+  /// Returns the actions collected in this step, in order, and removes them from the outbox.
   std::vector<Action> take_actions();
 
-  /// Responds to a user, worker or peer; does nothing for a request that has no source.
-  /// `valid_until`: the response must not leave at or after this moment.
+  /// Responds to a user, worker or peer; does nothing for a source of kind `None`.
+  /// `valid_until`: the response must not be sent at or after this time.
   void respond(const RequestSource& source, int status, std::string body, int retry_after_s = 0,
                Time valid_until = kNever);
   /// Responds with 503 and Retry-After.
   void reject(const RequestSource& source, RejectReason reason);
 
-  /// False, without a call, if the budget is used up.
+  /// Sends a request to the key-value store. Returns false, without sending it, if the budget is
+  /// used up and the request isn't urgent.
   bool call_kv_store(KvRequest request, KvContinuation then,
                      KvUrgency urgency = KvUrgency::WithinBudget);
-  /// False, without a call, if the budget is used up.
+  /// Sends a request to the cloud. Returns false, without sending it, if the budget is used up.
   bool call_cloud(CloudRequest request, CloudContinuation then, CloudBudget budget);
-  /// A direct command; it isn't sent at or after `valid_until`.
+  /// Sends a command or an inquiry directly to a worker, but not at or after `valid_until`.
   void call_worker(const std::string& address, std::string body, Time valid_until,
                    WorkerContinuation then);
-  /// Whether as many direct calls wait for workers as there are sockets for them.
+  /// Whether all sockets that are set aside for direct calls to workers are in use.
   [[nodiscard]] bool worker_calls_full() const;
-  /// Drops the continuations of calls that only a leader makes.
+  /// Drops the continuations of calls that only a leader makes, which are those to workers and to
+  /// the cloud.
   void forget_leader_calls();
 
   void send_to_peer(std::size_t peer, PeerMessage message);
@@ -65,18 +70,20 @@
   void arm_timer(Time in_ms);
 
   void log(Log::Level level, LogEvent event, std::initializer_list<LogField> fields = {});
-  /// A line whose event and fields are joined already.
+  /// Logs a line whose event and fields are formatted already; the epoch is put before them.
   void log_text(Log::Level level, const std::string& text);
-  /// The epoch that log lines name from now on.
+  /// Sets the epoch of all further log lines.
   void set_log_epoch(std::uint64_t epoch) { log_epoch_ = epoch; }
 
+  /// Runs the continuation of the call, unless it was dropped.
   void handle(const KvResponseReceived& input);
   void handle(const CloudResponseReceived& input);
   void handle(const WorkerResponseReceived& input);
 
-  /// The budget of writes to the key-value store, which whoever writes spends by itself.
+  /// The budget of writes to the key-value store. `call_kv_store` doesn't spend it; the caller
+  /// must.
   RateLimiter& write_budget() { return write_limiter_; }
-  /// Whether so many requests to the key-value store may be sent now.
+  /// Whether the budget allows this number of requests to the key-value store now.
   bool kv_budget_allows(double requests) { return kv_limiter_.allows(requests, clock_.now); }
 
  private:
--- a/src/controller/rate_limiter.hpp
+++ b/src/controller/rate_limiter.hpp
@@ -7,8 +7,9 @@
 
 namespace sailreel {
 
-/// Allows `per_second` operations a second on average and a burst of `burst`. The bucket starts
-/// full. Spending more than is available leaves a debt that has to be refilled. `now` in ms.
+/// Allows `per_second` operations a second on average and a burst of `burst` operations. The bucket
+/// starts full. Spending more than is available leaves a debt that has to be refilled first. `now`
+/// is in ms.
 class RateLimiter {
  public:
   RateLimiter(double per_second, double burst)
@@ -22,9 +23,10 @@
     return tokens_;
   }
 
-  /// True if `count` operations may be sent at `now`, or a full bucket if that is less.
+  /// True if `count` operations may be sent at `now`. A count above the burst needs a full bucket.
   bool allows(double count, Time now) { return available(now) >= std::min(count, burst_); }
 
+  /// Deducts `count` operations, whether or not they are available.
   void spend(double count, Time now) { tokens_ = available(now) - count; }
 
   [[nodiscard]] double burst() const { return burst_; }
--- a/tests/commit_test.cpp
+++ b/tests/commit_test.cpp
@@ -1,4 +1,5 @@
-// When checkpoint commits are written: users first, and within the limits of the key-value store.
+// Tests that checkpoint commits serve users first and stay within the limits of the key-value
+// store.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -11,14 +12,14 @@
   return delays[static_cast<std::size_t>(share * static_cast<double>(delays.size() - 1))];
 }
 
-// Recorded day of xela-labels-ops: machines came up and fetched images, and the commits that
-// recorded these spent writes ahead of time. Submissions waited up to 0.95 s for the limit to
-// recover.
+// Guards against background commits that use up the write budget. On a recorded day
+// (xela-labels-ops), the commits that recorded new machines and the images fetched by them overdrew
+// the budget, and submissions waited up to 0.95 s until it had recovered.
 TEST(Commit, SubmissionsDoNotWaitForBackgroundWrites) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 1'200);
     plan.scale = 16;
-    plan.loss = 0;  // a response that is lost for good takes a second to be missed
+    plan.loss = 0;  // a lost response is noticed only after a second
     SimulatedRegion region(plan);
     region.run_until(1'000);
     pcg32 random(seed);
--- a/tests/election_history_test.cpp
+++ b/tests/election_history_test.cpp
@@ -1,5 +1,5 @@
-// Leases are short while leader changes are rare, and double with each change above the usual
-// number.
+// Tests that leases are short while leader changes are rare, and that they double with each change
+// above the usual number.
 #include "controller/election_history.hpp"
 
 #include <gtest/gtest.h>
@@ -36,14 +36,15 @@
   EXPECT_EQ(history.lease_length(kShortest, kLongest, 106'500 + kSpan), kShortest);
 }
 
-// Where settings ask for a longer lease than the bound, that holds.
+// A shortest lease of the settings that is longer than the bound takes precedence over the bound.
 TEST(ElectionHistory, TheShortestLeaseIsNeverCut) {
   ElectionHistory history(kSpan);
   for (std::uint64_t epoch = 1; epoch < 20; ++epoch) history.note(epoch, 1'000);
   EXPECT_EQ(history.lease_length(8'000, kLongest, 1'000), 8'000);
 }
 
-// Compared with a scan of all observed epochs: epochs may be observed late, twice and out of order.
+// Compares the history with a scan of all observed epochs. Epochs may be observed late, twice and
+// out of order.
 TEST(ElectionHistory, CountsWhatALookAtAllCounts) {
   fix_cases(500);
   const bool held = rc::check([] {
@@ -56,7 +57,7 @@
       const auto epoch = *rc::gen::inRange<std::uint64_t>(1, 30);
       history.note(epoch, now);
       heard.emplace_back(epoch, now);
-      // The highest epoch before the span; if none was observed then, the first of all.
+      // `before`: the highest epoch observed before the span, or the first epoch if there is none.
       std::uint64_t highest = 0, before = heard.front().first;
       for (const auto& [other, at] : heard) {
         highest = std::max(highest, other);
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -1,4 +1,4 @@
-// The election alone, without a controller: every response of the key-value store is made by hand.
+// Tests the election without a controller; the tests provide each response of the key-value store.
 #include "controller/leader_election.hpp"
 
 #include <gtest/gtest.h>
@@ -29,14 +29,15 @@
   void stepped_down(StepDownCause cause, bool led) override { ended_.emplace_back(cause, led); }
   void lease_regained() override { ++regained_; }
 
-  /// Moves the clock on by the given milliseconds and ticks.
+  /// Advances the clock by `passed` milliseconds and ticks.
   void tick_after(Time passed) {
     clock_.now += passed;
     election_.tick();
     collect();
   }
 
-  /// Lets the given time pass, then answers the oldest call that is open; returns its request.
+  /// Advances the clock by `after` milliseconds, then answers the oldest open call. Returns the
+  /// request of this call.
   KvRequest answer(KvResponse response, Time after = 0) {
     if (calls_.empty()) {
       ADD_FAILURE() << "no call is open";
@@ -72,11 +73,12 @@
     return response;
   }
 
-  /// Up to the claim, which is the open call then. The lease was asked for at `asked_at_`.
+  /// Campaigns up to the claim, which is then the only open call. Sets `asked_at_` to the time at
+  /// which the lease was requested.
   void campaign() {
     tick_after(1'000);
     EXPECT_EQ(answer(ok()).key, kLeaderKey);  // nobody leads
-    tick_after(30);                           // at most so much jitter
+    tick_after(30);                           // the maximum jitter
     ASSERT_EQ(election_.role(), Role::Candidate);
     asked_at_ = clock_.now;
     const KvRequest grant = answer(granted(), 15);
@@ -86,6 +88,7 @@
     ASSERT_EQ(calls_.size(), 1U);
   }
 
+  /// Wins the election and loads the checkpoint.
   void lead() {
     campaign();
     answer(ok(), 15);
@@ -94,8 +97,8 @@
     ASSERT_TRUE(election_.is_leader());
   }
 
-  /// The last moment at which a lease counts that was asked for at `asked`, with the margin for
-  /// clocks that run at different rates.
+  /// When a lease that was requested at `asked` expires, with the margin for clocks that run at
+  /// different rates.
   [[nodiscard]] Time expiry_of(Time asked) const {
     return asked + lease_length_ - lease_length_ / 500 - 20;
   }
@@ -109,7 +112,7 @@
   LeaderElection election_{settings_, options_, clock_, outbox_, peers_, random_, *this};
 
   std::deque<CallKvStore> calls_;
-  std::vector<std::pair<StepDownCause, bool>> ended_;  // with whether we led
+  std::vector<std::pair<StepDownCause, bool>> ended_;  // the cause, and whether the role was Leader
   int campaigns_ = 0, elections_ = 0, regained_ = 0;
   Time asked_at_ = 0, lease_length_ = 0;
 
@@ -128,13 +131,13 @@
   EXPECT_EQ(elections_, 0);
   const KvRequest claim = answer(ok());
   EXPECT_EQ(claim.kind, KvRequest::Kind::Txn);
-  // Only if nobody holds the leader's key, and nobody has raised the epoch since it was read.
+  // The conditions: nobody holds the leader's key, and the epoch hasn't changed since it was read.
   ASSERT_EQ(claim.conditions.size(), 2U);
   EXPECT_EQ(claim.conditions[0].key, kLeaderKey);
   EXPECT_EQ(claim.conditions[0].version, 0U);
   EXPECT_EQ(claim.conditions[1].key, kEpochKey);
   EXPECT_EQ(claim.conditions[1].version, kEpochVersion);
-  // The leader's key goes with the lease; the epoch stays.
+  // The leader's key is bound to the lease; the epoch's key isn't.
   ASSERT_EQ(claim.puts.size(), 2U);
   EXPECT_EQ(claim.puts[0].key, kLeaderKey);
   EXPECT_EQ(claim.puts[0].lease, kLease);
@@ -149,7 +152,7 @@
   EXPECT_EQ(election_.epoch(), 7U);
   EXPECT_EQ(election_.epoch_version(), kClaimRevision);
   EXPECT_EQ(election_.elected_at(), clock_.now);
-  // No commands before the checkpoint has been read.
+  // The leader may not give commands before the checkpoint has been read.
   EXPECT_EQ(election_.role(), Role::Loading);
   EXPECT_FALSE(election_.holds_valid_lease(clock_.now));
   election_.checkpoint_loaded();
@@ -193,8 +196,8 @@
   EXPECT_EQ(regained_, 0);
 }
 
-// The response to a renewal comes when the lease has expired on our clock, but a part of the
-// renewed one is left.
+// The response to a renewal arrives after the lease has expired on the controller's clock, but
+// before the renewed lease has.
 TEST_F(Election, ALateRenewalRegainsTheLease) {
   lead();
   clock_.now = election_.lease_expiry() - 1;
@@ -224,7 +227,7 @@
   EXPECT_EQ(election_.lease_expiry(), resigned);
   tick_after(0);
   EXPECT_EQ(answer(ok()).kind, KvRequest::Kind::Revoke);
-  // Nobody leads, and yet it leaves the leadership to others for a worker's lease.
+  // Although nobody leads, the controller doesn't campaign for the length of a worker's lease.
   tick_after(100);
   EXPECT_EQ(answer(ok()).key, kLeaderKey);
   clock_.now = resigned + worker_lease - 1;
@@ -256,7 +259,7 @@
 
 TEST_F(Election, AHigherEpochOfALeaderEndsTheLeadership) {
   lead();
-  election_.note_epoch(9, false);  // only heard of: our lease still holds
+  election_.note_epoch(9, false);  // the peer doesn't lead under it, so this lease still holds
   election_.note_epoch(7, true);
   EXPECT_TRUE(election_.is_leader());
   EXPECT_EQ(election_.epoch(), 7U);
@@ -266,7 +269,8 @@
   EXPECT_EQ(election_.epoch(), 8U);
 }
 
-// Two renewals' responses arrive after the step down: they belong to a former term.
+// The responses to two renewals arrive after the controller has stepped down, and belong to a
+// former term.
 TEST_F(Election, AResponseOfAFormerTermChangesNothing) {
   lead();
   tick_after(lease_length_ / 4);
--- a/tests/rate_limiter_test.cpp
+++ b/tests/rate_limiter_test.cpp
@@ -1,4 +1,4 @@
-// The token bucket that keeps within the limits of external services.
+// Tests the token bucket for the request limits of external services.
 #include "controller/rate_limiter.hpp"
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
   EXPECT_TRUE(limiter.allows(50, 100));
 }
 
-// Whatever is requested and when, no window of time exceeds its rate and one burst.
+// For any sequence of requests, no time window exceeds the rate plus one burst.
 TEST(RateLimiter, NoWindowSeesMoreThanItsRateAndOneBurst) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     pcg32 random(seed);
