--- a/src/controller/checkpoint_transaction.cpp
+++ b/src/controller/checkpoint_transaction.cpp
@@ -8,20 +8,20 @@
 namespace {
 /// Recent records are flushed from the manifest to their shards when the manifest takes more than
 /// this share of the limit on a value.
-constexpr double kFlushAbove = 0.75;
+constexpr double kFlushStartFill = 0.75;
 /// A flush reduces the manifest to this share of the limit. The longer records stay in the
 /// manifest, the more changes of a job and of the other jobs in its shard are combined into one
 /// write.
-constexpr double kFlushDownTo = 0.45;
+constexpr double kFlushTargetFill = 0.45;
 /// Upper bound of the size of a commit's conditions.
-constexpr std::size_t kConditionBytes = 1024;
+constexpr std::size_t kMaxConditionBytes = 1024;
 /// Allowance for the punctuation of a value around its records, and of a scale-out request around
 /// its fields.
 constexpr std::size_t kPunctuationBytes = 64;
 /// Maximum number of share writes in one commit: five operations together with the manifest.
-constexpr std::size_t kMostShareWrites = 4;
+constexpr std::size_t kMaxShareWritesPerCommit = 4;
 
-std::string record_text(Job& job, std::uint64_t seq) {
+std::string encode_with_seq(Job& job, std::uint64_t seq) {
   job.record.seq = seq;
   return encode_record(job.record);
 }
@@ -35,12 +35,12 @@
 // transaction is full; `dirty_pieces` then holds the pieces that are left.
 bool erase_bitmap(CompareAndSwapBuilder& transaction, Job& job) {
   const std::string& id = job.spec().id;
-  constexpr std::size_t kSmallPerPiece = kPieceBits / kSmallPieceBits;
+  constexpr std::size_t kSmallPiecesPerPiece = kPieceBits / kSmallPieceBits;
   while (!job.dirty_pieces.empty()) {
     const std::size_t piece = *job.dirty_pieces.begin();
-    const bool first_of_piece = piece % kSmallPerPiece == 0;
+    const bool first_of_piece = piece % kSmallPiecesPerPiece == 0;
     if (job.has_pieces && first_of_piece &&
-        !transaction.erase(bitmap_key(id, piece / kSmallPerPiece)))
+        !transaction.erase(bitmap_key(id, piece / kSmallPiecesPerPiece)))
       return false;
     if (job.has_small_pieces && !transaction.erase(small_bitmap_key(id, piece))) return false;
     job.dirty_pieces.erase(piece);
@@ -52,27 +52,30 @@
 
 // Returns the number of writes beside the manifest that leave `reserve_share` of the write burst
 // unspent.
-std::size_t CheckpointWriter::operations_allowed(double reserve_share) {
+std::size_t CheckpointWriter::operations_within_budget(double reserve_share) {
   const double available = outbox_.write_budget().available(clock_.now);
   return static_cast<std::size_t>(
       std::max(0.0, available - 1 - reserve_share * outbox_.write_budget().burst()));
 }
 
 std::size_t CheckpointWriter::operations_limit() const {
-  return std::max<std::size_t>(1 + kLeastOperations, settings_.store.txn_ops >> rejected_commits_);
+  return std::max<std::size_t>(1 + kMinWritesBesideManifest,
+                               settings_.store.txn_ops >> rejected_commits_);
 }
 
 // Builds the next commit and sends it.
-void CheckpointWriter::send_commit() {
+void CheckpointWriter::start_commit() {
   commit_ = CheckpointCommit{};
   commit_.recent_records = recent_records_;
-  if (manifest_bytes_of(recent_records_) > value_limit(kValueFill)) return send_flush();
+  if (manifest_bytes_of(recent_records_) > value_limit(kValueFill)) return start_flush();
   commit_.seq = manifest_seq_ + 1;
-  const std::size_t allowed =
-      1 + (!someone_waits() ? std::max(kLeastOperations, operations_allowed(kBackgroundReserve))
-                            : operations_allowed(kUrgentReserve));
-  const std::size_t most = operations_limit();
-  CompareAndSwapBuilder transaction(std::min(most, allowed), kConditionBytes + value_limit(1));
+  const std::size_t allowed_operations =
+      1 + (!commit_is_urgent() ? std::max(kMinWritesBesideManifest,
+                                          operations_within_budget(kBackgroundReserveShare))
+                               : operations_within_budget(kUrgentReserveShare));
+  const std::size_t max_operations = operations_limit();
+  CompareAndSwapBuilder transaction(std::min(max_operations, allowed_operations),
+                                    kMaxConditionBytes + value_limit(1));
 
   const LeaderTerm leader = listener_.leader_term();
   Manifest manifest{commit_.seq, leader.epoch, {}};
@@ -81,32 +84,36 @@
   add_shares(transaction);
   // If the manifest is about to be flushed, the machine lists get at most half of the operations.
   // The flush needs the others, also where the store allows few operations in a transaction.
-  if (manifest_bytes_of(commit_.recent_records) > value_limit(kFlushAbove))
-    transaction.limit_operations(1 + (std::min(most, allowed) - 1) / 2);
+  if (manifest_bytes_of(commit_.recent_records) > value_limit(kFlushStartFill))
+    transaction.limit_operations(1 + (std::min(max_operations, allowed_operations) - 1) / 2);
   add_machine_shards(transaction);
-  transaction.limit_operations(std::min(most, allowed));
+  transaction.limit_operations(std::min(max_operations, allowed_operations));
   // Users may wait for jobs whose bitmaps have to be written first, so these may use all
   // operations.
-  if (!pending_responses_.empty()) transaction.limit_operations(most);
+  if (!pending_responses_.empty()) transaction.limit_operations(max_operations);
   std::vector<Job*> postponed;
   std::map<std::string, Job*> changed = add_bitmaps(transaction, postponed);
 
   for (auto& [id, job] : changed)
-    commit_.recent_records[id] = job->in_flight_record = record_text(*job, commit_.seq);
+    commit_.recent_records[id] = job->in_flight_record = encode_with_seq(*job, commit_.seq);
   for (const auto& [id, text] : commit_.recent_records) manifest_bytes += text.size() + 1;
   // A full manifest takes no more records until it is flushed, so the flush may use all operations.
-  const bool full = manifest_bytes > value_limit(kValueFill);
-  transaction.limit_operations(full ? most
-                                    : std::min(most, std::max(allowed, transaction.operations())));
-  if (manifest_bytes > value_limit(kFlushAbove))
-    manifest_bytes -= flush_recent_records(transaction, manifest_bytes - value_limit(kFlushDownTo));
+  const bool manifest_full = manifest_bytes > value_limit(kValueFill);
+  transaction.limit_operations(
+      manifest_full
+          ? max_operations
+          : std::min(max_operations, std::max(allowed_operations, transaction.operations())));
+  if (manifest_bytes > value_limit(kFlushStartFill))
+    manifest_bytes -=
+        flush_recent_records(transaction, manifest_bytes - value_limit(kFlushTargetFill));
   if (manifest_bytes > value_limit(kValueFill)) postpone_excess(changed, postponed, manifest_bytes);
 
   std::vector<std::string> records;
   for (const auto& [id, text] : commit_.recent_records) records.push_back(text);
-  commit_.call = std::move(transaction)
-                     .finish({{kEpochKey, leader.epoch_version}, {kManifestKey, manifest_version_}},
-                             {kManifestKey, encode_manifest(manifest, records), 0});
+  commit_.request =
+      std::move(transaction)
+          .finish({{kEpochKey, leader.epoch_version}, {kManifestKey, manifest_version_}},
+                  {kManifestKey, encode_manifest(manifest, records), 0});
   for (auto& [id, job] : changed) {
     job->dirty = false;
     job->in_flight_phase = job->record.phase;
@@ -116,13 +123,13 @@
   move_pending_responses_to_commit();
   commit_in_flight_ = true;
   log_commit();
-  resolve_uncertain_commit();
+  send_commit_in_flight();
 }
 
 // Logs the number of a commit's writes by the kind of key.
 void CheckpointWriter::log_commit() {
   std::size_t jobs = 0, machines = 0, other = 0;
-  for (const KvRequest::Put& put : commit_.call.puts) {
+  for (const KvRequest::Put& put : commit_.request.puts) {
     if (put.key.starts_with(kShardPrefix))
       ++jobs;
     else if (put.key.starts_with(kMachinesPrefix))
@@ -130,15 +137,15 @@
     else
       ++other;
   }
-  outbox_.log(
-      Log::Level::Debug, LogEvent::CheckpointCommit,
-      {{"seq", commit_.seq},
-       {"job_shards", jobs},
-       {"machine_shards", machines},
-       {"other", other + commit_.call.deletes.size()},
-       {"manifest_bytes", commit_.call.puts.empty() ? 0 : commit_.call.puts.front().value.size()},
-       {"changes", commit_.jobs.size()},
-       {"responses", commit_.pending_responses.size()}});
+  outbox_.log(Log::Level::Debug, LogEvent::CheckpointCommit,
+              {{"seq", commit_.seq},
+               {"job_shards", jobs},
+               {"machine_shards", machines},
+               {"other", other + commit_.request.deletes.size()},
+               {"manifest_bytes",
+                commit_.request.puts.empty() ? 0 : commit_.request.puts.front().value.size()},
+               {"changes", commit_.jobs.size()},
+               {"responses", commit_.pending_responses.size()}});
 }
 
 // Returns the size of a manifest with these records and the pending scale-outs.
@@ -164,17 +171,17 @@
 // manifest stays unchanged. Each shard is written once, and always with the same records. Therefore
 // a copy of such a transaction that is carried out late changes nothing, although its conditions
 // still hold.
-void CheckpointWriter::send_flush() {
-  commit_.flush = true;
+void CheckpointWriter::start_flush() {
+  commit_.is_flush = true;
   commit_.seq = manifest_seq_;
-  CompareAndSwapBuilder transaction(operations_limit(), kConditionBytes);
+  CompareAndSwapBuilder transaction(operations_limit(), kMaxConditionBytes);
   flush_recent_records(transaction, SIZE_MAX);
-  commit_.call = std::move(transaction)
-                     .finish({{kEpochKey, listener_.leader_term().epoch_version},
-                              {kManifestKey, manifest_version_}});
+  commit_.request = std::move(transaction)
+                        .finish({{kEpochKey, listener_.leader_term().epoch_version},
+                                 {kManifestKey, manifest_version_}});
   outbox_.log(Log::Level::Info, LogEvent::ManifestFlush, {{"left", commit_.recent_records.size()}});
   commit_in_flight_ = true;
-  resolve_uncertain_commit();
+  send_commit_in_flight();
 }
 
 // Adds the pending scale-outs to the manifest, where they reduce the room for jobs. Returns their
@@ -192,30 +199,30 @@
 // hear from all of them again.
 void CheckpointWriter::add_features(CompareAndSwapBuilder& transaction) {
   if (features_written_ || !peers_.all_understand_gangs()) return;
-  commit_.features = transaction.put(kFeaturesKey, encode_features({.gangs = true}));
+  commit_.has_features = transaction.put(kFeaturesKey, encode_features({.gangs = true}));
 }
 
 // Adds the pending writes of shares, as many as fit. `writes` returns only complete changes, so all
 // of the writes that it returns have to be part of the commit.
 void CheckpointWriter::add_shares(CompareAndSwapBuilder& transaction) {
   if (!quotas_.wants_commit()) return;
-  const std::size_t room = operations_limit() - transaction.operations();
-  for (auto& write : quotas_.writes(std::min(room, kMostShareWrites))) {
-    commit_.shares = true;
+  const std::size_t operations_left = operations_limit() - transaction.operations();
+  for (auto& write : quotas_.writes(std::min(operations_left, kMaxShareWritesPerCommit))) {
+    commit_.has_shares = true;
     transaction.put(write.key, std::move(write.value));
   }
 }
 
 void CheckpointWriter::add_machine_shards(CompareAndSwapBuilder& transaction) {
-  const std::size_t hints = operations_allowed(kImageHintReserve);
+  const std::size_t max_operations_with_hints = operations_within_budget(kImageHintReserveShare);
   if (changed_machine_shards_.empty() &&
-      (stale_image_shards_.empty() || transaction.operations() > hints))
+      (stale_image_shards_.empty() || transaction.operations() > max_operations_with_hints))
     return;
   while (!changed_machine_shards_.empty()) {
     const std::size_t shard = *changed_machine_shards_.begin();
     if (!add_machine_shard(transaction, shard)) break;
   }
-  while (!stale_image_shards_.empty() && transaction.operations() <= hints) {
+  while (!stale_image_shards_.empty() && transaction.operations() <= max_operations_with_hints) {
     const std::size_t shard = *stale_image_shards_.begin();
     if (!add_machine_shard(transaction, shard)) break;
   }
@@ -225,20 +232,21 @@
 // grew with the square of the number of booting machines: at about 5,000 machines the leader lost
 // its lease.
 bool CheckpointWriter::add_machine_shard(CompareAndSwapBuilder& transaction, std::size_t shard) {
-  std::vector<MachineRecord> list;
-  std::vector<std::string> names;
+  std::vector<MachineRecord> records;
+  std::vector<std::string> machine_names;
   for (const Machine* machine : tables_.machines_of_shard(shard)) {
     ++examined_;
     if (!machine->recorded && !machine->record_dirty) continue;
-    list.push_back(
+    records.push_back(
         {machine->name, machine->address, {machine->images.begin(), machine->images.end()}});
-    names.push_back(machine->name);
+    machine_names.push_back(machine->name);
   }
-  const std::string value = encode_machines_within(std::move(list), value_limit(kValueFill));
+  const std::string value = encode_machines_within(std::move(records), value_limit(kValueFill));
   const std::string key = machines_key(shard);
-  const bool added = names.empty() ? transaction.erase(key) : transaction.put(key, value);
+  const bool added = machine_names.empty() ? transaction.erase(key) : transaction.put(key, value);
   if (!added) return false;
-  commit_.machines_added.insert(commit_.machines_added.end(), names.begin(), names.end());
+  commit_.machines_added.insert(commit_.machines_added.end(), machine_names.begin(),
+                                machine_names.end());
   changed_machine_shards_.erase(shard);
   stale_image_shards_.erase(shard);
   return true;
@@ -248,65 +256,66 @@
 // this commit because no changed piece is left; the others are added to `postponed`.
 std::map<std::string, Job*> CheckpointWriter::add_bitmaps(CompareAndSwapBuilder& transaction,
                                                           std::vector<Job*>& postponed) {
-  std::map<std::string, Job*> whole;
+  std::map<std::string, Job*> complete;
   for (Job* job : changed_jobs_)
     if (add_bitmap(transaction, *job))
-      whole[job->spec().id] = job;
+      complete[job->spec().id] = job;
     else
       postponed.push_back(job);
-  return whole;
+  return complete;
 }
 
 // Whether bitmaps are written in small pieces because regular pieces may be too large. A controller
 // of an older version reads only regular pieces. As long as one may lead, regular pieces are
 // written nevertheless, unless the store has rejected a commit.
-bool CheckpointWriter::small_pieces() const {
+bool CheckpointWriter::use_small_pieces() const {
   return value_limit(1) < encode_piece(std::string(kPieceBits / kBitsPerDigit, '0')).size() &&
          (gangs_enabled_ || rejected_commits_ > 0);
 }
 
 bool CheckpointWriter::add_bitmap(CompareAndSwapBuilder& transaction, Job& job) {
   if (job.record.final) return erase_bitmap(transaction, job);
-  const bool small = small_pieces();
+  const bool small = use_small_pieces();
   const std::size_t bits = small ? kSmallPieceBits : kPieceBits;
-  const std::size_t small_per_piece = bits / kSmallPieceBits;
+  const std::size_t small_pieces_per_piece = bits / kSmallPieceBits;
   while (!job.dirty_pieces.empty()) {
-    const std::size_t piece = *job.dirty_pieces.begin() / small_per_piece;
+    const std::size_t piece = *job.dirty_pieces.begin() / small_pieces_per_piece;
     const std::string& id = job.spec().id;
     const std::string key = small ? small_bitmap_key(id, piece) : bitmap_key(id, piece);
     if (!transaction.put(key, encode_piece(job.record.done.hex(piece * bits, bits)))) return false;
     (small ? job.has_small_pieces : job.has_pieces) = true;
-    const std::size_t first = piece * small_per_piece;
-    job.dirty_pieces.erase(job.dirty_pieces.lower_bound(first),
-                           job.dirty_pieces.lower_bound(first + small_per_piece));
+    const std::size_t first_small_piece = piece * small_pieces_per_piece;
+    job.dirty_pieces.erase(
+        job.dirty_pieces.lower_bound(first_small_piece),
+        job.dirty_pieces.lower_bound(first_small_piece + small_pieces_per_piece));
   }
   return true;
 }
 
-// Flushes `wanted` bytes of the recent records, or as many as the transaction takes, to their
+// Flushes `wanted_bytes` bytes of the recent records, or as many as the transaction takes, to their
 // shards, which keep their other records. Returns the number of bytes that this frees in the
 // manifest.
 std::size_t CheckpointWriter::flush_recent_records(CompareAndSwapBuilder& transaction,
-                                                   std::size_t wanted) {
+                                                   std::size_t wanted_bytes) {
   std::map<std::size_t, std::vector<std::string>> by_shard;
   for (const auto& [id, text] : commit_.recent_records)
-    by_shard[shards_.place(id, reserve_for(id, text))].push_back(id);
+    by_shard[shards_.place(id, reserve_bytes_for(id, text))].push_back(id);
   // Shards with the most recent records come first, because one write frees the most then.
-  std::vector<std::pair<std::size_t, std::size_t>> order;  // recent records, and their shard
-  order.reserve(by_shard.size());
-  for (const auto& [shard, ids] : by_shard) order.emplace_back(ids.size(), shard);
-  std::stable_sort(order.begin(), order.end(),
+  std::vector<std::pair<std::size_t, std::size_t>> flush_order;  // recent records, and their shard
+  flush_order.reserve(by_shard.size());
+  for (const auto& [shard, ids] : by_shard) flush_order.emplace_back(ids.size(), shard);
+  std::stable_sort(flush_order.begin(), flush_order.end(),
                    [](const auto& a, const auto& b) { return a.first > b.first; });
-  std::size_t freed = 0;
-  for (const auto& [count, shard] : order) {
-    if (freed >= wanted) break;
+  std::size_t freed_bytes = 0;
+  for (const auto& [count, shard] : flush_order) {
+    if (freed_bytes >= wanted_bytes) break;
     if (!put_shard(transaction, shard)) continue;
     for (const std::string& id : by_shard[shard]) {
-      freed += commit_.recent_records[id].size() + 1;
+      freed_bytes += commit_.recent_records[id].size() + 1;
       commit_.recent_records.erase(id);
     }
   }
-  return freed;
+  return freed_bytes;
 }
 
 // Writes a shard with all its jobs; returns false if the shard is too large or the transaction
@@ -316,9 +325,9 @@
   std::size_t bytes = kPunctuationBytes;
   const std::set<std::string> jobs_in_shard = shards_.jobs_in(shard);
   for (const std::string& id : jobs_in_shard) {
-    std::string text = text_for_shard(id);
+    std::string text = record_text_for_shard(id);
     if (text.empty()) continue;
-    shards_.set_reserve(id, reserve_for(id, text));
+    shards_.set_reserve(id, reserve_bytes_for(id, text));
     bytes += text.size() + 1;
     records.push_back(std::move(text));
   }
@@ -330,13 +339,13 @@
   return transaction.put(shard_key(shard), encode_shard(records));
 }
 
-std::size_t CheckpointWriter::reserve_for(const std::string& id, const std::string& text) {
+std::size_t CheckpointWriter::reserve_bytes_for(const std::string& id, const std::string& text) {
   const Job* job = tables_.job(id);
   return record_reserve(job == nullptr || job->record.final, text.size());
 }
 
 // Returns the text of a job's record for its shard; empty if the job has no record yet.
-std::string CheckpointWriter::text_for_shard(const std::string& id) {
+std::string CheckpointWriter::record_text_for_shard(const std::string& id) {
   if (const auto recent = commit_.recent_records.find(id); recent != commit_.recent_records.end())
     return recent->second;
   // The record as the checkpoint has it. If it were encoded from memory, other controllers could
@@ -365,8 +374,8 @@
       continue;
     }
     manifest_bytes -= recent->second.size() + 1;
-    if (const auto before = recent_records_.find(it->first); before != recent_records_.end()) {
-      recent->second = before->second;
+    if (const auto previous = recent_records_.find(it->first); previous != recent_records_.end()) {
+      recent->second = previous->second;
       manifest_bytes += recent->second.size() + 1;
     } else {
       commit_.recent_records.erase(recent);
--- a/src/controller/checkpoint_writer.cpp
+++ b/src/controller/checkpoint_writer.cpp
@@ -8,14 +8,14 @@
 namespace sailreel {
 namespace {
 /// The limit on a value is never lower than this, however many commits are rejected.
-constexpr double kLeastValueKb = 1;
+constexpr double kMinValueKb = 1;
 /// Rejections beyond this number don't make commits smaller.
-constexpr unsigned kMostRejections = 3;
+constexpr unsigned kMaxCountedRejections = 3;
 /// Commits that no user waits for are at least a heartbeat interval divided by this apart.
-constexpr Time kCommitsPerHeartbeat = 8;
+constexpr Time kBackgroundCommitsPerHeartbeat = 8;
 /// Delays (ms) until a commit is repeated: after an error of the store, and while the controller
 /// has no valid lease.
-constexpr Time kRetryAfterError = 100, kRetryWithoutLease = 50;
+constexpr Time kRetryAfterErrorMs = 100, kRetryWithoutLeaseMs = 50;
 }  // namespace
 
 CheckpointWriter::CheckpointWriter(const Environment& environment)
@@ -101,8 +101,8 @@
   // The commit in flight may have been sent before the job's last change. Without the check of
   // `dirty`, a cancellation got the response "running" with the commit that only recorded the
   // request to cancel.
-  const bool with_this = job.in_flight_phase && !job.dirty;
-  (with_this ? commit_.pending_responses : pending_responses_)
+  const bool in_flight_commit_suffices = job.in_flight_phase && !job.dirty;
+  (in_flight_commit_suffices ? commit_.pending_responses : pending_responses_)
       .push_back({source, status, job.spec().id});
 }
 
@@ -114,7 +114,7 @@
   return settings_.limits.sockets * (1 + peers_.size());
 }
 
-bool CheckpointWriter::leads_in(std::uint64_t term) const {
+bool CheckpointWriter::is_leader_in_term(std::uint64_t term) const {
   const LeaderTerm leader = listener_.leader_term();
   return leader.term == term && leader.leads;
 }
@@ -127,7 +127,7 @@
 
 // Whether a request, or a change of the shares that other regions depend on, waits for the next
 // commit.
-bool CheckpointWriter::someone_waits() const {
+bool CheckpointWriter::commit_is_urgent() const {
   return !pending_responses_.empty() || quotas_.wants_commit();
 }
 
@@ -137,88 +137,89 @@
   if (commit_in_flight_) {
     if (clock_.now >= commit_retry_at_) {
       commit_retry_at_ = kNever;
-      resolve_uncertain_commit();
+      send_commit_in_flight();
     }
     return;
   }
   if (!leader.holds_valid_lease || (!commit_needed() && !image_hints_due())) return;
   // Changes that no user waits for are batched for a short time, because each commit writes the
   // whole manifest.
-  if (!someone_waits() &&
-      clock_.now < last_commit_at_ + heartbeat_interval() / kCommitsPerHeartbeat)
+  if (!commit_is_urgent() &&
+      clock_.now < last_commit_at_ + heartbeat_interval() / kBackgroundCommitsPerHeartbeat)
     return;
   double needed = 1;
-  if (!someone_waits())
-    needed += kLeastOperations + kBackgroundReserve * outbox_.write_budget().burst();
+  if (!commit_is_urgent())
+    needed += kMinWritesBesideManifest + kBackgroundReserveShare * outbox_.write_budget().burst();
   if (!outbox_.write_budget().allows(needed, clock_.now)) return;
   if (!outbox_.kv_budget_allows(settings_.store.rps / 10)) return;
-  send_commit();
+  start_commit();
 }
 
 bool CheckpointWriter::image_hints_due() {
-  return !stale_image_shards_.empty() && operations_allowed(kImageHintReserve) > 0;
+  return !stale_image_shards_.empty() && operations_within_budget(kImageHintReserveShare) > 0;
 }
 
 std::size_t CheckpointWriter::value_limit(double fill) const {
   const double divisor = std::exp2(static_cast<double>(rejected_commits_));
-  return static_cast<std::size_t>(std::max(kLeastValueKb, settings_.store.value_kb / divisor) *
-                                  1024 * fill);
+  return static_cast<std::size_t>(std::max(kMinValueKb, settings_.store.value_kb / divisor) * 1024 *
+                                  fill);
 }
 
 // Sends the commit in flight, for the first time or again. A commit without a response may have
 // been carried out, or may be carried out later. As a compare-and-swap on the manifest it can take
 // effect only once, and nothing else is written until its outcome is known.
-void CheckpointWriter::resolve_uncertain_commit() {
+void CheckpointWriter::send_commit_in_flight() {
   const LeaderTerm leader = listener_.leader_term();
   if (!leader.holds_valid_lease) {
-    commit_retry_at_ = clock_.now + kRetryWithoutLease;
+    commit_retry_at_ = clock_.now + kRetryWithoutLeaseMs;
     return;
   }
   outbox_.write_budget().spend(
-      static_cast<double>(commit_.call.puts.size() + commit_.call.deletes.size()), clock_.now);
+      static_cast<double>(commit_.request.puts.size() + commit_.request.deletes.size()),
+      clock_.now);
   outbox_.call_kv_store(
-      commit_.call,
+      commit_.request,
       [this, term = leader.term](const KvResponse& response) {
-        if (leads_in(term)) handle_commit_response(response);
+        if (is_leader_in_term(term)) handle_commit_response(response);
       },
       KvUrgency::Urgent);
 }
 
 // The store rejects the commit as too large, although it is within the known limits.
-void CheckpointWriter::commit_rejected() {
+void CheckpointWriter::handle_rejected_commit() {
   std::size_t largest = 0;
   std::string key;
-  for (const KvRequest::Put& put : commit_.call.puts) {
+  for (const KvRequest::Put& put : commit_.request.puts) {
     if (put.value.size() < largest) continue;
     largest = put.value.size();
     key = put.key;
   }
   outbox_.log(Log::Level::Error, LogEvent::CommitRejected,
               {{"seq", commit_.seq},
-               {"operations", commit_.call.puts.size() + commit_.call.deletes.size()},
+               {"operations", commit_.request.puts.size() + commit_.request.deletes.size()},
                {"largest_key", key},
                {"largest_bytes", largest}});
-  rejected_commits_ = std::min(kMostRejections, rejected_commits_ + 1);
+  rejected_commits_ = std::min(kMaxCountedRejections, rejected_commits_ + 1);
   listener_.commit_rejected();
 }
 
 void CheckpointWriter::handle_commit_response(const KvResponse& response) {
-  if (response.status == 200) return commit_succeeded(response.revision);
-  if (response.status == 400) return commit_rejected();
-  if (response.status != 409) return commit_not_answered(response.status);
-  if (commit_.flush) return listener_.checkpoint_overwritten();
-  look_for_commit();
+  if (response.status == 200) return handle_successful_commit(response.revision);
+  if (response.status == 400) return handle_rejected_commit();
+  if (response.status != 409) return handle_unanswered_commit(response.status);
+  if (commit_.is_flush) return listener_.checkpoint_overwritten();
+  check_commit_outcome();
 }
 
 // The store was not reached, or could not report the outcome of the commit. Waiting requests are
 // rejected at once, so that clients retry. The commit is repeated nevertheless, and a client's
 // retry finds what it has written.
-void CheckpointWriter::commit_not_answered(int status) {
-  commit_retry_at_ = clock_.now + (status == 0 ? 0 : kRetryAfterError);
-  for (auto* pending_responses : {&commit_.pending_responses, &pending_responses_}) {
-    for (const PendingResponse& response : *pending_responses)
+void CheckpointWriter::handle_unanswered_commit(int status) {
+  commit_retry_at_ = clock_.now + (status == 0 ? 0 : kRetryAfterErrorMs);
+  for (auto* responses : {&commit_.pending_responses, &pending_responses_}) {
+    for (const PendingResponse& response : *responses)
       outbox_.reject(response.source, RejectReason::KvStoreNotResponding);
-    pending_responses->clear();
+    responses->clear();
   }
   if (commit_.retries++ == 0)
     outbox_.log(Log::Level::Info, LogEvent::CommitRetry,
@@ -228,54 +229,54 @@
 // Reads the manifest after a failed condition. Its version differs from the one that the commit is
 // conditional on because either an earlier copy of the commit was carried out, or another
 // controller leads.
-void CheckpointWriter::look_for_commit() {
-  KvRequest get;
-  get.kind = KvRequest::Kind::List;
-  get.key = kManifestKey;
-  get.limit = 1;
+void CheckpointWriter::check_commit_outcome() {
+  KvRequest manifest_request;
+  manifest_request.kind = KvRequest::Kind::List;
+  manifest_request.key = kManifestKey;
+  manifest_request.limit = 1;
   outbox_.call_kv_store(
-      get,
+      manifest_request,
       [this, term = listener_.leader_term().term](const KvResponse& response) {
-        if (!leads_in(term)) return;
+        if (!is_leader_in_term(term)) return;
         if (response.status != 200) {
-          commit_retry_at_ = clock_.now + kRetryAfterError;
+          commit_retry_at_ = clock_.now + kRetryAfterErrorMs;
           return;
         }
-        Snapshot image;
-        for (const KvItem& item : response.items) image.apply(item);
-        if (image.manifest.seq == commit_.seq &&
-            image.manifest.epoch == listener_.leader_term().epoch)
-          commit_succeeded(image.manifest_version);
+        Snapshot snapshot;
+        for (const KvItem& item : response.items) snapshot.apply(item);
+        if (snapshot.manifest.seq == commit_.seq &&
+            snapshot.manifest.epoch == listener_.leader_term().epoch)
+          handle_successful_commit(snapshot.manifest_version);
         else
           listener_.checkpoint_overwritten();
       },
       KvUrgency::Urgent);
 }
 
-void CheckpointWriter::commit_succeeded(std::uint64_t revision) {
+void CheckpointWriter::handle_successful_commit(std::uint64_t revision) {
   CheckpointCommit commit = std::exchange(commit_, CheckpointCommit{});
   commit_in_flight_ = false;
   last_commit_at_ = clock_.now;
   commit_retry_at_ = kNever;
   recent_records_ = std::move(commit.recent_records);
-  if (commit.flush) return;
+  if (commit.is_flush) return;
   manifest_seq_ = commit.seq;
   manifest_version_ = revision;
-  if (commit.features) {
+  if (commit.has_features) {
     features_written_ = gangs_enabled_ = true;
     outbox_.log(Log::Level::Info, LogEvent::GangsEnabled);
   }
-  if (commit.shares) listener_.shares_committed();
-  machines_committed(commit.machines_added);
+  if (commit.has_shares) listener_.shares_committed();
+  mark_machines_committed(commit.machines_added);
   listener_.scale_outs_committed(commit.scale_outs);
-  finished_tasks_committed(commit.finished_tasks);
-  const std::vector<Job*> over = jobs_committed(commit.jobs);
+  mark_finished_tasks_committed(commit.finished_tasks);
+  const std::vector<Job*> finished_jobs = mark_jobs_committed(commit.jobs);
   for (const PendingResponse& response : commit.pending_responses)
     listener_.respond_with_committed_job(response.source, response.status, response.id);
-  for (Job* job : over) listener_.job_over(*job);
+  for (Job* job : finished_jobs) listener_.job_over(*job);
 }
 
-void CheckpointWriter::machines_committed(const std::vector<std::string>& names) {
+void CheckpointWriter::mark_machines_committed(const std::vector<std::string>& names) {
   for (const std::string& name : names)
     if (Machine* machine = tables_.machine(name)) {
       if (!machine->recorded) listener_.scheduling_possible();
@@ -285,7 +286,7 @@
 }
 
 // The end of these tasks is committed, so their workers may forget them.
-void CheckpointWriter::finished_tasks_committed(const std::vector<FinishedTask>& finished) {
+void CheckpointWriter::mark_finished_tasks_committed(const std::vector<FinishedTask>& finished) {
   for (const FinishedTask& task : finished)
     if (Machine* machine = tables_.machine(task.machine))
       for (TaskAttempt& attempt : machine->attempts)
@@ -295,9 +296,9 @@
 }
 
 // Returns the jobs whose last record is committed.
-std::vector<Job*> CheckpointWriter::jobs_committed(
+std::vector<Job*> CheckpointWriter::mark_jobs_committed(
     const std::vector<CheckpointCommit::Change>& changes) {
-  std::vector<Job*> over;
+  std::vector<Job*> finished_jobs;
   for (const auto& [id, phase, final, started] : changes) {
     Job* job = tables_.job(id);
     if (job == nullptr) continue;
@@ -307,9 +308,9 @@
     job->stored = std::move(job->in_flight_record);
     job->committed_phase = phase;
     job->started = started;
-    if (final) over.push_back(job);
+    if (final) finished_jobs.push_back(job);
   }
-  return over;
+  return finished_jobs;
 }
 
 }  // namespace sailreel
--- a/src/controller/checkpoint_writer.hpp
+++ b/src/controller/checkpoint_writer.hpp
@@ -159,7 +159,7 @@
   };
   /// A commit, and what becomes true once it has succeeded.
   struct CheckpointCommit {
-    KvRequest call;
+    KvRequest request;
     std::uint64_t seq = 0, retries = 0;
     std::map<std::string, std::string> recent_records;
     /// A job whose record is part of the commit.
@@ -173,46 +173,46 @@
     std::vector<PendingResponse> pending_responses;
     std::vector<std::string> machines_added, scale_outs;
     std::vector<FinishedTask> finished_tasks;
-    bool flush = false;     // only copies recent records to their shards
-    bool shares = false;    // contains writes of the regional quotas' shares
-    bool features = false;  // records that all controllers understand gangs
+    bool is_flush = false;      // only copies recent records to their shards
+    bool has_shares = false;    // contains writes of the regional quotas' shares
+    bool has_features = false;  // records that all controllers understand gangs
   };
 
   /// Shares of the write burst that a commit leaves unspent for more urgent writes. A commit that
   /// no user waits for leaves the larger share. A commit that users wait for leaves the smaller one
   /// to the next such commit, but always writes its manifest. When commits overdrew the budget,
   /// submissions waited for 0.9 s.
-  static constexpr double kBackgroundReserve = 0.5, kUrgentReserve = 0.25;
+  static constexpr double kBackgroundReserveShare = 0.5, kUrgentReserveShare = 0.25;
   /// Changed images are written only as long as this share of the write burst is left.
-  static constexpr double kImageHintReserve = 0.75;
+  static constexpr double kImageHintReserveShare = 0.75;
   /// A commit that no user waits for has room for at least this many writes beside its manifest.
   /// Without any, it would write its manifest repeatedly and make no progress.
-  static constexpr std::size_t kLeastOperations = 2;
+  static constexpr std::size_t kMinWritesBesideManifest = 2;
 
   // checkpoint_writer.cpp: decides when a commit is sent, and processes its outcome
   [[nodiscard]] Time heartbeat_interval() const {
     return ms(settings_.workers.heartbeat_interval_s);
   }
   [[nodiscard]] bool commit_needed() const;
-  [[nodiscard]] bool someone_waits() const;
+  [[nodiscard]] bool commit_is_urgent() const;
   [[nodiscard]] bool image_hints_due();
-  [[nodiscard]] bool leads_in(std::uint64_t term) const;
+  [[nodiscard]] bool is_leader_in_term(std::uint64_t term) const;
   void load_shards(const Snapshot& image);
-  void resolve_uncertain_commit();
+  void send_commit_in_flight();
   void handle_commit_response(const KvResponse& response);
-  void commit_not_answered(int status);
-  void look_for_commit();
-  void commit_rejected();
-  void commit_succeeded(std::uint64_t revision);
-  void machines_committed(const std::vector<std::string>& names);
-  void finished_tasks_committed(const std::vector<FinishedTask>& finished);
-  std::vector<Job*> jobs_committed(const std::vector<CheckpointCommit::Change>& changes);
+  void handle_unanswered_commit(int status);
+  void check_commit_outcome();
+  void handle_rejected_commit();
+  void handle_successful_commit(std::uint64_t revision);
+  void mark_machines_committed(const std::vector<std::string>& names);
+  void mark_finished_tasks_committed(const std::vector<FinishedTask>& finished);
+  std::vector<Job*> mark_jobs_committed(const std::vector<CheckpointCommit::Change>& changes);
 
   // checkpoint_transaction.cpp: chooses the contents of a commit, within the limits of the store
-  [[nodiscard]] std::size_t operations_allowed(double reserve_share);
+  [[nodiscard]] std::size_t operations_within_budget(double reserve_share);
   [[nodiscard]] std::size_t operations_limit() const;
-  void send_commit();
-  void send_flush();
+  void start_commit();
+  void start_flush();
   void log_commit();
   [[nodiscard]] std::size_t manifest_bytes_of(
       const std::map<std::string, std::string>& recent_records) const;
@@ -224,12 +224,12 @@
   bool add_machine_shard(CompareAndSwapBuilder& transaction, std::size_t shard);
   std::map<std::string, Job*> add_bitmaps(CompareAndSwapBuilder& transaction,
                                           std::vector<Job*>& postponed);
-  [[nodiscard]] bool small_pieces() const;
+  [[nodiscard]] bool use_small_pieces() const;
   bool add_bitmap(CompareAndSwapBuilder& transaction, Job& job);
-  std::size_t flush_recent_records(CompareAndSwapBuilder& transaction, std::size_t wanted);
+  std::size_t flush_recent_records(CompareAndSwapBuilder& transaction, std::size_t wanted_bytes);
   bool put_shard(CompareAndSwapBuilder& transaction, std::size_t shard);
-  std::size_t reserve_for(const std::string& id, const std::string& text);
-  std::string text_for_shard(const std::string& id);
+  std::size_t reserve_bytes_for(const std::string& id, const std::string& text);
+  std::string record_text_for_shard(const std::string& id);
   void postpone_excess(std::map<std::string, Job*>& changed, std::vector<Job*>& postponed,
                        std::size_t manifest_bytes);
   void move_pending_responses_to_commit();
@@ -247,7 +247,8 @@
   std::uint64_t manifest_seq_ = 0, manifest_version_ = 0;
   std::map<std::string, std::string> recent_records_;  // the manifest's records, by job id
   bool features_written_ = false, gangs_enabled_ = false;
-  /// The number of commits that the store has rejected as too large, at most `kMostRejections`.
+  /// The number of commits that the store has rejected as too large, at most
+  /// `kMaxCountedRejections`.
   unsigned rejected_commits_ = 0;
   JobShards shards_;
 
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -10,12 +10,12 @@
 /// doesn't end it.
 constexpr Time kRenewalsPerLease = 4;
 /// How long one watch request waits for a change of the leader's key.
-constexpr Time kWatchMs = 10'000;
+constexpr Time kWatchTimeoutMs = 10'000;
 /// Write operations of one claim: the leader's key and the epoch's.
-constexpr double kClaimWrites = 2;
+constexpr double kWritesPerClaim = 2;
 /// A leader's lease is at most a worker's lease divided by this. The lease has to be short because
 /// after a leader's failure no controller leads until it has expired.
-constexpr Time kLongestLeaseShare = 2;
+constexpr Time kWorkerLeaseDivisor = 2;
 }  // namespace
 
 LeaderElection::LeaderElection(const Settings& settings, const Options& options, const Clock& clock,
@@ -34,49 +34,51 @@
 void LeaderElection::tick() {
   const Time now = clock_.now;
   if (role_ == Role::Leader || role_ == Role::Loading) {
-    if (now >= next_renewal_) renew();
+    if (now >= next_renewal_at_) renew();
     return;
   }
   if (role_ == Role::Follower && now >= campaign_at_) {
     campaign();
     return;
   }
-  if (!watching_ && now >= watch_retry_) watch_leader();
+  if (!watch_in_flight_ && now >= next_watch_at_) watch_leader();
 }
 
 // Reads the leader's key, then watches it for a change.
 void LeaderElection::watch_leader() {
-  watching_ = true;
-  KvRequest get;
-  get.kind = KvRequest::Kind::List;
-  get.key = kLeaderKey;
-  get.limit = 1;
+  watch_in_flight_ = true;
+  KvRequest list_request;
+  list_request.kind = KvRequest::Kind::List;
+  list_request.key = kLeaderKey;
+  list_request.limit = 1;
   const std::uint64_t term = term_;
   outbox_.call_kv_store(
-      get,
-      [this, term](const KvResponse& r) {
+      list_request,
+      [this, term](const KvResponse& list_response) {
         if (term != term_) return;
-        watching_ = false;
+        watch_in_flight_ = false;
         // A controller whose requests the key-value store rejects gets 503 at once. Without a pause
         // it would send a request at every tick.
-        watch_retry_ = clock_.now + worker_lease() / 40;
-        if (r.status != 200) return;
-        learn_leader(r.items.empty() ? nullptr : &r.items.front());
+        next_watch_at_ = clock_.now + worker_lease() / 40;
+        if (list_response.status != 200) return;
+        update_leader(list_response.items.empty() ? nullptr : &list_response.items.front());
         if (campaign_at_ != kNever) return;
-        KvRequest watch;
-        watch.kind = KvRequest::Kind::Watch;
-        watch.key = kLeaderKey;
-        watch.revision = r.revision;
-        watch.wait_ms = kWatchMs;
-        watching_ = true;
+        KvRequest watch_request;
+        watch_request.kind = KvRequest::Kind::Watch;
+        watch_request.key = kLeaderKey;
+        watch_request.revision = list_response.revision;
+        watch_request.wait_ms = kWatchTimeoutMs;
+        watch_in_flight_ = true;
         outbox_.call_kv_store(
-            watch,
-            [this, term](const KvResponse& w) {
+            watch_request,
+            [this, term](const KvResponse& watch_response) {
               if (term != term_) return;
-              watching_ = false;
-              watch_retry_ = clock_.now + (w.status == 200 ? 0 : worker_lease() / 40);
-              if (w.status == 200 && !w.items.empty()) {
-                learn_leader(w.items.back().deleted ? nullptr : &w.items.back());
+              watch_in_flight_ = false;
+              next_watch_at_ =
+                  clock_.now + (watch_response.status == 200 ? 0 : worker_lease() / 40);
+              if (watch_response.status == 200 && !watch_response.items.empty()) {
+                update_leader(watch_response.items.back().deleted ? nullptr
+                                                                  : &watch_response.items.back());
                 if (campaign_at_ == clock_.now) campaign();
               }
             },
@@ -85,25 +87,25 @@
       KvUrgency::Urgent);
 }
 
-void LeaderElection::learn_leader(const KvItem* item) {
+void LeaderElection::update_leader(const KvItem* item) {
   if (item == nullptr) {
     leader_name_.clear();
     if (campaign_at_ == kNever) {
       // Followers campaign one after the other, in the order of their names and with jitter, so
       // that their claims rarely collide.
       Time rank = 0;
-      for (const PeerSettings& s : settings_.peers)
-        if (s.name < settings_.name) ++rank;
+      for (const PeerSettings& peer : settings_.peers)
+        if (peer.name < settings_.name) ++rank;
       campaign_at_ = std::max(clock_.now + rank * 40 + static_cast<Time>(random_(30)),
                               election_backoff_until_);
     }
     return;
   }
   campaign_at_ = kNever;
-  if (const auto l = decode_leader(item->value)) {
-    leader_name_ = l->node;
-    set_epoch(std::max(epoch_, l->epoch));
-    election_history_.note(epoch_, clock_.now);
+  if (const auto leader = decode_leader(item->value)) {
+    leader_name_ = leader->node;
+    set_epoch(std::max(epoch_, leader->epoch));
+    election_history_.record_epoch(epoch_, clock_.now);
   }
 }
 
@@ -111,36 +113,36 @@
   campaign_at_ = kNever;
   role_ = Role::Candidate;
   const std::uint64_t term = ++term_;
-  watching_ = false;
+  watch_in_flight_ = false;
   nonce_ += 1 + random_();
   listener_.campaign_begun();
-  KvRequest grant;
-  grant.kind = KvRequest::Kind::Grant;
-  const Time granted = clock_.now;
-  election_history_.note(epoch_, granted);
-  lease_length_ = election_history_.lease_length(shortest_lease(),
-                                                 worker_lease() / kLongestLeaseShare, granted);
-  grant.ttl_ms = lease_length_;
+  KvRequest grant_request;
+  grant_request.kind = KvRequest::Kind::Grant;
+  const Time requested_at = clock_.now;
+  election_history_.record_epoch(epoch_, requested_at);
+  lease_length_ = election_history_.lease_length(
+      min_lease_length(), worker_lease() / kWorkerLeaseDivisor, requested_at);
+  grant_request.ttl_ms = lease_length_;
   outbox_.call_kv_store(
-      grant,
-      [this, term, granted](const KvResponse& r) {
+      grant_request,
+      [this, term, requested_at](const KvResponse& grant_response) {
         if (term != term_) return;
-        if (r.status != 200) return step_down(StepDownCause::NoLeaseGranted);
-        const std::uint64_t lease = r.lease;
-        KvRequest get;
-        get.kind = KvRequest::Kind::List;
-        get.key = kEpochKey;
-        get.limit = 1;
+        if (grant_response.status != 200) return step_down(StepDownCause::NoLeaseGranted);
+        const std::uint64_t lease_id = grant_response.lease;
+        KvRequest epoch_request;
+        epoch_request.kind = KvRequest::Kind::List;
+        epoch_request.key = kEpochKey;
+        epoch_request.limit = 1;
         outbox_.call_kv_store(
-            get,
-            [this, term, lease, granted](const KvResponse& e) {
+            epoch_request,
+            [this, term, lease_id, requested_at](const KvResponse& epoch_response) {
               if (term != term_) return;
-              if (e.status != 200) return step_down(StepDownCause::EpochUnreadable);
-              Snapshot image;
-              for (const KvItem& item : e.items) image.apply(item);
-              set_epoch(std::max(epoch_, image.epoch));
-              epoch_version_ = image.epoch_version;
-              claim(lease, granted);
+              if (epoch_response.status != 200) return step_down(StepDownCause::EpochUnreadable);
+              Snapshot snapshot;
+              for (const KvItem& item : epoch_response.items) snapshot.apply(item);
+              set_epoch(std::max(epoch_, snapshot.epoch));
+              epoch_version_ = snapshot.epoch_version;
+              claim(lease_id, requested_at);
             },
             KvUrgency::Urgent);
       },
@@ -148,33 +150,34 @@
 }
 
 // Takes the leader's key and increments the epoch in one compare-and-swap.
-void LeaderElection::claim(std::uint64_t lease, Time granted) {
+void LeaderElection::claim(std::uint64_t lease_id, Time requested_at) {
   const std::uint64_t term = term_;
   const std::uint64_t epoch = epoch_ + 1;
   const std::string value = encode_leader({settings_.name, epoch, nonce_});
-  KvRequest txn;
-  txn.kind = KvRequest::Kind::Txn;
-  txn.conditions = {{kLeaderKey, 0}, {kEpochKey, epoch_version_}};
-  txn.puts = {{kLeaderKey, value, lease}, {kEpochKey, value, 0}};
-  outbox_.write_budget().spend(kClaimWrites, clock_.now);
+  KvRequest claim_request;
+  claim_request.kind = KvRequest::Kind::Txn;
+  claim_request.conditions = {{kLeaderKey, 0}, {kEpochKey, epoch_version_}};
+  claim_request.puts = {{kLeaderKey, value, lease_id}, {kEpochKey, value, 0}};
+  outbox_.write_budget().spend(kWritesPerClaim, clock_.now);
   outbox_.call_kv_store(
-      txn,
-      [this, term, lease, granted, epoch](const KvResponse& r) {
+      claim_request,
+      [this, term, lease_id, requested_at, epoch](const KvResponse& response) {
         if (term != term_) return;
-        if (r.status != 200) {
+        if (response.status != 200) {
           // Without a response, the store may still carry the claim out, even late. Revoking the
           // lease makes the claim fail whenever it arrives.
-          revoke(lease);
-          return step_down(r.status == 409 ? StepDownCause::LostElection
-                                           : StepDownCause::ClaimNotAnswered);
+          revoke(lease_id);
+          return step_down(response.status == 409 ? StepDownCause::LostElection
+                                                  : StepDownCause::ClaimNotAnswered);
         }
         set_epoch(epoch);
-        epoch_version_ = r.revision;
+        epoch_version_ = response.revision;
         // The other candidates' claims fail, but they count against the store's write limit too.
-        outbox_.write_budget().spend(kClaimWrites * static_cast<double>(peers_.size()), clock_.now);
-        lease_id_ = lease;
-        lease_expiry_ = granted + lease_length_ - lease_length_ / 500 - 20;
-        next_renewal_ = granted + lease_length_ / kRenewalsPerLease;
+        outbox_.write_budget().spend(kWritesPerClaim * static_cast<double>(peers_.size()),
+                                     clock_.now);
+        lease_id_ = lease_id;
+        lease_expiry_ = requested_at + lease_length_ - lease_length_ / 500 - 20;
+        next_renewal_at_ = requested_at + lease_length_ / kRenewalsPerLease;
         role_ = Role::Loading;
         elected_at_ = clock_.now;
         leader_name_ = settings_.name;
@@ -188,25 +191,25 @@
 // after a tenth of a worker's lease.
 void LeaderElection::renew() {
   const std::uint64_t term = term_;
-  const Time sent = clock_.now;
+  const Time sent_at = clock_.now;
   const Time ttl = lease_length_;
-  next_renewal_ = sent + ttl / kRenewalsPerLease;
-  KvRequest call;
-  call.kind = KvRequest::Kind::Renew;
-  call.lease = lease_id_;
+  next_renewal_at_ = sent_at + ttl / kRenewalsPerLease;
+  KvRequest request;
+  request.kind = KvRequest::Kind::Renew;
+  request.lease = lease_id_;
   outbox_.call_kv_store(
-      call,
-      [this, term, sent, ttl](const KvResponse& r) {
+      request,
+      [this, term, sent_at, ttl](const KvResponse& response) {
         if (term != term_) return;
-        if (r.status == 404) return step_down(StepDownCause::LeaseEnded);
-        if (r.status != 200) {
-          next_renewal_ = std::max(next_renewal_, clock_.now + ttl / (kRenewalsPerLease * 4));
+        if (response.status == 404) return step_down(StepDownCause::LeaseEnded);
+        if (response.status != 200) {
+          next_renewal_at_ = std::max(next_renewal_at_, clock_.now + ttl / (kRenewalsPerLease * 4));
           return;
         }
         // The lease is counted from before the request was sent, the earliest time at which the
         // store can have restarted it.
         const bool lapsed = clock_.now >= lease_expiry_;
-        lease_expiry_ = std::max(lease_expiry_, sent + ttl - ttl / 500 - 20);
+        lease_expiry_ = std::max(lease_expiry_, sent_at + ttl - ttl / 500 - 20);
         if (lapsed && holds_valid_lease(clock_.now)) {
           // The renewal shows that the store had not ended the lease, so no other controller can
           // have held it.
@@ -222,9 +225,9 @@
   ++term_;
   const bool led = role_ == Role::Leader;
   role_ = Role::Follower;
-  watching_ = false;
+  watch_in_flight_ = false;
   campaign_at_ = kNever;
-  watch_retry_ = clock_.now + 20 + static_cast<Time>(random_(60));
+  next_watch_at_ = clock_.now + 20 + static_cast<Time>(random_(60));
   leader_name_.clear();
   listener_.stepped_down(cause, led);
 }
@@ -234,20 +237,20 @@
   outbox_.set_log_epoch(epoch);
 }
 
-void LeaderElection::revoke(std::uint64_t lease) {
-  KvRequest call;
-  call.kind = KvRequest::Kind::Revoke;
-  call.lease = lease;
+void LeaderElection::revoke(std::uint64_t lease_id) {
+  KvRequest request;
+  request.kind = KvRequest::Kind::Revoke;
+  request.lease = lease_id;
   outbox_.call_kv_store(
-      call, [](const KvResponse&) {}, KvUrgency::Urgent);
+      request, [](const KvResponse&) {}, KvUrgency::Urgent);
 }
 
-void LeaderElection::resign(StepDownCause cause, Resignation how) {
+void LeaderElection::resign(StepDownCause cause, Resignation options) {
   revoke(lease_id_);
-  if (how.back_off) election_backoff_until_ = clock_.now + worker_lease();
+  if (options.back_off) election_backoff_until_ = clock_.now + worker_lease();
   // Another controller may lead from now on. The time for which this one keeps tasks alive without
   // a leader is counted from `lease_expiry_`.
-  if (how.expire_now) lease_expiry_ = std::min(lease_expiry_, clock_.now);
+  if (options.expire_now) lease_expiry_ = std::min(lease_expiry_, clock_.now);
   step_down(cause);
 }
 
@@ -256,7 +259,7 @@
     step_down(StepDownCause::HigherEpochAtPeer);
   else if (role_ == Role::Follower)
     set_epoch(std::max(epoch_, epoch));
-  election_history_.note(epoch_, clock_.now);
+  election_history_.record_epoch(epoch_, clock_.now);
 }
 
 }  // namespace sailreel
--- a/src/controller/leader_election.hpp
+++ b/src/controller/leader_election.hpp
@@ -83,7 +83,7 @@
   /// Becomes a follower. The lease is not revoked and expires in the store.
   void step_down(StepDownCause cause);
   /// Revokes the lease, so that another controller can be elected at once, and steps down.
-  void resign(StepDownCause cause, Resignation how);
+  void resign(StepDownCause cause, Resignation options);
   void resign(StepDownCause cause) { resign(cause, Resignation{}); }
   /// Processes an epoch that a peer has reported. `leading`: the peer reports that it leads under
   /// this epoch. If it does and the epoch is higher than this leader's, this leader steps down.
@@ -91,15 +91,15 @@
 
  private:
   [[nodiscard]] Time worker_lease() const { return ms(settings_.workers.lease_s); }
-  [[nodiscard]] Time shortest_lease() const {
+  [[nodiscard]] Time min_lease_length() const {
     return ms(settings_.workers.lease_s * options_.leader_lease_ratio);
   }
   void watch_leader();
-  void learn_leader(const KvItem* item);
+  void update_leader(const KvItem* item);
   void campaign();
-  void claim(std::uint64_t lease, Time granted);
+  void claim(std::uint64_t lease_id, Time requested_at);
   void renew();
-  void revoke(std::uint64_t lease);
+  void revoke(std::uint64_t lease_id);
   void set_epoch(std::uint64_t epoch);
 
   const Settings& settings_;
@@ -119,9 +119,9 @@
   Time lease_length_ = 0;  // of the lease that is held or requested
   ElectionHistory election_history_;
   Time lease_expiry_ = 0, elected_at_ = 0;
-  Time next_renewal_ = 0;
-  bool watching_ = false;
-  Time watch_retry_ = 0;
+  Time next_renewal_at_ = 0;
+  bool watch_in_flight_ = false;
+  Time next_watch_at_ = 0;
   Time campaign_at_ = kNever;        // kNever: a leader is known, or the key hasn't been read yet
   Time election_backoff_until_ = 0;  // after a resignation
   std::string leader_name_;
--- a/src/controller/outbox.cpp
+++ b/src/controller/outbox.cpp
@@ -9,14 +9,14 @@
 namespace {
 /// One in this many of the controller's sockets may wait for the response to a direct call to a
 /// worker. A few more are open for calls that have just ended.
-constexpr std::size_t kCallShare = 5;
+constexpr std::size_t kSocketsPerWorkerCall = 5;
 /// Share of the cloud's request limit that the controller uses, and the burst in seconds of that
 /// limit.
-constexpr double kCloudShare = 0.8, kCloudBurst = 1.2;
+constexpr double kCloudRateShare = 0.8, kCloudBurstSeconds = 1.2;
 /// Share of the key-value store's request limit that is reserved for urgent requests.
-constexpr double kUrgentKvReserve = 0.05;
+constexpr double kUrgentKvReserveShare = 0.05;
 /// Lower bounds (ms) of the timeouts, which otherwise are parts of a worker's lease.
-constexpr Time kLeastKvTimeout = 500, kLeastWorkerTimeout = 500;
+constexpr Time kMinKvTimeoutMs = 500, kMinWorkerTimeoutMs = 500;
 }  // namespace
 
 Outbox::Outbox(const Settings& settings, const Options& options, const Clock& clock)
@@ -26,8 +26,8 @@
                   settings.store.rps * options.state_share),
       write_limiter_(settings.store.write_rps * options.write_share,
                      settings.store.write_rps * options.write_share),
-      cloud_limiter_(settings.cloud_limits.rps * kCloudShare,
-                     settings.cloud_limits.rps * kCloudBurst) {}
+      cloud_limiter_(settings.cloud_limits.rps * kCloudRateShare,
+                     settings.cloud_limits.rps * kCloudBurstSeconds) {}
 
 std::vector<Action> Outbox::take_actions() { return std::exchange(actions_, {}); }
 
@@ -41,38 +41,38 @@
   respond(source, 503, encode_error(to_string(reason)), 1);
 }
 
-bool Outbox::call_kv_store(KvRequest request, KvContinuation then, KvUrgency urgency) {
+bool Outbox::call_kv_store(KvRequest request, KvContinuation continuation, KvUrgency urgency) {
   const bool urgent = urgency == KvUrgency::Urgent;
-  if (!urgent && !kv_budget_allows(1 + settings_.store.rps * kUrgentKvReserve)) return false;
+  if (!urgent && !kv_budget_allows(1 + settings_.store.rps * kUrgentKvReserveShare)) return false;
   kv_limiter_.spend(1, clock_.now);
   const std::uint64_t call = next_call_++;
   const bool watch = request.kind == KvRequest::Kind::Watch;
   const Time timeout = watch ? request.wait_ms + worker_lease() / 10
-                             : std::max(worker_lease() / 10, kLeastKvTimeout);
-  kv_calls_.emplace(call, std::move(then));
+                             : std::max(worker_lease() / 10, kMinKvTimeoutMs);
+  kv_calls_.emplace(call, std::move(continuation));
   actions_.push_back(CallKvStore{call, std::move(request), timeout});
   return true;
 }
 
-bool Outbox::call_cloud(CloudRequest request, CloudContinuation then, CloudBudget budget) {
+bool Outbox::call_cloud(CloudRequest request, CloudContinuation continuation, CloudBudget budget) {
   if (!cloud_limiter_.allows(budget == CloudBudget::KeepReserve ? 2 : 1, clock_.now)) return false;
   cloud_limiter_.spend(1, clock_.now);
   const std::uint64_t call = next_call_++;
-  cloud_calls_.emplace(call, std::move(then));
+  cloud_calls_.emplace(call, std::move(continuation));
   actions_.push_back(CallCloud{call, std::move(request), ms(settings_.workers.lease_s / 2)});
   return true;
 }
 
 void Outbox::call_worker(const std::string& address, std::string body, Time valid_until,
-                         WorkerContinuation then) {
+                         WorkerContinuation continuation) {
   const std::uint64_t call = next_call_++;
-  worker_calls_.emplace(call, std::move(then));
+  worker_calls_.emplace(call, std::move(continuation));
   actions_.push_back(CallWorker{call, address, std::move(body),
-                                std::max(worker_lease() / 14, kLeastWorkerTimeout), valid_until});
+                                std::max(worker_lease() / 14, kMinWorkerTimeoutMs), valid_until});
 }
 
 bool Outbox::worker_calls_full() const {
-  return worker_calls_.size() >= settings_.limits.sockets / kCallShare;
+  return worker_calls_.size() >= settings_.limits.sockets / kSocketsPerWorkerCall;
 }
 
 void Outbox::forget_leader_calls() {
@@ -100,15 +100,15 @@
 
 // The continuation is removed before it runs, because it may make further calls.
 void Outbox::handle(const KvResponseReceived& input) {
-  if (auto node = kv_calls_.extract(input.call)) node.mapped()(input.reply);
+  if (auto entry = kv_calls_.extract(input.call)) entry.mapped()(input.reply);
 }
 
 void Outbox::handle(const CloudResponseReceived& input) {
-  if (auto node = cloud_calls_.extract(input.call)) node.mapped()(input.reply);
+  if (auto entry = cloud_calls_.extract(input.call)) entry.mapped()(input.reply);
 }
 
 void Outbox::handle(const WorkerResponseReceived& input) {
-  if (auto node = worker_calls_.extract(input.call)) node.mapped()(input.status, input.heartbeat);
+  if (auto entry = worker_calls_.extract(input.call)) entry.mapped()(input.status, input.heartbeat);
 }
 
 }  // namespace sailreel
--- a/src/controller/outbox.hpp
+++ b/src/controller/outbox.hpp
@@ -52,13 +52,13 @@
 
   /// Sends a request to the key-value store. Returns false, without sending it, if the budget is
   /// used up and the request isn't urgent.
-  bool call_kv_store(KvRequest request, KvContinuation then,
+  bool call_kv_store(KvRequest request, KvContinuation continuation,
                      KvUrgency urgency = KvUrgency::WithinBudget);
   /// Sends a request to the cloud. Returns false, without sending it, if the budget is used up.
-  bool call_cloud(CloudRequest request, CloudContinuation then, CloudBudget budget);
+  bool call_cloud(CloudRequest request, CloudContinuation continuation, CloudBudget budget);
   /// Sends a command or an inquiry directly to a worker, but not at or after `valid_until`.
   void call_worker(const std::string& address, std::string body, Time valid_until,
-                   WorkerContinuation then);
+                   WorkerContinuation continuation);
   /// Whether all sockets that are set aside for direct calls to workers are in use.
   [[nodiscard]] bool worker_calls_full() const;
   /// Drops the continuations of calls that only a leader makes, which are those to workers and to
--- a/tests/commit_test.cpp
+++ b/tests/commit_test.cpp
@@ -7,9 +7,9 @@
 namespace sailreel::sim {
 namespace {
 
-Time quantile(std::vector<Time> delays, double share) {
+Time quantile(std::vector<Time> delays, double fraction) {
   std::sort(delays.begin(), delays.end());
-  return delays[static_cast<std::size_t>(share * static_cast<double>(delays.size() - 1))];
+  return delays[static_cast<std::size_t>(fraction * static_cast<double>(delays.size() - 1))];
 }
 
 // Guards against background commits that use up the write budget. On a recorded day
@@ -23,12 +23,13 @@
     SimulatedRegion region(plan);
     region.run_until(1'000);
     pcg32 random(seed);
-    for (std::size_t n = 0; n < 520; ++n) {
-      JobSpec s = n % 2 == 0 ? service(job_id(n), 2) : array(job_id(n), 6, 8);
-      s.team = n % 3 == 0 ? "blue" : "red";
-      s.image = "img-" + std::to_string(random(12));
-      s.image_gb = 5;
-      region.submit(s, s.kind == JobKind::Service ? region.now() + 20'000 : 0);
+    for (std::size_t job_number = 0; job_number < 520; ++job_number) {
+      JobSpec spec =
+          job_number % 2 == 0 ? service(job_id(job_number), 2) : array(job_id(job_number), 6, 8);
+      spec.team = job_number % 3 == 0 ? "blue" : "red";
+      spec.image = "img-" + std::to_string(random(12));
+      spec.image_gb = 5;
+      region.submit(spec, spec.kind == JobKind::Service ? region.now() + 20'000 : 0);
       region.run_until(region.now() + random(200));
     }
     const std::vector<Time>& delays = region.submission_delays();
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -14,9 +14,9 @@
 namespace sailreel {
 namespace {
 
-constexpr std::uint64_t kLease = 77, kEpochVersion = 40, kClaimRevision = 41;
+constexpr std::uint64_t kLeaseId = 77, kEpochVersion = 40, kClaimRevision = 41;
 
-Settings alone() {
+Settings settings_without_peers() {
   Settings settings = sim::sample_settings(0);
   settings.peers.clear();
   return settings;
@@ -26,12 +26,14 @@
  protected:
   void campaign_begun() override { ++campaigns_; }
   void elected() override { ++elections_; }
-  void stepped_down(StepDownCause cause, bool led) override { ended_.emplace_back(cause, led); }
+  void stepped_down(StepDownCause cause, bool led) override {
+    step_downs_.emplace_back(cause, led);
+  }
   void lease_regained() override { ++regained_; }
 
-  /// Advances the clock by `passed` milliseconds and ticks.
-  void tick_after(Time passed) {
-    clock_.now += passed;
+  /// Advances the clock by `elapsed` milliseconds and ticks.
+  void tick_after(Time elapsed) {
+    clock_.now += elapsed;
     election_.tick();
     collect();
   }
@@ -64,32 +66,32 @@
   }
   static KvResponse granted() {
     KvResponse response = ok();
-    response.lease = kLease;
+    response.lease = kLeaseId;
     return response;
   }
-  static KvResponse epoch_of_a_former_leader(std::uint64_t epoch) {
+  static KvResponse former_leader_epoch(std::uint64_t epoch) {
     KvResponse response = ok();
     response.items = {{kEpochKey, encode_leader({"other", epoch, 1}), kEpochVersion, false}};
     return response;
   }
 
-  /// Campaigns up to the claim, which is then the only open call. Sets `asked_at_` to the time at
-  /// which the lease was requested.
+  /// Campaigns up to the claim, which is then the only open call. Sets `requested_at_` to the time
+  /// at which the lease was requested.
   void campaign() {
     tick_after(1'000);
     EXPECT_EQ(answer(ok()).key, kLeaderKey);  // nobody leads
     tick_after(30);                           // the maximum jitter
     ASSERT_EQ(election_.role(), Role::Candidate);
-    asked_at_ = clock_.now;
+    requested_at_ = clock_.now;
     const KvRequest grant = answer(granted(), 15);
     EXPECT_EQ(grant.kind, KvRequest::Kind::Grant);
     lease_length_ = grant.ttl_ms;
-    EXPECT_EQ(answer(epoch_of_a_former_leader(6), 15).key, kEpochKey);
+    EXPECT_EQ(answer(former_leader_epoch(6), 15).key, kEpochKey);
     ASSERT_EQ(calls_.size(), 1U);
   }
 
   /// Wins the election and loads the checkpoint.
-  void lead() {
+  void become_leader() {
     campaign();
     answer(ok(), 15);
     ASSERT_EQ(election_.role(), Role::Loading);
@@ -97,13 +99,13 @@
     ASSERT_TRUE(election_.is_leader());
   }
 
-  /// When a lease that was requested at `asked` expires, with the margin for clocks that run at
-  /// different rates.
-  [[nodiscard]] Time expiry_of(Time asked) const {
-    return asked + lease_length_ - lease_length_ / 500 - 20;
+  /// When a lease that was requested at `requested_at` expires, with the margin for clocks that run
+  /// at different rates.
+  [[nodiscard]] Time expiry_of(Time requested_at) const {
+    return requested_at + lease_length_ - lease_length_ / 500 - 20;
   }
 
-  const Settings settings_ = alone();
+  const Settings settings_ = settings_without_peers();
   const Options options_{};
   Clock clock_{10'000, 0};
   Outbox outbox_{settings_, options_, clock_};
@@ -112,9 +114,10 @@
   LeaderElection election_{settings_, options_, clock_, outbox_, peers_, random_, *this};
 
   std::deque<CallKvStore> calls_;
-  std::vector<std::pair<StepDownCause, bool>> ended_;  // the cause, and whether the role was Leader
+  std::vector<std::pair<StepDownCause, bool>>
+      step_downs_;  // the cause, and whether the role was Leader
   int campaigns_ = 0, elections_ = 0, regained_ = 0;
-  Time asked_at_ = 0, lease_length_ = 0;
+  Time requested_at_ = 0, lease_length_ = 0;
 
  private:
   void collect() {
@@ -123,7 +126,7 @@
   }
 };
 
-using Ended = std::vector<std::pair<StepDownCause, bool>>;
+using StepDowns = std::vector<std::pair<StepDownCause, bool>>;
 
 TEST_F(Election, ClaimsTheLeadershipByCompareAndSwap) {
   campaign();
@@ -140,7 +143,7 @@
   // The leader's key is bound to the lease; the epoch's key isn't.
   ASSERT_EQ(claim.puts.size(), 2U);
   EXPECT_EQ(claim.puts[0].key, kLeaderKey);
-  EXPECT_EQ(claim.puts[0].lease, kLease);
+  EXPECT_EQ(claim.puts[0].lease, kLeaseId);
   EXPECT_EQ(claim.puts[1].key, kEpochKey);
   EXPECT_EQ(claim.puts[1].lease, 0U);
   const auto record = decode_leader(claim.puts[1].value);
@@ -163,67 +166,67 @@
   campaign();
   const std::uint64_t term = election_.term();
   answer(failed(409));
-  EXPECT_EQ(ended_, (Ended{{StepDownCause::LostElection, false}}));
+  EXPECT_EQ(step_downs_, (StepDowns{{StepDownCause::LostElection, false}}));
   EXPECT_EQ(election_.role(), Role::Follower);
   EXPECT_GT(election_.term(), term);
   EXPECT_EQ(election_.epoch(), 6U);
   EXPECT_EQ(elections_, 0);
   const KvRequest revoke = answer(ok());
   EXPECT_EQ(revoke.kind, KvRequest::Kind::Revoke);
-  EXPECT_EQ(revoke.lease, kLease);
+  EXPECT_EQ(revoke.lease, kLeaseId);
 }
 
 TEST_F(Election, AClaimWithoutAResponseStepsDownWithItsOwnCause) {
   campaign();
   answer(failed(0));
-  EXPECT_EQ(ended_, (Ended{{StepDownCause::ClaimNotAnswered, false}}));
+  EXPECT_EQ(step_downs_, (StepDowns{{StepDownCause::ClaimNotAnswered, false}}));
   EXPECT_EQ(answer(ok()).kind, KvRequest::Kind::Revoke);
 }
 
 TEST_F(Election, ALeaseIsCountedFromBeforeTheRequestLeft) {
-  lead();
-  ASSERT_EQ(clock_.now, asked_at_ + 45);
-  EXPECT_EQ(election_.lease_expiry(), expiry_of(asked_at_));
+  become_leader();
+  ASSERT_EQ(clock_.now, requested_at_ + 45);
+  EXPECT_EQ(election_.lease_expiry(), expiry_of(requested_at_));
   EXPECT_TRUE(election_.holds_valid_lease(election_.lease_expiry() - 1));
   EXPECT_FALSE(election_.holds_valid_lease(election_.lease_expiry()));
 
   tick_after(lease_length_ / 4);
-  const Time sent = clock_.now;
+  const Time sent_at = clock_.now;
   const KvRequest renewal = answer(ok(), 60);
   EXPECT_EQ(renewal.kind, KvRequest::Kind::Renew);
-  EXPECT_EQ(renewal.lease, kLease);
-  EXPECT_EQ(election_.lease_expiry(), expiry_of(sent));
+  EXPECT_EQ(renewal.lease, kLeaseId);
+  EXPECT_EQ(election_.lease_expiry(), expiry_of(sent_at));
   EXPECT_EQ(regained_, 0);
 }
 
 // The response to a renewal arrives after the lease has expired on the controller's clock, but
 // before the renewed lease has.
 TEST_F(Election, ALateRenewalRegainsTheLease) {
-  lead();
+  become_leader();
   clock_.now = election_.lease_expiry() - 1;
   tick_after(0);
-  const Time sent = clock_.now;
+  const Time sent_at = clock_.now;
   ASSERT_EQ(calls_.size(), 1U);
   clock_.now += 1;
   EXPECT_FALSE(election_.holds_valid_lease(clock_.now));
   answer(ok());
   EXPECT_EQ(regained_, 1);
   EXPECT_TRUE(election_.holds_valid_lease(clock_.now));
-  EXPECT_EQ(election_.lease_expiry(), expiry_of(sent));
+  EXPECT_EQ(election_.lease_expiry(), expiry_of(sent_at));
 }
 
 TEST_F(Election, ALeaseThatTheStoreHasEndedEndsTheLeadership) {
-  lead();
+  become_leader();
   tick_after(lease_length_ / 4);
   answer(failed(404));
-  EXPECT_EQ(ended_, (Ended{{StepDownCause::LeaseEnded, true}}));
+  EXPECT_EQ(step_downs_, (StepDowns{{StepDownCause::LeaseEnded, true}}));
 }
 
 TEST_F(Election, AResignationRevokesTheLeaseAndBacksOff) {
-  lead();
+  become_leader();
   const Time resigned = clock_.now, worker_lease = ms(settings_.workers.lease_s);
   election_.resign(StepDownCause::NoWorkerHeard);
-  EXPECT_EQ(ended_, (Ended{{StepDownCause::NoWorkerHeard, true}}));
+  EXPECT_EQ(step_downs_, (StepDowns{{StepDownCause::NoWorkerHeard, true}}));
   EXPECT_EQ(election_.lease_expiry(), resigned);
   tick_after(0);
   EXPECT_EQ(answer(ok()).kind, KvRequest::Kind::Revoke);
@@ -238,7 +241,7 @@
 }
 
 TEST_F(Election, AResignationMayDoWithoutBackingOff) {
-  lead();
+  become_leader();
   election_.resign(StepDownCause::CommitRejected, {.back_off = false});
   EXPECT_EQ(election_.lease_expiry(), clock_.now);
   tick_after(100);
@@ -249,7 +252,7 @@
 }
 
 TEST_F(Election, AResignationMayKeepTheExpiry) {
-  lead();
+  become_leader();
   const Time expiry = election_.lease_expiry();
   ASSERT_GT(expiry, clock_.now);
   election_.resign(StepDownCause::ManifestUnreadable, {.expire_now = false});
@@ -258,13 +261,13 @@
 }
 
 TEST_F(Election, AHigherEpochOfALeaderEndsTheLeadership) {
-  lead();
+  become_leader();
   election_.note_epoch(9, false);  // the peer doesn't lead under it, so this lease still holds
   election_.note_epoch(7, true);
   EXPECT_TRUE(election_.is_leader());
   EXPECT_EQ(election_.epoch(), 7U);
   election_.note_epoch(8, true);
-  EXPECT_EQ(ended_, (Ended{{StepDownCause::HigherEpochAtPeer, true}}));
+  EXPECT_EQ(step_downs_, (StepDowns{{StepDownCause::HigherEpochAtPeer, true}}));
   election_.note_epoch(8, true);
   EXPECT_EQ(election_.epoch(), 8U);
 }
@@ -272,7 +275,7 @@
 // The responses to two renewals arrive after the controller has stepped down, and belong to a
 // former term.
 TEST_F(Election, AResponseOfAFormerTermChangesNothing) {
-  lead();
+  become_leader();
   tick_after(lease_length_ / 4);
   tick_after(lease_length_ / 4);
   ASSERT_EQ(calls_.size(), 2U);
@@ -281,7 +284,7 @@
   answer(ok());
   EXPECT_EQ(election_.lease_expiry(), expiry);
   answer(failed(404));
-  EXPECT_EQ(ended_, (Ended{{StepDownCause::CheckpointOverwritten, true}}));
+  EXPECT_EQ(step_downs_, (StepDowns{{StepDownCause::CheckpointOverwritten, true}}));
 }
 
 }  // namespace
--- a/tests/rate_limiter_test.cpp
+++ b/tests/rate_limiter_test.cpp
@@ -33,7 +33,7 @@
 }
 
 // For any sequence of requests, no time window exceeds the rate plus one burst.
-TEST(RateLimiter, NoWindowSeesMoreThanItsRateAndOneBurst) {
+TEST(RateLimiter, NoWindowExceedsTheRatePlusOneBurst) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     pcg32 random(seed);
     RateLimiter limiter(20, 20);
