--- a/src/controller/checkpoint_transaction.cpp
+++ b/src/controller/checkpoint_transaction.cpp
@@ -292,9 +292,9 @@
   return true;
 }
 
-// Flushes `wanted_bytes` bytes of the recent records, or as many as the transaction takes, to their
-// shards, which keep their other records. Returns the number of bytes that this frees in the
-// manifest.
+// Flushes recent records to their shards, which keep their other records, until at least
+// `wanted_bytes` of the manifest are freed or the transaction is full. Returns the number of bytes
+// that are freed.
 std::size_t CheckpointWriter::flush_recent_records(CompareAndSwapBuilder& transaction,
                                                    std::size_t wanted_bytes) {
   std::map<std::size_t, std::vector<std::string>> by_shard;
--- a/src/controller/outbox.hpp
+++ b/src/controller/outbox.hpp
@@ -24,8 +24,9 @@
 /// Receives the HTTP status (0 without a response) and the heartbeat that the response contained.
 using WorkerContinuation = std::function<void(int, const std::optional<Heartbeat>&)>;
 
-/// Whether a request to the key-value store may exceed the budget. Urgent requests are those of the
-/// election, lease renewals, whose delay would cost the leadership, and checkpoint commits.
+/// Whether a request to the key-value store may exceed the budget. Requests of the election and
+/// lease renewals are urgent because a delay would cost the leadership. Reading the checkpoint
+/// after an election and sending its commits are urgent too.
 enum class KvUrgency : std::uint8_t { WithinBudget, Urgent };
 
 /// Whether a request to the cloud may use the whole budget, or must leave room for one more
