--- a/src/controller/gang.cpp
+++ b/src/controller/gang.cpp
@@ -7,16 +7,18 @@
 namespace sailreel {
 namespace {
 
-/// A replacement joins a gathering gang only in the first 1/kReplacementShare of the time that its
-/// tasks wait.
+/// Missing tasks of a gathering gang are placed only in the first 1/kReplacementShare of the time
+/// that its tasks wait.
 constexpr Time kReplacementShare = 2;
 
+/// The number of tasks, at most `tasks`, that the zone may take.
 std::uint32_t zone_room(const GangZones& zones, const std::string& zone, std::uint32_t tasks) {
   const auto it = zones.room.find(zone);
   return it == zones.room.end() ? tasks : std::min(it->second, tasks);
 }
 
-/// Fills the candidates in the given order, within each zone's room. An empty zone means all zones.
+/// Assigns tasks to the candidates in the given order, within each zone's room. An empty
+/// `only_zone` means all zones.
 GangPlan fill(const std::vector<GangCandidate>& candidates, const std::vector<std::size_t>& order,
               std::uint32_t tasks, const GangZones& zones, const std::string& only_zone) {
   GangPlan plan;
@@ -68,7 +70,8 @@
                    const GangZones& zones) {
   std::vector<std::size_t> order(candidates.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
-  // A single machine if possible: the one that is ready first, then the one with the most room.
+  // Machines with room for all tasks come first, the one with the least delay in front; then the
+  // others by decreasing room.
   const auto takes_all = [&](const GangCandidate& candidate) {
     return candidate.slots >= tasks && zone_room(zones, candidate.zone, tasks) >= tasks;
   };
@@ -85,7 +88,8 @@
   GangPlan best;
   best.tasks.assign(candidates.size(), 0);
   best.missing = tasks;
-  // The zone of the first candidate in order comes first, so that it wins ties.
+  // Zones are tried in the order of their best candidates, so that the zone with the better one
+  // wins ties.
   std::vector<std::string> zones_in_order;
   for (const std::size_t i : order)
     if (names.erase(candidates[i].zone) > 0) zones_in_order.push_back(candidates[i].zone);
--- a/src/controller/gang.hpp
+++ b/src/controller/gang.hpp
@@ -1,6 +1,6 @@
-// The state machine of one gang: a job whose tasks all run at the same time or not at all. It is
-// told what is known of the tasks and decides what to do next; it knows no machines, workers or
-// commands.
+// The state machine of a gang, which is a job whose tasks all run at the same time or not at all.
+// Its input is a summary of what is known about the tasks, its output the next action. It doesn't
+// depend on machines, workers or commands.
 #pragma once
 
 #include <cstdint>
@@ -15,36 +15,37 @@
 /// The phases of a gang.
 enum class GangPhase : std::uint8_t {
   Placing,    // no task is on a machine
-  Gathering,  // tasks are placed, and wait for the others of their attempt
+  Gathering,  // tasks are placed and wait for the other tasks of their attempt
   Running,    // the gang has started
-  Stopping    // it is being stopped, or has lost a task: nothing is placed until all are gone
+  Stopping    // the attempt is over; nothing is placed until all its tasks are gone
 };
 
-/// What is known of a gang's tasks.
+/// A summary of what is known about a gang's tasks.
 struct GangView {
   std::uint32_t tasks = 0;
-  std::uint32_t unknown = 0;   // may be on a machine that hasn't been heard since a failover
+  std::uint32_t unknown = 0;   // may be on a machine not heard from since a failover
   std::uint32_t placed = 0;    // bound to a machine, whether started there or not
-  std::uint32_t unsent = 0;    // of these, no start was sent
-  std::uint32_t running = 0;   // of these, seen to run or to save
-  std::uint32_t stopping = 0;  // of these, told to stop
+  std::uint32_t unsent = 0;    // placed tasks whose start has not been sent
+  std::uint32_t running = 0;   // placed tasks reported as running or saving
+  std::uint32_t stopping = 0;  // placed tasks that are to be stopped
   bool one_attempt = true;     // all placed tasks have the same attempt number
-  bool overdue = false;  // a start wasn't sent although its machine's heartbeat should have come
+  bool overdue = false;        // a start is unsent because its machine's heartbeat is overdue
 };
 
-/// What the caller has to do for a gang.
+/// The action that the caller has to take for a gang.
 enum class GangDecision : std::uint8_t {
   Wait,
-  PlaceAll,      // under a new attempt number
-  PlaceMissing,  // under the attempt number of those that wait
-  Unplace,       // nothing was sent: another place may be sooner
-  StopRest       // the remaining tasks are of no use
+  PlaceAll,      // place all tasks under a new attempt number
+  PlaceMissing,  // place the missing tasks under the attempt number of the waiting ones
+  Unplace,       // remove all placements: no start was sent, and other machines may be faster
+  StopRest       // stop the remaining tasks, as the attempt can't succeed
 };
 
+/// Tracks the phase of one gang and decides what to do next.
 class Gang {
  public:
-  /// Gathering tasks are joined by a replacement only for part of `wait_ms`, after which (ms) the
-  /// workers end them.
+  /// `wait_ms`: how long (ms) a task waits for the rest of its gang before its worker ends it.
+  /// Missing tasks are placed only during the first part of this time.
   explicit Gang(Time wait_ms) : wait_ms_(wait_ms) {}
 
   [[nodiscard]] GangPhase phase() const { return phase_; }
@@ -52,7 +53,7 @@
   /// Updates the phase and returns what to do. `now` in ms.
   GangDecision decide(const GangView& view, Time now);
 
-  /// A task has exited without completing: the attempt is over for all of them.
+  /// Reports that a task has exited without completing, which ends the attempt for all tasks.
   void attempt_over() { phase_ = GangPhase::Stopping; }
 
  private:
@@ -64,26 +65,27 @@
 /// A machine that may take tasks of a gang.
 struct GangCandidate {
   std::string zone;
-  std::uint32_t slots = 0;  // tasks that it has room for
-  double delay_s = 0;       // until a task placed there would be ready, in s, plus penalties in s
+  std::uint32_t slots = 0;  // number of tasks that it has room for
+  double delay_s = 0;       // expected seconds until a task placed there is ready, plus penalties
 };
 
 /// Zone constraints of a gang's tasks.
 struct GangZones {
-  bool one_zone = false;
-  /// How many more tasks a zone may take; a zone that isn't named takes any number.
+  bool one_zone = false;  // all tasks have to be in the same zone
+  /// The number of additional tasks that a zone may take. A zone without an entry is unlimited.
   std::map<std::string, std::uint32_t> room;
 };
 
 /// The distribution of a gang's tasks.
 struct GangPlan {
-  std::vector<std::uint32_t> tasks;  // for each candidate
-  std::uint32_t missing = 0;         // tasks that find no room
-  std::string zone;                  // the zone in which they do, if all have to be in one
+  std::vector<std::uint32_t> tasks;  // number of tasks for each candidate
+  std::uint32_t missing = 0;         // number of tasks that find no room
+  std::string zone;                  // the chosen zone, if all tasks have to be in one
 };
 
-/// Distributes `tasks` tasks: to a single machine if one has room for all, so that no partition
-/// separates them and all start at the same time; otherwise to as few as possible.
+/// Distributes `tasks` tasks over the candidates: to a single machine if one has room for all, so
+/// that no network partition separates them and all start at the same time; otherwise to the
+/// machines with the most room, so that few are used.
 GangPlan plan_gang(const std::vector<GangCandidate>& candidates, std::uint32_t tasks,
                    const GangZones& zones);
 
--- a/src/controller/gang_scheduling.cpp
+++ b/src/controller/gang_scheduling.cpp
@@ -1,4 +1,4 @@
-// Gang scheduling: tells each gang's state machine what is known of its tasks, and carries out its
+// Gang scheduling: gives each gang's state machine a summary of its tasks and carries out its
 // decisions on machines.
 #include <cmath>
 
@@ -8,13 +8,16 @@
 namespace sailreel {
 namespace {
 
-/// Heartbeats come an interval apart, plus or minus this fraction of it (protocol, "Workers").
+/// Heartbeats are sent one interval apart, plus or minus this fraction of it (protocol, "Workers").
 constexpr double kHeartbeatJitter = 0.25;
-/// A machine without a heartbeat for this many intervals isn't worth waiting for.
+/// A machine's heartbeat is overdue if the last one is older than this many intervals.
 constexpr double kOverdueHeartbeats = 1.5;
-/// In seconds: penalties added to a candidate's delay.
+/// Penalties in seconds that are added to a candidate's delay: if the job failed on the machine, if
+/// the job may use spot instances and the machine is on-demand, and for each GPU that is left
+/// without CPUs.
 constexpr double kFailedThere = 60, kOrdinaryForSpot = 2, kStrandedGpu = 0.1;
 
+/// The number of tasks, at most `most`, that fit into the room.
 std::uint32_t slots_in(const Resources& room, const Resources& each, std::uint32_t most) {
   return static_cast<std::uint32_t>(std::floor(std::min<double>(most, task_slots(room, each))));
 }
@@ -51,13 +54,14 @@
   return view;
 }
 
+// True if the machine's heartbeat, whose response would carry a start, is overdue.
 bool Controller::start_overdue(const Machine& m) const {
   const auto most =
       static_cast<Time>(static_cast<double>(heartbeat_interval()) * kOverdueHeartbeats);
   return clock_.now - m.last_own_heartbeat > most;
 }
 
-// Gangs are reviewed when something of theirs has changed, and while a start hasn't been sent.
+// Reviews the gangs whose tasks have changed and those with starts that haven't been sent yet.
 void Controller::review_gangs() {
   std::set<std::string> waiting;
   for (const std::string& id : std::exchange(gangs_to_review_, {})) {
@@ -81,7 +85,8 @@
   gangs_to_review_.merge(waiting);
 }
 
-// True if the gang needs no more room.
+// Carries out the decision for a gang within a scheduling pass. Returns false if tasks still have
+// to be placed because they are not due yet or found no room.
 bool Controller::place_gang(Job& job) {
   GangDecision decision = gang_of(job).decide(gang_view(job), clock_.now);
   if (decision == GangDecision::Unplace) {
@@ -108,7 +113,8 @@
   }
 }
 
-// True if all tasks that are to be placed may be retried.
+// True if all queued tasks may be placed now: none has to wait before its retry, and no orphaned
+// attempt of the job is left.
 bool Controller::gang_due(const Job& job) {
   const bool later = std::any_of(job.tasks.begin(), job.tasks.end(), [this](const Task& task) {
     return task.state == TaskState::Queued && task.not_before > clock_.now;
@@ -118,7 +124,8 @@
   return due;
 }
 
-// Places all missing tasks, or none.
+// Places all missing tasks under the given attempt number, or none. Returns false if they found no
+// room.
 bool Controller::place_gang_tasks(Job& job, std::uint64_t attempt) {
   const std::uint32_t wanted = job.queued;
   if (job.team == nullptr || !job.team->allows(job.spec().need.times(wanted))) return true;
@@ -141,6 +148,7 @@
   return true;
 }
 
+// The machines with room for at least one task of the gang.
 std::vector<Machine*> Controller::gang_machines(const Job& job) const {
   std::vector<Machine*> machines;
   for (Machine* m : rankings_.machines())
@@ -150,7 +158,8 @@
   return machines;
 }
 
-// A machine that would keep GPUs without the CPUs or the memory to use them is the worse choice.
+// Describes a machine as a candidate for the gang's missing tasks. For a gang that needs no GPUs,
+// the machine is penalized for GPUs that would be left without the CPUs to use them.
 GangCandidate Controller::gang_candidate(const Job& job, const Machine& m) const {
   const JobSpec& spec = job.spec();
   const Resources room = room_beside(reservations_, m);
@@ -166,8 +175,8 @@
   return candidate;
 }
 
-// Starts are sent with the response to a heartbeat: the expected wait (s) for the machine's next
-// one.
+// The expected time in seconds until the machine's next heartbeat, whose response can carry a
+// start.
 double Controller::heartbeat_due_s(const Machine& m) const {
   if (&m == heartbeat_sender_) return 0;
   const double interval = settings_.workers.heartbeat_interval_s;
@@ -177,6 +186,7 @@
   return 2 * interval;
 }
 
+// The estimated time in seconds until the machine holds the job's image.
 double Controller::fetch_s(const Job& job, const Machine& m) const {
   const JobSpec& spec = job.spec();
   const MachineType* type = tables_.type(m.type);
@@ -186,6 +196,7 @@
   return alone * static_cast<double>(1 + m.fetches());
 }
 
+// The zone constraints for the gang's missing tasks.
 GangZones Controller::gang_zones(const Job& job) const {
   GangZones zones;
   zones.one_zone = job.spec().one_zone;
@@ -198,19 +209,22 @@
   return zones;
 }
 
-// The gang doesn't fit. Instances are added and tasks are preempted only for what is missing, in
-// the zone where that is least if all tasks have to be in one. The room that it has found is
-// reserved against later jobs of this pass if something was preempted for it, or if it has waited
-// for so long that instances launched for it would be up: then machines are held for the rest too.
-// So it can't starve behind single tasks. As it holds no room between passes until it has all of
-// it, two gangs never wait for each other.
+// Called for a gang that doesn't fit. Instances are requested and tasks are preempted only for the
+// missing tasks; if all tasks have to be in one zone, in the zone where the fewest are missing. If
+// other tasks of the gang are already placed, nothing is preempted or reserved.
+//
+// The room that the plan has found stays reserved against later jobs of this pass if tasks were
+// preempted for the gang, or if the gang has waited for so long that instances launched for it
+// would be up. In the latter case, machines are held for the missing tasks as well. This keeps
+// single tasks from starving the gang. A gang holds no room between passes until it has room for
+// all its tasks, so two gangs never wait for each other.
 void Controller::make_room_for_gang(Job& job, const GangPlan& plan,
                                     const std::vector<Machine*>& machines) {
   const std::string zone = plan.zone.empty() ? job.spec().zone : plan.zone;
   record_unmet_demand(job, *job.team, plan.missing, zone_to_scale_out_in(job, zone));
   std::uint32_t made = 0;
   if (job.placed > 0) return;
-  // Reserved first, so that preemption makes room for the rest.
+  // The room found is reserved first, so that preemption makes room for the missing tasks.
   std::vector<std::pair<Machine*, Resources>> kept;
   for (std::size_t i = 0; i < machines.size(); ++i)
     if (plan.tasks[i] > 0) {
@@ -223,7 +237,8 @@
   for (const auto& [m, room] : kept) unreserve(*m, room);
 }
 
-// By then an instance launched for a job is up, or none could be launched.
+// The time (ms) after which a waiting gang counts as starved. By then, an instance launched for it
+// is up, or none could be launched.
 Time Controller::starved_after() const {
   double boot_s = 0;
   for (const MachineType& type : tables_.types) boot_s = std::max(boot_s, type.boot_s);
@@ -231,10 +246,10 @@
 }
 
 // Reserves the free room of the emptiest machines that will have room for the missing tasks once
-// the arrays and gangs there have ended, so that nothing new starts there. Single tasks once took
-// each part of a machine as it became free, and a gang that needs whole ones never started. False
-// if the machines that are up can't hold all of it: then nothing is reserved, and other work
-// continues.
+// the arrays and gangs there have ended, so that nothing new starts there. Without this, single
+// tasks take each part of a machine as it becomes free, and a gang that needs whole machines never
+// starts. Returns false and reserves nothing if the machines that are up can't hold all missing
+// tasks; other jobs then use the room.
 bool Controller::hold_machines(const Job& job, std::uint32_t missing, const std::string& zone) {
   struct Candidate {
     Machine* machine;
@@ -266,7 +281,9 @@
   return true;
 }
 
-// The zone with the most room for it, unless none of its instance types can be launched there now.
+// Returns the zone in which to launch instances for a job: `best`, the zone with the most room for
+// it. If the job may choose any one zone and none of its instance types can be launched in `best`
+// now, returns another zone in which one can be launched.
 std::string Controller::zone_to_scale_out_in(const Job& job, const std::string& best) const {
   if (!job.spec().one_zone || !job.spec().zone.empty()) return best;
   ResourceRequest want = resource_request_of(job.spec());
@@ -288,8 +305,8 @@
     stop_task(p, grace_s);
 }
 
-// One decision for all tasks: the stops leave in the same step, directly to the machines, and are
-// repeated with the responses to heartbeats until they are confirmed.
+// Stops all tasks of a gang in the same step. The stops are sent directly to the machines, and
+// again in the responses to heartbeats until they are confirmed.
 void Controller::stop_gang(Job& job, double grace_s) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
--- a/src/controller/machine_ranking.hpp
+++ b/src/controller/machine_ranking.hpp
@@ -1,5 +1,5 @@
-// Ranks machines in the order in which a scheduling pass would choose them, once for many jobs of
-// one kind.
+// Ranks machines in the order in which a scheduling pass chooses them. All jobs of one kind share a
+// ranking.
 #pragma once
 
 #include <algorithm>
@@ -16,27 +16,30 @@
 
 namespace sailreel {
 
-/// What a ranking knows of a machine.
+/// The rating of a machine for one kind of job.
 template <typename Score>
 struct MachineRating {
-  /// Less is better; empty: can't be chosen at present.
+  /// Lower is better. Empty if the machine can't be chosen at present.
   std::optional<Score> score;
-  /// Whether it has room at all, so that another job or a later pass may choose it.
+  /// True if the machine has room, so that another job or a later pass may choose it, even if it
+  /// can't be chosen at present.
   bool has_room = false;
 };
 
-/// Ranks a pass's machines, identified by index, once for all jobs of a kind. Machines that change
-/// are rated again; examining all machines for each job would grow with the square of the fleet, as
-/// the work grows with the fleet.
+/// Ranks the machines of a scheduling pass, identified by index, for all jobs of one kind. Only
+/// machines that change are rated again. Examining all machines for each job would take time
+/// quadratic in the size of the fleet, because the number of jobs grows with the fleet.
 ///
-/// Ties go to the lower index, so that the choice is the same on every run.
+/// Of machines with equal scores the one with the lowest index is chosen, so that the choice is the
+/// same on every run.
 template <typename Score>
 class MachineRanking {
  public:
   using Rate = std::function<MachineRating<Score>(std::size_t index)>;
   using ZoneOf = std::function<const std::string&(std::size_t index)>;
   using ZoneOpen = std::function<bool(const std::string& zone)>;
-  /// A job's own score of a machine, which is never better than the score of its kind.
+  /// Returns a job's own score of a machine. It must not be lower (better) than `of_kind`, the
+  /// score for all jobs of the kind.
   using OwnScore = std::function<Score(std::size_t index, const Score& of_kind)>;
 
   MachineRanking(std::size_t machines, Rate rate, const ZoneOf& zone_of)
@@ -50,7 +53,7 @@
   MachineRanking(const MachineRanking&) = delete;
   MachineRanking& operator=(const MachineRanking&) = delete;
 
-  /// Rates a machine again.
+  /// Rates a machine again after it has changed.
   void update(std::size_t index) {
     const std::optional<Score> before = ratings_[index].score;
     roomy_ -= ratings_[index].has_room ? 1 : 0;
@@ -65,10 +68,11 @@
     if (now.score) std::push_heap(heap.begin(), heap.end(), worse);
   }
 
-  /// True if any machine has room for work of this kind.
+  /// True if any machine has room for a task of this kind.
   [[nodiscard]] bool any_room() const { return roomy_ > 0; }
 
-  /// The best machine in the zones that are open to a job, by the job's own score; empty if none.
+  /// Returns the index of the machine with the best own score for a job, in the zones that are open
+  /// to the job; empty if no machine can be chosen.
   std::optional<std::size_t> best(const ZoneOpen& zone_open, const OwnScore& own_score) {
     std::optional<Entry> best;
     for (auto& [zone, heap] : heaps_)
@@ -87,15 +91,18 @@
   };
   using Heap = std::vector<Entry>;
 
+  /// The comparison for heaps that have the best entry at the front.
   static bool worse(const Entry& a, const Entry& b) { return b < a; }
 
+  /// Stores a rating and appends its entry; the caller restores the heap order.
   void store(std::size_t index, const MachineRating<Score>& rating) {
     ratings_[index] = rating;
     roomy_ += rating.has_room ? 1 : 0;
     if (rating.score) heaps_of_[index]->push_back({*rating.score, index});
   }
 
-  /// Pops entries whose ratings are outdated off the top of the heap.
+  /// Removes entries from the front of the heap until the front one agrees with its machine's
+  /// current rating.
   void drop_outdated(Heap& heap) {
     while (!heap.empty() && ratings_[heap.front().index].score != heap.front().score) pop(heap);
   }
@@ -105,8 +112,8 @@
     heap.pop_back();
   }
 
-  /// Replaces `best` if the heap has a better one. Entries that the job scores lower than its kind
-  /// are put aside meanwhile.
+  /// Replaces `best` if the heap has a better entry by the job's own score. Entries whose own score
+  /// is worse than the score of their kind are removed during the search and put back afterwards.
   void improve(std::optional<Entry>& best, Heap& heap, const OwnScore& own_score) {
     std::vector<Entry> aside;
     for (drop_outdated(heap); !heap.empty(); drop_outdated(heap)) {
@@ -131,36 +138,40 @@
   std::size_t roomy_ = 0;
 };
 
-/// The rankings of one pass, each created when the first job of its kind needs it. Owned by the
-/// controller; refers to machines that it doesn't own.
+/// The rankings of one scheduling pass, each created when the first job of its kind needs it. The
+/// controller owns this object. The machines are not owned and must stay valid until `clear`.
 template <typename Kind, typename Score>
 class RankingsByKind {
  public:
   using Rate = std::function<MachineRating<Score>(const Machine&)>;
   using IndexOf = std::optional<std::size_t> Machine::*;
 
-  /// `index_of`: the member in which a machine keeps its index among those of the pass.
+  /// `index_of`: the member of Machine that holds the machine's index in `machines()`.
   explicit RankingsByKind(IndexOf index_of) : index_of_(index_of) {}
 
+  /// Removes all rankings and machines.
   void clear() {
     entries_.clear();
     machines_.clear();
   }
-  /// Called before the first ranking of a pass.
+  /// Adds a machine to the pass. All machines are added before the first call of `get`.
   void add(Machine& m) {
     m.*index_of_ = machines_.size();
     machines_.push_back(&m);
   }
   [[nodiscard]] const std::vector<Machine*>& machines() const { return machines_; }
 
-  /// The ranking of a kind, with all changes of the pass so far; at most `most` are kept.
+  /// Returns the ranking for a kind, updated for all machines in `changes`, a list that only grows
+  /// during a pass. At most `most` rankings are kept, so the reference is valid until the next
+  /// call.
   MachineRanking<Score>& get(const Kind& kind, std::size_t most,
                              const std::vector<Machine*>& changes, const Rate& rate) {
     Entry& entry = find_or_make(kind, most, changes.size(), rate);
     const Machine* last = nullptr;
     for (; entry.changes_seen < changes.size(); ++entry.changes_seen) {
       const Machine* m = changes[entry.changes_seen];
-      // The tasks of a job are often placed on one machine after the other.
+      // Consecutive changes are often to the same machine, as several tasks of a job are placed on
+      // it; these need only one update.
       const bool again = std::exchange(last, m) == m;
       const std::optional<std::size_t> index = m->*index_of_;
       if (index && !again) entry.ranking.update(*index);
@@ -179,7 +190,7 @@
     const auto it = std::find_if(entries_.begin(), entries_.end(),
                                  [&](const auto& entry) { return entry->kind == kind; });
     if (it != entries_.end()) return **it;
-    // Where each job is a kind of its own, the oldest is the least likely to be used again.
+    // If each job is of a different kind, the oldest ranking is the least likely to be used again.
     if (entries_.size() >= most) entries_.erase(entries_.begin());
     const auto rate_by_index = [this, rate](std::size_t index) { return rate(*machines_[index]); };
     const auto zone_of = [this](std::size_t index) -> const std::string& {
--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -1,25 +1,29 @@
-// Places tasks: on a machine that holds the image, else on the one with the most room, in the zones
-// that the job allows.
+// Places queued tasks on machines in the zones that the job allows: preferably on a machine that
+// holds the image, otherwise on one with few image fetches in progress and much free room.
 #include "controller/controller.hpp"
 
 namespace sailreel {
 namespace {
-/// Heartbeats arrive in bunches; one pass serves those that arrive within this fraction of a
-/// heartbeat interval.
+/// Scheduling passes are at least 1/kPassesPerHeartbeat of a heartbeat interval apart, so that one
+/// pass serves all heartbeats of a burst.
 constexpr Time kPassesPerHeartbeat = 40;
-/// Passes are also so far apart that, per heartbeat, at most this many jobs and machines are
-/// examined: the cost of a heartbeat doesn't grow with the number of waiting jobs.
+/// Scheduling passes are also spaced, by up to a heartbeat interval, so that they examine on
+/// average at most this many jobs and machines per heartbeat. The cost of a heartbeat then doesn't
+/// grow with the number of waiting jobs.
 constexpr Time kLooksPerHeartbeat = 150;
-/// The rankings of a pass take at most this share of a controller's memory, at a fixed number of
-/// bytes for each ranked machine; a few are kept in any case.
+/// The fraction of a controller's memory limit that the rankings of a pass may use.
 constexpr double kRankingMemoryShare = 0.1;
+/// The estimated size of a ranking, in bytes per ranked machine.
 constexpr double kRankingBytes = 128;
+/// This many rankings are kept even if they exceed the share of the memory.
 constexpr double kLeastRankings = 4;
 }  // namespace
 
+// True if tasks can be started on the machine.
 bool Controller::usable(const Machine& m) const {
-  // A start is sent with the response to a machine's own heartbeat. A machine that answered
-  // inquiries but reached no controller itself once drew the waiting work again and again.
+  // Starts are sent only in the responses to a machine's own heartbeats. If a machine that answers
+  // inquiries but reaches no controller itself were usable, waiting tasks would be placed on it
+  // again and again without being started.
   return m.heard_in_epoch && m.sized && !m.cordoned && !m.terminating && !m.silent &&
          clock_.now >= m.quarantined_until && clock_.now - m.last_own_heartbeat <= silent_after();
 }
@@ -54,7 +58,8 @@
   machine_changed(m);
 }
 
-// A gang of which no zone may hold more than half needs two zones.
+// True if the job is a gang whose tasks can never all run at the same time: a spread gang may have
+// at most half of its tasks in one zone, so it needs at least two zones.
 bool Controller::never_all_at_once(const JobSpec& s) const {
   if (s.kind != JobKind::Gang || !s.spread || s.tasks < 2) return false;
   return s.one_zone || !s.zone.empty() || settings_.zones.size() < 2;
@@ -86,8 +91,8 @@
          any_type == o.any_type && types == o.types;
 }
 
-// Marks the jobs that fit, with their team's earlier unfinished ones, into the team's guaranteed
-// quota. Returns those that have tasks to place, by priority.
+// Marks each job as guaranteed if it fits into its team's guaranteed quota together with the team's
+// earlier unfinished jobs. Returns the jobs that have tasks to place, by priority.
 Controller::Queues Controller::note_guarantees() {
   Queues waiting;
   std::vector<Resources> totals(tables_.teams.size());
@@ -102,17 +107,18 @@
       total += {s.need.cpus * left, s.need.gpus * left, 0};
       job->guaranteed = job->team->within_guarantee(total);
     }
-    // A team that the settings no longer name has no queue.
+    // A job is not queued if its team is no longer in the settings.
     if (job->team == nullptr || job->queued == 0) continue;
     if (job->not_before > clock_.now)
-      scheduling_needed_ = true;  // examined again by a later pass
+      scheduling_needed_ = true;  // a later pass examines the job again
     else
       waiting[static_cast<std::size_t>(s.priority)].push_back(job);
   }
   return waiting;
 }
 
-// Guaranteed jobs first, then by deadline and age.
+// Sorts jobs in the order in which they are served: guaranteed jobs first, then by deadline, then
+// by order of acceptance.
 void Controller::queue_order(std::vector<Job*>& jobs) const {
   const auto due = [](const Job* j) {
     return j->spec().deadline_s ? j->accepted + ms(*j->spec().deadline_s) : kNever;
@@ -124,6 +130,7 @@
   });
 }
 
+// Runs one scheduling pass over all waiting jobs and sets the time of the next pass.
 void Controller::schedule_all() {
   scheduling_needed_ = false;
   const Time now = clock_.now;
@@ -135,7 +142,8 @@
   unmet_of_team_.clear();
   forget_failures();
   Queues all = note_guarantees();
-  // The least that any of them needs: a machine with less room is of no use to this pass.
+  // For each resource, the smallest amount that a waiting job requests per task. This pass places
+  // nothing on a machine with less room.
   std::optional<Resources> least_need;
   for (const std::vector<Job*>& waiting : all)
     for (const Job* job : waiting) {
@@ -147,11 +155,12 @@
   begin_rankings(least_need);
   for (std::vector<Job*>& waiting : all) {
     queue_order(waiting);
-    // One queue per team.
+    // One queue per team, reversed because jobs are taken from the back.
     std::map<TeamQuota*, std::vector<Job*>> queues;
     for (Job* job : waiting) queues[job->team].push_back(job);
     for (auto& [team, queue] : queues) std::reverse(queue.begin(), queue.end());
-    // Fair share: the team that uses the least of its share is served next.
+    // Fair sharing: the team that uses the smallest fraction of its guaranteed quota is served
+    // next.
     while (!queues.empty()) {
       auto next = std::min_element(queues.begin(), queues.end(), [](const auto& a, const auto& b) {
         return a.first->share() < b.first->share();
@@ -170,8 +179,8 @@
   next_scheduling_ = now + std::max(least, std::min(by_looks, heartbeat_interval()));
 }
 
-// Examines all machines once: which of them accept work, and which have room for the smallest
-// waiting request.
+// Examines all machines once and collects those that the pass ranks: for preemption all that accept
+// work, for placement those that also have room for the smallest waiting request.
 void Controller::begin_rankings(const std::optional<Resources>& least_need) {
   end_rankings();
   if (!least_need) return;
@@ -197,6 +206,7 @@
   image_holders_.clear();
 }
 
+// The number of rankings that fit into the rankings' share of the memory.
 std::size_t Controller::most_rankings() const {
   const double bytes = settings_.limits.memory_mb * 1024 * 1024 * kRankingMemoryShare;
   const auto machines = static_cast<double>(tables_.machines.size() + 1);
@@ -205,7 +215,8 @@
 
 bool Controller::place_job(Job& job) {
   if (is_gang(job)) return place_gang(job);
-  // Of a job that is likely to be a mistake, one task at a time shows whether it still fails.
+  // A suspect job has failed on several machines and never run, so it was probably submitted with a
+  // mistake. Only one of its tasks runs at a time, to find out whether it still fails.
   const bool one_by_one = job.suspect();
   if (one_by_one && job.placed > 0) return true;
   const std::optional<std::uint32_t> left = place_tasks(job, one_by_one);
@@ -217,21 +228,21 @@
   return false;
 }
 
-// True if the task is to be placed by this pass.
+// True if this pass has to place the task. Advances `next_queued` past tasks that aren't queued.
 bool Controller::due(Job& job, std::uint32_t index) {
   const Task& task = job.tasks[index];
   if (task.state != TaskState::Queued) {
     if (index == job.next_queued) ++job.next_queued;
     return false;
   }
-  // A task that is not due yet, or may still run elsewhere, is examined again by a later pass.
+  // A later pass examines a task again that is not due yet or may still run elsewhere.
   const bool due = task.not_before <= clock_.now && !job.has_orphan(index);
   if (!due) scheduling_needed_ = true;
   return due;
 }
 
-// Places as many of the job's tasks as possible. Returns how many found no room; empty if the team
-// is at its quota limit.
+// Places as many of the job's tasks as possible. Returns the number of tasks that found no room, or
+// an empty value if the team is at its quota limit.
 std::optional<std::uint32_t> Controller::place_tasks(Job& job, bool one_by_one) {
   std::uint32_t waiting = 0;
   for (std::uint32_t i = job.next_queued; i < job.tasks.size() && job.queued > 0; ++i) {
@@ -244,8 +255,8 @@
       continue;
     }
     if (m == nullptr) {
-      // A machine with room may be busy fetching: that room is reserved, and no instance is added
-      // for it.
+      // A machine with room may already be fetching as many images as allowed. Its room is reserved
+      // for the task, and the task isn't counted as unmet demand, so no instance is added for it.
       Machine* later = best_machine(job, true);
       if (later == nullptr) return job.queued - waiting;
       reserve(*later, job.spec().need);
@@ -258,7 +269,9 @@
   return 0;
 }
 
-// Where an image fetch would break an SLO, preempts on a machine that holds the image, if possible.
+// If fetching the image on `m` would violate an SLO, tries to make room for the task on a machine
+// that holds the image: by preemption for the `wait` SLO, otherwise by migrating replicas. Returns
+// true if room is reserved there.
 bool Controller::warm_room_made(const Job& job, const Machine& m) {
   const bool late = late_if_cold(job, m, "wait");
   if (late && preempt_for(job, true)) return true;
@@ -266,6 +279,7 @@
   return (late || owed) && migrate_for(job);
 }
 
+// Places a task on a machine. The start is sent in the response to the machine's next heartbeat.
 void Controller::bind(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt) {
   tables_.place(job, index, m, attempt, clock_.now);
   machine_changed(m);
@@ -275,9 +289,10 @@
   checkpoint_.mark_changed(job);
 }
 
-// Adds the tasks to the unmet demand that more machines could serve: what the team's limit allows
-// beyond its usage and its demand counted so far. Jobs of one kind are counted together: a list
-// limited to a number of jobs once hid most of a cold start from the autoscaler.
+// Adds the tasks to the unmet demand that additional machines could serve, up to what the team's
+// limit allows beyond its usage and its demand counted so far. Demand is summed over all jobs with
+// the same request: a list limited to a number of jobs would hide most of the demand of a cold
+// start from the autoscaler.
 void Controller::record_unmet_demand(const Job& job, const TeamQuota& team, std::uint32_t tasks,
                                      const std::string& zone) {
   const JobSpec& s = job.spec();
@@ -302,7 +317,8 @@
   it->tasks += wanted;
 }
 
-// True if fetching the image there takes longer than an SLO on starting allows.
+// True if a task that fetches its image on this machine would start later than an objective of kind
+// `slo` allows.
 bool Controller::late_if_cold(const Job& job, const Machine& m, const char* slo) const {
   const JobSpec& s = job.spec();
   if (m.has_image(s.image) || m.fetching(s.image)) return false;
@@ -314,7 +330,7 @@
   return false;
 }
 
-// Takes back the job's attempts whose start has not been sent yet.
+// Removes the job's attempts whose start has not been sent yet; their tasks are queued again.
 void Controller::unplace(Job& job) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
@@ -329,12 +345,15 @@
   forget_failures();
 }
 
-// Increases across epochs without any stored state.
+// Returns a new attempt number. The high bits hold the epoch, so the numbers increase across epochs
+// without any stored state.
 std::uint64_t Controller::attempt_number() {
   return (election_.epoch() << kAttemptBits) + next_attempt_++;
 }
 
-// The machine that awaits a replica stopped for migration, if it can still start there.
+// Returns the target machine of a replica that was stopped for migration, or null if the task is
+// not migrating or can no longer start there. Ends the migration and releases the room reserved for
+// it.
 Machine* Controller::migration_target(const Job& job, std::uint32_t index) {
   if (migrations_.empty()) return nullptr;
   const auto node = migrations_.extract(task_name({job.spec().id, index}));
@@ -348,7 +367,8 @@
   return possible ? m : nullptr;
 }
 
-// Scores a machine for one more task of such a job, disregarding the job's own tasks and failures.
+// Rates a machine for one more task of a job with this spec, regardless of where the job has tasks
+// or has failed.
 MachineRating<Controller::BinPackingScore> Controller::bin_packing_score(
     const JobSpec& s, const Machine& m, bool may_queue_fetch) const {
   if (!open(m)) return {};
@@ -357,22 +377,26 @@
   const double image = m.has_image(s.image) ? 0 : m.fetching(s.image) ? 1 : 2;
   const std::size_t fetches = image == 2 ? m.fetches() : 0;
   if (image == 2 && !may_queue_fetch && fetches >= fetch_limit()) return {{}, true};
-  // Work that may use spot instances leaves the on-demand ones to work that may not.
+  // Jobs that may use spot instances leave on-demand instances to jobs that may not.
   const double dear = s.spot && !m.spot ? 1 : 0;
-  // Room beside images of more important work is left to that, as long as there is other room.
+  // Machines that hold images of higher-priority jobs are left to those jobs as long as there is
+  // room elsewhere.
   const double reserved = m.reserved[static_cast<std::size_t>(s.priority)];
-  // Among machines that hold the image the fullest, so that others become empty; otherwise the one
-  // with the most room, and of these the one with the fewest fetches, as they share its rate.
+  // Among machines that hold or are fetching the image, the fullest is best, so that others become
+  // empty. Among the other machines, the one with the fewest fetches is best, as they share its
+  // rate, and of these the one with the most free GPUs.
   const double fill =
       image < 2 ? room.gpus + room.cpus / 1000 : static_cast<double>(fetches) * 100 - room.gpus;
   return {BinPackingScore{0, dear, image, reserved, 0, fill}, true};
 }
 
-// The score for a particular job, which includes its own tasks and failures.
+// Returns the score for a particular job: the score of its kind, worsened if the job has failed on
+// the machine or, for a service, has replicas there.
 Controller::BinPackingScore Controller::score_for_job(const Job& job, const Machine& m,
                                                       BinPackingScore of_kind) {
   if (job.error_machines.contains(m.name)) of_kind[kScoreFailed] = 1;
-  // Replicas of a service are spread, so that the loss of a machine affects few of them.
+  // The replicas of a service are spread over machines, so that the loss of one affects few of
+  // them.
   if (job.spec().kind == JobKind::Service && job.placed > 0)
     of_kind[kScoreTogether] = static_cast<double>(
         std::count_if(m.attempts.begin(), m.attempts.end(),
--- a/src/controller/preemption.cpp
+++ b/src/controller/preemption.cpp
@@ -1,24 +1,27 @@
-// Stops tasks: to preempt for more important ones, to migrate replicas, or because their job is
-// cancelled.
+// Stops tasks: to preempt them for more important tasks, to migrate replicas, or because their job
+// is cancelled.
 #include "controller/controller.hpp"
 #include "protocol/worker_codec.hpp"
 
 namespace sailreel {
 namespace {
-/// In ms. A start that is stopped sooner doesn't count as one (protocol, "How aims are counted").
+/// In ms. The start of a replica that is stopped sooner doesn't count as a start (protocol, "How
+/// aims are counted"), so replicas are not migrated sooner.
 constexpr Time kCountedStart = 30'000;
-/// At most this many replicas migrate to let one task start where its image is held.
+/// At most this many replicas are migrated to let one task start on a machine that holds its image.
 constexpr std::size_t kMovesForAStart = 2;
 }  // namespace
 
+// The grace period in seconds for the job's tasks; 0 if they don't save their progress.
 double Controller::grace_for(const Job& job) const {
   const JobSpec& s = job.spec();
-  // Slightly more than the task needs: a shorter grace period saves nothing.
+  // Slightly longer than a task needs to save its progress: with less, the progress is lost.
   return s.checkpoint_s > 0 ? s.save_s * 1.1 + 0.1 : 0;
 }
 
+// Marks an attempt to be stopped, with a grace period in seconds.
 void Controller::stop_task(TaskAttempt& p, double grace_s) {
-  // A second stop may only shorten the grace period: that ends a task that is saving.
+  // A repeated stop can only shorten the grace period, for example to end a task that is saving.
   p.grace_s = p.stop ? std::min(p.grace_s, grace_s) : grace_s;
   p.stop = true;
   if (!p.held || p.job == nullptr) return;
@@ -28,10 +31,10 @@
   }
 }
 
-// Stops are also sent directly to the machine: until its next heartbeat, which may be more than an
-// interval away, a cancelled task would run for nothing and work that waits for its room would wait
-// on. They are sent with the responses to heartbeats all the same, so nothing depends on the direct
-// ones; one that arrives late finds its attempt gone, and is harmless.
+// Sends stops directly to the machines. Without this, a cancelled task would keep running, and
+// tasks that need its room would keep waiting, until the machine's next heartbeat, which may be
+// more than an interval away. Stops are also sent in the responses to heartbeats, so nothing
+// depends on the direct ones. A direct stop that arrives after its attempt has ended has no effect.
 void Controller::stop_tick() {
   while (!stops_due_.empty() && !outbox_.worker_calls_full()) {
     Machine* m = tables_.machine(*stops_due_.begin());
@@ -54,9 +57,9 @@
   }
 }
 
-// Stops all of a job's tasks. Starts that haven't been sent are dropped; those that have are
-// stopped in the next response to their worker, which comes after the start was carried out or
-// dropped.
+// Stops all tasks of a job. Attempts whose start hasn't been sent are removed. Other attempts are
+// stopped at the latest by the next response to their worker's heartbeat, by which time the worker
+// has carried out or dropped the start.
 void Controller::stop_job(Job& job) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
@@ -72,30 +75,32 @@
   }
 }
 
-// Work of lower priority may be preempted; so may what another team runs beyond its guaranteed
-// quota, by a team that is within its own. Otherwise work never preempts work of the same priority.
+// True if the job may preempt the attempt. Tasks of lower priority may be preempted. A task of the
+// same priority may be preempted only if it belongs to another team and exceeds that team's
+// guaranteed quota, and the preempting job is within its own team's guaranteed quota.
 bool Controller::may_preempt(const Job& job, const TaskAttempt& p) const {
   if (!p.held || p.job == nullptr || p.stop || p.migrating || p.job == &job) return false;
   const JobSpec& victim = p.job->spec();
   if (victim.priority > job.spec().priority) return true;
   if (p.job->team == job.team || victim.priority < job.spec().priority) return false;
   if (!job.guaranteed || p.job->guaranteed) return false;
-  // Only as much as the other team uses beyond its guaranteed quota.
+  // Nothing more is preempted once the other team's usage is within its guaranteed quota.
   return p.team != nullptr && !p.team->within_guarantee(p.team->used);
 }
 
-// Reserves room for one more task of the job on some machine, preempting others there if needed.
+// Reserves room for one more task of the job on some machine, preempting other tasks there if
+// needed. Returns false if no machine can provide the room.
 bool Controller::preempt_for(const Job& job, bool warm_only, const std::string& zone) {
   const JobSpec& s = job.spec();
   const ResourceRequest want = resource_request_of(s);
-  // If preemption failed for work of the same team and priority that needs no more, it fails again.
+  // If preemption has failed in this pass for a job of the same team and priority that needs no
+  // more than this one, it fails for this one too.
   for (const FailedPreemption& i : no_preemption_for_)
     if (i.priority == s.priority && i.team == job.team && i.guaranteed == job.guaranteed &&
         (i.image.empty() || (warm_only && i.image == s.image)) && want.as_much_as(i.want))
       return false;
   if (preempt_on_best_machine(job, warm_only, zone)) return true;
-  // A failure of a job that is restricted by the zones of its own tasks says nothing about other
-  // jobs.
+  // If the zones of a job's own tasks restrict it, its failure doesn't imply that other jobs fail.
   if (!s.spread && !s.one_zone)
     no_preemption_for_.push_back(
         {want, s.priority, job.team, job.guaranteed, warm_only ? s.image : std::string()});
@@ -132,7 +137,8 @@
     if (!index) return false;
     best = preemption_rankings_.machines()[*index];
     eviction = preemption_plan_on(*best, job);
-    // What may be preempted also depends on what teams use.
+    // The machine's rating may be outdated although the machine hasn't changed: which tasks may be
+    // preempted also depends on the teams' usage.
     if (!eviction) ranking.update(*index);
   }
   reserve(*best, job.spec().need);
@@ -144,8 +150,8 @@
   return true;
 }
 
-// The tasks to preempt on a machine to make room for one more task of the job; empty if that can't
-// be done there.
+// Returns the tasks to preempt on a machine to make room for one more task of the job; empty if
+// preemption can't make enough room there.
 std::optional<Controller::PreemptionPlan> Controller::preemption_plan_on(Machine& m,
                                                                          const Job& job) const {
   const JobSpec& spec = job.spec();
@@ -176,8 +182,11 @@
   return eviction;
 }
 
-// The least important first; of arrays the task that ran shortest, as that work is lost; of
-// replicas the one that ran longest, as a start that is undone at once didn't count.
+// Orders the candidates for preemption. The lowest priority comes first, and within a priority
+// array and gang tasks come before replicas. Of array and gang tasks, the one that has run for the
+// shortest time comes first, because its work is lost. Of replicas, the one that has run for the
+// longest time comes first, because the start of a replica that is stopped soon afterwards doesn't
+// count.
 bool Controller::preempted_before(const TaskAttempt* a, const TaskAttempt* b) {
   const JobSpec& first = a->job->spec();
   const JobSpec& second = b->job->spec();
@@ -187,8 +196,9 @@
   return array ? a->running_since > b->running_since : a->running_since < b->running_since;
 }
 
-// A replica costs its service a moment; an array task loses what it hasn't saved. A gang is stopped
-// as a whole.
+// The relative cost of preempting a task. The loss of a replica affects its service only briefly;
+// an array or gang task loses the progress that it hasn't saved. A gang is stopped as a whole, so
+// all of its placed tasks count.
 double Controller::preemption_cost(const TaskAttempt& p) const {
   constexpr double kReplica = 2, kSaved = 2, kUnsaved = 1, kAllWorkLost = 3;
   const JobSpec& spec = p.job->spec();
@@ -199,26 +209,28 @@
   return tasks * (kUnsaved + kAllWorkLost * std::min(1.0, ran_s / std::max(1.0, spec.estimate_s)));
 }
 
-// A replica that can be stopped here to run elsewhere.
+// True if the attempt is a replica that may be stopped to run on another machine.
 bool Controller::migratable(const TaskAttempt& p) const {
   return p.held && p.job != nullptr && p.job->active() && p.job->spec().kind == JobKind::Service &&
          p.state == AttemptState::Running && !p.stop && !p.migrating &&
          clock_.now - p.running_since > kCountedStart;
 }
 
+// Begins the migration of a replica; migration_tick stops it later.
 void Controller::migrate_replica(TaskAttempt& p, Machine& from, const Machine& to) {
   p.migrating = true;
   machine_changed(from);
-  // Its room is reserved: a replica that lost it to another once fetched its image for half a
-  // minute.
+  // The room on the target machine is reserved until the replica starts or the migration times out.
+  // A replica that loses it to another task may have to fetch its image elsewhere, which takes
+  // about half a minute.
   migrations_[task_name(p.key)] = {from.name, to.name,  p.need, clock_.now + worker_lease(),
                                    p.key,     p.attempt};
 }
 
-// Migrating replicas are stopped just before the target machine's next heartbeat is due, as the
-// start is sent with its response: they are down for a fraction of a heartbeat interval, not for
-// more than one. Only the stop is sent directly; a direct start would have to be waited for,
-// perhaps for minutes.
+// Stops migrating replicas shortly before the next heartbeat of their target machine is due. The
+// start is sent in the response to that heartbeat, so a replica is down for a fraction of a
+// heartbeat interval instead of more than one. Only the stop is sent directly: the outcome of a
+// direct start would have to be awaited, possibly for minutes.
 void Controller::migration_tick() {
   const Time soonest = heartbeat_interval() * 3 / 4;
   for (auto it = migrations_.begin(); it != migrations_.end();) {
@@ -240,9 +252,10 @@
   }
 }
 
-// Lets a task start on a machine that holds its image but is full of equally important work, if
-// some of that work can continue at once on another machine that holds its own image: a migration
-// takes a second or two, a fetch half a minute.
+// Makes room for a task on a machine that holds its image but is full of tasks that are as
+// important, by migrating replicas from there to other machines that hold the replicas' images. A
+// migration takes a second or two, while fetching an image takes half a minute. Returns false if no
+// machine can provide the room.
 bool Controller::migrate_for(const Job& job) {
   const JobSpec& s = job.spec();
   const ResourceRequest want = resource_request_of(s);
@@ -274,8 +287,8 @@
   return true;
 }
 
-// The replicas that would have to migrate for one more task of the job to fit on a machine; empty
-// if that can't be done with few.
+// Returns the migrations that make room for one more task of the job on a machine; empty if
+// kMovesForAStart migrations are not enough or there are no target machines for them.
 std::optional<std::vector<Controller::PlannedMigration>> Controller::plan_migrations(
     Machine& m, const Job& job) {
   const Resources& need = job.spec().need;
@@ -293,7 +306,8 @@
   return plan;
 }
 
-// Images don't change within a scheduling pass, nor within an autoscaler run.
+// Builds the index of image holders at the first use in a scheduling pass or autoscaler run, within
+// which the cached images don't change.
 const Controller::ImageHolders& Controller::image_holders() {
   if (!image_holders_.empty()) return image_holders_;
   for (auto& [name, m] : tables_.machines) {
@@ -303,8 +317,8 @@
   return image_holders_;
 }
 
-// A machine that holds the image of a running replica and has room for it, beside what is reserved
-// and what the plan so far sends there.
+// Returns a machine to which a running replica can migrate, or null: one that holds its image and
+// has room for it in addition to the room in `promised` and the migrations of the plan so far.
 Machine* Controller::warm_room(const TaskAttempt& p, const Machine& from,
                                const Reservations& promised,
                                const std::vector<PlannedMigration>& plan) {
@@ -314,7 +328,7 @@
   for (Machine* m : holders->second) {
     ++examined_;
     if (m == &from || m->spot != from.spot || !open(*m)) continue;
-    // A migration within the zone leaves the job's zone constraints as they are.
+    // A migration within a zone can't violate the job's zone constraints.
     if (m->zone == from.zone ? !tables_.type_allowed(s, m->type) : !tables_.allowed(*p.job, *m))
       continue;
     Resources room = room_beside(promised, *m);
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -1,6 +1,6 @@
-// Gangs: unit tests of the state machine and of the distribution of tasks, and scenarios of the
-// simulated region in which a gang is lost, preempted, adopted after a failover or cancelled in
-// each of its phases.
+// Tests of gangs: unit tests of the state machine and of the distribution of tasks, and scenarios
+// in the simulated region in which a gang loses a machine, is preempted, is adopted after a
+// failover or is cancelled in each of its phases.
 #include "controller/gang.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   EXPECT_EQ(gang.decide(whole(4), 10), GangDecision::Wait);
   EXPECT_EQ(gang.phase(), GangPhase::Gathering);
   view = whole(4);
-  view.running = 1;  // the other heartbeats come later
+  view.running = 1;  // the heartbeats that report the other tasks arrive later
   EXPECT_EQ(gang.decide(view, 20), GangDecision::Wait);
   EXPECT_EQ(gang.phase(), GangPhase::Running);
 }
@@ -134,14 +134,15 @@
     region.run_until(1'000);
     submit_mixed_jobs(region, 100, 8, seed);
     region.run_until(45'000);
-    // Two that need several machines, one of them in one zone, and one that fits on a machine.
+    // Two gangs need several machines, the first of them within one zone; the third fits on a
+    // single machine.
     JobSpec together = gang("job-1", 4, 6, 12);
     together.one_zone = true;
     region.submit(together);
     region.submit(gang("job-2", 5, 6, 15));
     region.submit(gang("job-3", 4, 2, 10));
     region.run_until(region.now() + 50);
-    // From now on their users poll closely, and cancel some jobs as these end.
+    // From now on, users query jobs within milliseconds of a change and cancel some as they end.
     region.poll_closely(plan.length);
     scene.play(region, seed);
     region.run_until(region.now() + 60'000);
@@ -151,7 +152,8 @@
   }
 }
 
-/// Runs the region until a task of the job is on a machine, and returns which.
+/// Runs the region until a task of the job is on a machine, for up to a minute, and returns the
+/// name of the machine; empty if no task was placed.
 std::string wait_for_task(SimulatedRegion& region, const std::string& job) {
   for (const Time until = region.now() + 60'000; region.now() < until;) {
     const std::vector<std::string> machines = region.machines_of(job);
@@ -161,6 +163,7 @@
   return {};
 }
 
+/// Runs the region until the gang has started, for up to a minute.
 void wait_for_start(SimulatedRegion& region, const std::string& job) {
   for (const Time until = region.now() + 60'000;
        region.now() < until && region.gang_starts(job) == 0;)
@@ -168,7 +171,7 @@
 }
 
 const Scenario kScenes[] = {
-    {"UndisturbedTheyAreDone",
+    {"AllCompleteWithoutFaults",
      [](SimulatedRegion& w, std::uint64_t) {
        wait_for_start(w, "job-1");
        EXPECT_EQ(w.gang_starts("job-1"), 1U);
@@ -199,7 +202,7 @@
        if (seed % 2 == 0) wait_for_start(w, "job-1");
        cut_off(w, wait_for_task(w, "job-1"), 25'000, seed % 3 == 0);
      }},
-    {"OneMachineGetsANotice",
+    {"OneMachineGetsASpotNotice",
      [](SimulatedRegion& w, std::uint64_t seed) {
        const std::string job = seed % 2 == 0 ? "job-1" : "job-2";
        wait_for_start(w, job);
@@ -257,7 +260,7 @@
        w.on_completed = nullptr;
        EXPECT_TRUE(cut);
      }},
-    {"ZonesArePartedWhileGangsRun",
+    {"ZonesArePartitionedWhileGangsRun",
      [](SimulatedRegion& w, std::uint64_t seed) {
        if (seed % 2 == 0) wait_for_start(w, "job-2");
        w.cut_zone("za", 15'000, seed % 3 == 0);
@@ -277,7 +280,7 @@
        w.run_until(w.now() + 400);
        w.cancel(other);
      }},
-    {"ReportsComeLateWhileGangsStartAgain",
+    {"HeartbeatsAreDelayedWhileGangsRestart",
      [](SimulatedRegion& w, std::uint64_t) {
        w.delay_heartbeats(0.4, 40'000);
        w.keep_heartbeats_for_next_leader(0.4, 20'000);
@@ -287,7 +290,7 @@
        const std::string machine = wait_for_task(w, "job-2");
        if (!machine.empty()) w.kill_machine(machine);
      }},
-    {"MoreImportantWorkTakesTheirRoom", [](SimulatedRegion& w, std::uint64_t) {
+    {"HigherPriorityJobsPreemptGangs", [](SimulatedRegion& w, std::uint64_t) {
        wait_for_start(w, "job-2");
        for (std::size_t n = 50; n < 58; ++n) {
          JobSpec s = service(job_id(n), 2);
@@ -298,12 +301,13 @@
 
 INSTANTIATE_TEST_SUITE_P(Scenes, GangScene, ::testing::ValuesIn(kScenes), scenario_name);
 
-// A stop with a grace period keeps the progress: the next attempt continues from there.
+// A spot notice on one machine stops the whole gang with a grace period, in which all tasks save
+// their progress, so that the next attempt can continue from it.
 TEST(GangStops, ANoticeOnOneMachineSavesTheProgressOfAll) {
   SimulatedRegion region(quiet(3));
   region.run_until(1'000);
   JobSpec spec = gang("job-1", 5, 6, 60);
-  spec.checkpoint_s = 1'000;  // never by itself
+  spec.checkpoint_s = 1'000;  // so long that the tasks save only when they are stopped
   region.submit(spec);
   wait_for_start(region, "job-1");
   region.run_until(region.now() + 10'000);
@@ -313,13 +317,14 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// A gang that needs exactly its team's limit runs, and one that needs more is rejected.
+// A gang that needs exactly its team's limit runs, and one that needs more is rejected with status
+// 422.
 TEST(GangLimits, ATeamExactlyAtItsLimit) {
   SimulatedRegion region(quiet(4));
   region.run_until(1'000);
   JobSpec spec = gang("job-1", 6, 2, 10);
   spec.team = "blue";
-  spec.need.gpus = 2;  // 12 in all, as the team may use
+  spec.need.gpus = 2;  // 12 for the whole gang, which is the team's limit
   region.submit(spec);
   JobSpec single = array("job-2", 1, 5);
   single.team = "blue";
@@ -336,7 +341,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// All at the same time, and at most half of them in a zone: impossible in one zone.
+// The tasks of a spread gang run at the same time with at most half of them in any zone, which is
+// impossible if the job is restricted to one zone. Such a gang must be rejected at submission,
+// because it would wait forever. A gang of a single task is exempt.
 TEST(GangLimits, AGangThatCanNeverRunIsRefused) {
   SimulatedRegion region(quiet(5));
   region.run_until(3'000);
@@ -362,7 +369,7 @@
   EXPECT_LT(status_of(spec), 300);
 }
 
-/// A leader after a failover, with a gang of two that runs on two machines.
+/// A leader after a failover whose checkpoint has a started gang of two tasks and three machines.
 std::unique_ptr<ControllerDriver> with_gang_of_two() {
   auto driver = std::make_unique<ControllerDriver>(settings_without_peers());
   JobRecord record;
@@ -382,7 +389,8 @@
   return {{"job-1", index}, attempt, state, cause, false};
 }
 
-// A machine still reports how an older attempt ended: that says nothing of the present one.
+// A machine may report the exit of an older attempt after a failover. This must not stop the
+// current attempt, which runs on other machines.
 TEST(GangFailover, AnExitOfAnOlderAttemptDoesNotEndThePresentOne) {
   const auto driver = with_gang_of_two();
   const auto running = [&driver](const char* machine, std::uint64_t seq, std::uint32_t index) {
@@ -396,7 +404,8 @@
   EXPECT_EQ(running("m-2", 2, 1).find("kill"), std::string::npos);
 }
 
-// One task is done, and the other's machine says that the first is gone: both are done.
+// The tasks of a gang complete together. If one is reported as done and the other only as ended
+// because its peer was gone, both are done, and no task may be started again.
 TEST(GangFailover, OneTaskThatIsDoneSaysItOfAll) {
   const auto driver = with_gang_of_two();
   driver->heartbeat(heartbeat_of("m-1", 1, {member(0, 2, RunState::Running)}));
@@ -411,14 +420,14 @@
   EXPECT_EQ(driver->heartbeat(heartbeat_of("m-3", 2, {})).find("start"), std::string::npos);
 }
 
-// A gang that needs whole machines doesn't wait for as long as single tasks arrive that take any
-// room that is left.
+// Single tasks that keep arriving take each part of a machine as it becomes free. A gang that needs
+// whole machines must start nevertheless.
 TEST(GangRoom, AGangDoesNotStarveBehindSingleTasks) {
   SimulationPlan plan = quiet(6);
   plan.length = 600'000;
   SimulatedRegion region(plan);
   region.run_until(1'000);
-  // A little more than the machines can run.
+  // Slightly more tasks than the machines can run.
   constexpr std::size_t kFirst = 10, kLast = 150, kGangAfter = 60;
   for (std::size_t n = kFirst; n < kLast; ++n) {
     JobSpec single = array(job_id(n), 8, 8);
@@ -438,7 +447,7 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Machines for a gang that has to be in one zone are launched in that zone alone.
+// All machines for a gang that has to be in one zone are launched in the same zone.
 TEST(GangRoom, MachinesAreLaunchedInTheGangsZone) {
   SimulatedRegion region(quiet(7));
   region.run_until(1'000);
@@ -458,8 +467,8 @@
   EXPECT_LE(most, 5U);
 }
 
-// Gangs that need most of a zone each, among single tasks that arrive all the time: none starves,
-// and none holds room that another waits for.
+// Gangs that each need most of a zone compete with single tasks that keep arriving. No job may
+// starve, and no gang may hold room for which another waits.
 TEST(GangRoom, SwarmsOfGangsAndSingleTasksAllGetOn) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SimulationPlan plan = quiet(seed);
--- a/tests/machine_ranking_test.cpp
+++ b/tests/machine_ranking_test.cpp
@@ -1,4 +1,5 @@
-// Property tests: an incrementally updated ranking gives what a scan of all machines would.
+// Tests of machine rankings, among them a property test that an incrementally updated ranking
+// chooses the same machine as a scan of all machines.
 #include "controller/machine_ranking.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
 
 using Ranking = MachineRanking<int>;
 
-/// Machines with a score for the kind of job, and one job's penalties on some of them.
+/// Machines with their ratings for one kind of job, and the penalties and closed zones of one job.
 struct Fleet {
   std::vector<MachineRating<int>> ratings;
   std::vector<std::string> zones;
@@ -51,7 +52,7 @@
   return fleet;
 }
 
-/// Another job of the kind: its penalties and zones differ from those of the one before.
+/// Replaces the penalties and closed zones by those of another job of the same kind.
 void next_job(Fleet& fleet) {
   for (int& penalty : fleet.own_penalties) penalty = *rc::gen::inRange(0, 4) / 2;
   fleet.closed_zones.clear();
@@ -90,8 +91,8 @@
   bool operator==(const Kind&) const = default;
 };
 
-// Only so many kinds of a pass are kept; one that is used again later is ranked again by the
-// current state.
+// The number of rankings is limited. A dropped ranking that is needed again must be rebuilt from
+// the machines' current state, and a kept one must be updated only for machines that have changed.
 TEST(MachineRanking, KindsBeyondTheMostAreRankedAgain) {
   std::vector<Machine> machines(3);
   RankingsByKind<Kind, double> rankings(&Machine::open_index);
@@ -113,10 +114,10 @@
   machines[0].used.gpus = 1;
   changes.push_back(machines.data());
   EXPECT_EQ(best(1), 1U);
-  EXPECT_EQ(rated, 7U) << "only what has changed is rated again";
+  EXPECT_EQ(rated, 7U) << "only the changed machine is rated again";
   EXPECT_EQ(best(3), 1U);
   EXPECT_EQ(best(1), 1U);
-  EXPECT_EQ(rated, 13U) << "the first kind was given up for the third";
+  EXPECT_EQ(rated, 13U) << "the ranking of the first kind was dropped for the third";
 }
 
 }  // namespace
