--- a/src/controller/gang.hpp
+++ b/src/controller/gang.hpp
@@ -29,7 +29,7 @@
   std::uint32_t running = 0;   // placed tasks reported as running or saving
   std::uint32_t stopping = 0;  // placed tasks that are to be stopped
   bool one_attempt = true;     // all placed tasks have the same attempt number
-  bool overdue = false;        // a start is unsent because its machine's heartbeat is overdue
+  bool start_overdue = false;  // a start is unsent because its machine's heartbeat is overdue
 };
 
 /// The action that the caller has to take for a gang.
@@ -73,14 +73,14 @@
 struct GangZones {
   bool one_zone = false;  // all tasks have to be in the same zone
   /// The number of additional tasks that a zone may take. A zone without an entry is unlimited.
-  std::map<std::string, std::uint32_t> room;
+  std::map<std::string, std::uint32_t> remaining_tasks;
 };
 
 /// The distribution of a gang's tasks.
 struct GangPlan {
-  std::vector<std::uint32_t> tasks;  // number of tasks for each candidate
-  std::uint32_t missing = 0;         // number of tasks that find no room
-  std::string zone;                  // the chosen zone, if all tasks have to be in one
+  std::vector<std::uint32_t> tasks_per_candidate;  // number of tasks for each candidate
+  std::uint32_t missing = 0;                       // number of tasks that find no room
+  std::string zone;  // the chosen zone, if all tasks have to be in one
 };
 
 /// Distributes `tasks` tasks over the candidates: to a single machine if one has room for all, so
--- a/src/controller/gang_scheduling.cpp
+++ b/src/controller/gang_scheduling.cpp
@@ -11,15 +11,17 @@
 /// Heartbeats are sent one interval apart, plus or minus this fraction of it (protocol, "Workers").
 constexpr double kHeartbeatJitter = 0.25;
 /// A machine's heartbeat is overdue if the last one is older than this many intervals.
-constexpr double kOverdueHeartbeats = 1.5;
+constexpr double kOverdueHeartbeatIntervals = 1.5;
 /// Penalties in seconds that are added to a candidate's delay: if the job failed on the machine, if
 /// the job may use spot instances and the machine is on-demand, and for each GPU that is left
 /// without CPUs.
-constexpr double kFailedThere = 60, kOrdinaryForSpot = 2, kStrandedGpu = 0.1;
+constexpr double kFailedMachinePenaltyS = 60, kOnDemandPenaltyS = 2, kStrandedGpuPenaltyS = 0.1;
 
-/// The number of tasks, at most `most`, that fit into the room.
-std::uint32_t slots_in(const Resources& room, const Resources& each, std::uint32_t most) {
-  return static_cast<std::uint32_t>(std::floor(std::min<double>(most, task_slots(room, each))));
+/// The number of tasks, at most `max_slots`, that fit into the room.
+std::uint32_t capped_task_slots(const Resources& room, const Resources& each,
+                                std::uint32_t max_slots) {
+  return static_cast<std::uint32_t>(
+      std::floor(std::min<double>(max_slots, task_slots(room, each))));
 }
 
 }  // namespace
@@ -36,34 +38,37 @@
   GangView view;
   view.tasks = job.spec().tasks;
   view.unknown = job.unknown;
-  std::optional<std::uint64_t> attempt;
+  std::optional<std::uint64_t> gang_attempt;
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i) {
-    const Machine* m = job.tasks[i].machine;
-    if (m == nullptr) continue;
-    for (const TaskAttempt& p : m->attempts) {
-      if (p.job != &job || p.key.index != i || !p.held) continue;
+    const Machine* machine = job.tasks[i].machine;
+    if (machine == nullptr) continue;
+    for (const TaskAttempt& attempt : machine->attempts) {
+      if (attempt.job != &job || attempt.key.index != i || !attempt.held) continue;
       ++view.placed;
-      view.unsent += p.state == AttemptState::Reserved ? 1 : 0;
-      view.running += p.state == AttemptState::Running || p.state == AttemptState::Saving ? 1 : 0;
-      view.stopping += p.stop ? 1 : 0;
-      view.one_attempt = view.one_attempt && attempt.value_or(p.attempt) == p.attempt;
-      view.overdue = view.overdue || (p.state == AttemptState::Reserved && start_overdue(*m));
-      attempt = p.attempt;
+      view.unsent += attempt.state == AttemptState::Reserved ? 1 : 0;
+      view.running +=
+          attempt.state == AttemptState::Running || attempt.state == AttemptState::Saving ? 1 : 0;
+      view.stopping += attempt.stop ? 1 : 0;
+      view.one_attempt =
+          view.one_attempt && gang_attempt.value_or(attempt.attempt) == attempt.attempt;
+      view.start_overdue = view.start_overdue ||
+                           (attempt.state == AttemptState::Reserved && start_overdue(*machine));
+      gang_attempt = attempt.attempt;
     }
   }
   return view;
 }
 
 // True if the machine's heartbeat, whose response would carry a start, is overdue.
-bool Controller::start_overdue(const Machine& m) const {
-  const auto most =
-      static_cast<Time>(static_cast<double>(heartbeat_interval()) * kOverdueHeartbeats);
-  return clock_.now - m.last_own_heartbeat > most;
+bool Controller::start_overdue(const Machine& machine) const {
+  const auto max_age =
+      static_cast<Time>(static_cast<double>(heartbeat_interval()) * kOverdueHeartbeatIntervals);
+  return clock_.now - machine.last_own_heartbeat > max_age;
 }
 
 // Reviews the gangs whose tasks have changed and those with starts that haven't been sent yet.
 void Controller::review_gangs() {
-  std::set<std::string> waiting;
+  std::set<std::string> with_unsent_starts;
   for (const std::string& id : std::exchange(gangs_to_review_, {})) {
     Job* job = tables_.job(id);
     if (job == nullptr || !job->active()) continue;
@@ -80,9 +85,9 @@
         scheduling_needed_ = true;
         break;
     }
-    if (view.unsent > 0) waiting.insert(id);
+    if (view.unsent > 0) with_unsent_starts.insert(id);
   }
-  gangs_to_review_.merge(waiting);
+  gangs_to_review_.merge(with_unsent_starts);
 }
 
 // Carries out the decision for a gang within a scheduling pass. Returns false if tasks still have
@@ -100,12 +105,12 @@
     case GangDecision::PlaceAll:
       return gang_due(job) && place_gang_tasks(job, attempt_number());
     case GangDecision::PlaceMissing: {
-      const auto placed = std::find_if(job.tasks.begin(), job.tasks.end(),
-                                       [](const Task& t) { return t.machine != nullptr; });
-      const auto index = static_cast<std::uint32_t>(placed - job.tasks.begin());
-      for (const TaskAttempt& p : placed->machine->attempts)
-        if (p.job == &job && p.key.index == index && p.held)
-          return gang_due(job) && place_gang_tasks(job, p.attempt);
+      const auto placed_task = std::find_if(job.tasks.begin(), job.tasks.end(),
+                                            [](const Task& t) { return t.machine != nullptr; });
+      const auto index = static_cast<std::uint32_t>(placed_task - job.tasks.begin());
+      for (const TaskAttempt& attempt : placed_task->machine->attempts)
+        if (attempt.job == &job && attempt.key.index == index && attempt.held)
+          return gang_due(job) && place_gang_tasks(job, attempt.attempt);
       return true;
     }
     default:
@@ -116,12 +121,13 @@
 // True if all queued tasks may be placed now: none has to wait before its retry, and no orphaned
 // attempt of the job is left.
 bool Controller::gang_due(const Job& job) {
-  const bool later = std::any_of(job.tasks.begin(), job.tasks.end(), [this](const Task& task) {
-    return task.state == TaskState::Queued && task.not_before > clock_.now;
-  });
-  const bool due = !later && job.orphans.empty();
-  scheduling_needed_ = scheduling_needed_ || !due;
-  return due;
+  const bool retry_pending =
+      std::any_of(job.tasks.begin(), job.tasks.end(), [this](const Task& task) {
+        return task.state == TaskState::Queued && task.not_before > clock_.now;
+      });
+  const bool is_due = !retry_pending && job.orphans.empty();
+  scheduling_needed_ = scheduling_needed_ || !is_due;
+  return is_due;
 }
 
 // Places all missing tasks under the given attempt number, or none. Returns false if they found no
@@ -132,7 +138,7 @@
   const std::vector<Machine*> machines = gang_machines(job);
   std::vector<GangCandidate> candidates;
   candidates.reserve(machines.size());
-  for (const Machine* m : machines) candidates.push_back(gang_candidate(job, *m));
+  for (const Machine* machine : machines) candidates.push_back(gang_candidate(job, *machine));
   const GangPlan plan = plan_gang(candidates, wanted, gang_zones(job));
   if (plan.missing > 0) {
     make_room_for_gang(job, plan, machines);
@@ -140,7 +146,7 @@
   }
   std::uint32_t index = 0;
   for (std::size_t i = 0; i < machines.size(); ++i)
-    for (std::uint32_t n = 0; n < plan.tasks[i]; ++n) {
+    for (std::uint32_t n = 0; n < plan.tasks_per_candidate[i]; ++n) {
       while (job.tasks[index].state != TaskState::Queued) ++index;
       bind(job, index, *machines[i], attempt);
     }
@@ -151,49 +157,49 @@
 // The machines with room for at least one task of the gang.
 std::vector<Machine*> Controller::gang_machines(const Job& job) const {
   std::vector<Machine*> machines;
-  for (Machine* m : rankings_.machines())
-    if (open(*m) && tables_.allowed(job, *m) &&
-        job.spec().need.fits_in(room_beside(reservations_, *m)))
-      machines.push_back(m);
+  for (Machine* machine : rankings_.machines())
+    if (open(*machine) && tables_.allowed(job, *machine) &&
+        job.spec().need.fits_in(room_beside(reservations_, *machine)))
+      machines.push_back(machine);
   return machines;
 }
 
 // Describes a machine as a candidate for the gang's missing tasks. For a gang that needs no GPUs,
 // the machine is penalized for GPUs that would be left without the CPUs to use them.
-GangCandidate Controller::gang_candidate(const Job& job, const Machine& m) const {
+GangCandidate Controller::gang_candidate(const Job& job, const Machine& machine) const {
   const JobSpec& spec = job.spec();
-  const Resources room = room_beside(reservations_, m);
-  GangCandidate candidate{m.zone, slots_in(room, spec.need, job.queued), 0};
-  candidate.delay_s = heartbeat_due_s(m) + fetch_s(job, m);
-  if (job.error_machines.contains(m.name)) candidate.delay_s += kFailedThere;
-  if (spec.spot && !m.spot) candidate.delay_s += kOrdinaryForSpot;
-  if (m.size.cpus > 0 && spec.need.gpus <= 0) {
+  const Resources room = room_beside(reservations_, machine);
+  GangCandidate candidate{machine.zone, capped_task_slots(room, spec.need, job.queued), 0};
+  candidate.delay_s = heartbeat_due_s(machine) + fetch_s(job, machine);
+  if (job.error_machines.contains(machine.name)) candidate.delay_s += kFailedMachinePenaltyS;
+  if (spec.spot && !machine.spot) candidate.delay_s += kOnDemandPenaltyS;
+  if (machine.size.cpus > 0 && spec.need.gpus <= 0) {
     const double cpus_left = room.cpus - spec.need.cpus * candidate.slots;
-    const double usable_gpus = cpus_left * m.size.gpus / m.size.cpus;
-    candidate.delay_s += kStrandedGpu * std::max(0.0, room.gpus - usable_gpus);
+    const double usable_gpus = cpus_left * machine.size.gpus / machine.size.cpus;
+    candidate.delay_s += kStrandedGpuPenaltyS * std::max(0.0, room.gpus - usable_gpus);
   }
   return candidate;
 }
 
 // The expected time in seconds until the machine's next heartbeat, whose response can carry a
 // start.
-double Controller::heartbeat_due_s(const Machine& m) const {
-  if (&m == heartbeat_sender_) return 0;
+double Controller::heartbeat_due_s(const Machine& machine) const {
+  if (&machine == heartbeat_sender_) return 0;
   const double interval = settings_.workers.heartbeat_interval_s;
-  const double age = static_cast<double>(clock_.now - m.last_own_heartbeat) / 1000.0;
+  const double age = static_cast<double>(clock_.now - machine.last_own_heartbeat) / 1000.0;
   if (age < interval * (1 - kHeartbeatJitter)) return interval - age;
   if (age < interval * (1 + kHeartbeatJitter)) return (interval * (1 + kHeartbeatJitter) - age) / 2;
   return 2 * interval;
 }
 
 // The estimated time in seconds until the machine holds the job's image.
-double Controller::fetch_s(const Job& job, const Machine& m) const {
+double Controller::fetch_s(const Job& job, const Machine& machine) const {
   const JobSpec& spec = job.spec();
-  const MachineType* type = tables_.type(m.type);
-  if (m.has_image(spec.image) || type == nullptr || type->fetch_gb_per_s <= 0) return 0;
-  const double alone = spec.image_gb / type->fetch_gb_per_s;
-  if (m.fetching(spec.image)) return alone / 2;
-  return alone * static_cast<double>(1 + m.fetches());
+  const MachineType* type = tables_.type(machine.type);
+  if (machine.has_image(spec.image) || type == nullptr || type->fetch_gb_per_s <= 0) return 0;
+  const double fetch_alone_s = spec.image_gb / type->fetch_gb_per_s;
+  if (machine.fetching(spec.image)) return fetch_alone_s / 2;
+  return fetch_alone_s * static_cast<double>(1 + machine.fetches());
 }
 
 // The zone constraints for the gang's missing tasks.
@@ -203,8 +209,8 @@
   if (!job.spec().spread) return zones;
   for (const std::string& zone : settings_.zones) {
     const auto it = job.per_zone.find(zone);
-    const std::uint32_t there = it == job.per_zone.end() ? 0 : it->second;
-    zones.room[zone] = job.zone_cap() - std::min(job.zone_cap(), there);
+    const std::uint32_t tasks_there = it == job.per_zone.end() ? 0 : it->second;
+    zones.remaining_tasks[zone] = job.zone_cap() - std::min(job.zone_cap(), tasks_there);
   }
   return zones;
 }
@@ -222,19 +228,19 @@
                                     const std::vector<Machine*>& machines) {
   const std::string zone = plan.zone.empty() ? job.spec().zone : plan.zone;
   record_unmet_demand(job, *job.team, plan.missing, zone_to_scale_out_in(job, zone));
-  std::uint32_t made = 0;
+  std::uint32_t preempted = 0;
   if (job.placed > 0) return;
   // The room found is reserved first, so that preemption makes room for the missing tasks.
-  std::vector<std::pair<Machine*, Resources>> kept;
+  std::vector<std::pair<Machine*, Resources>> reserved;
   for (std::size_t i = 0; i < machines.size(); ++i)
-    if (plan.tasks[i] > 0) {
-      kept.emplace_back(machines[i], job.spec().need.times(plan.tasks[i]));
-      reserve(*machines[i], kept.back().second);
+    if (plan.tasks_per_candidate[i] > 0) {
+      reserved.emplace_back(machines[i], job.spec().need.times(plan.tasks_per_candidate[i]));
+      reserve(*machines[i], reserved.back().second);
     }
-  while (made < plan.missing && preempt_for(job, false, zone)) ++made;
+  while (preempted < plan.missing && preempt_for(job, false, zone)) ++preempted;
   const bool starved = clock_.now - job.accepted > starved_after();
-  if (made > 0 || (starved && hold_machines(job, plan.missing, zone))) return;
-  for (const auto& [m, room] : kept) unreserve(*m, room);
+  if (preempted > 0 || (starved && hold_machines(job, plan.missing, zone))) return;
+  for (const auto& [machine, room] : reserved) unreserve(*machine, room);
 }
 
 // The time (ms) after which a waiting gang counts as starved. By then, an instance launched for it
@@ -257,15 +263,18 @@
     std::uint32_t slots;
   };
   std::vector<Candidate> candidates;
-  for (auto& [name, m] : tables_.machines) {
+  for (auto& [name, machine] : tables_.machines) {
     ++examined_;
-    if (!open(*m) || !tables_.allowed(job, *m) || (!zone.empty() && m->zone != zone)) continue;
-    const Resources room = room_beside(reservations_, *m);
-    Resources later = room;
-    for (const TaskAttempt& p : m->attempts)
-      if (p.held && p.job != nullptr && p.job->spec().kind != JobKind::Service) later += p.need;
-    const std::uint32_t slots = slots_in(later, job.spec().need, missing);
-    if (slots > 0) candidates.push_back({m.get(), room, slots});
+    if (!open(*machine) || !tables_.allowed(job, *machine) ||
+        (!zone.empty() && machine->zone != zone))
+      continue;
+    const Resources room = room_beside(reservations_, *machine);
+    Resources future_room = room;
+    for (const TaskAttempt& attempt : machine->attempts)
+      if (attempt.held && attempt.job != nullptr && attempt.job->spec().kind != JobKind::Service)
+        future_room += attempt.need;
+    const std::uint32_t slots = capped_task_slots(future_room, job.spec().need, missing);
+    if (slots > 0) candidates.push_back({machine.get(), room, slots});
   }
   std::stable_sort(candidates.begin(), candidates.end(), [](const auto& a, const auto& b) {
     return std::pair(a.room.gpus, a.room.cpus) > std::pair(b.room.gpus, b.room.cpus);
@@ -286,11 +295,11 @@
 // now, returns another zone in which one can be launched.
 std::string Controller::zone_to_scale_out_in(const Job& job, const std::string& best) const {
   if (!job.spec().one_zone || !job.spec().zone.empty()) return best;
-  ResourceRequest want = resource_request_of(job.spec());
+  ResourceRequest request = resource_request_of(job.spec());
   const auto can_scale_out = [&](const std::string& zone) {
-    want.zone = zone;
-    return cheapest_type(want, false) != nullptr ||
-           (want.spot && cheapest_type(want, true) != nullptr);
+    request.zone = zone;
+    return cheapest_type(request, false) != nullptr ||
+           (request.spot && cheapest_type(request, true) != nullptr);
   };
   if (!best.empty() && can_scale_out(best)) return best;
   for (const std::string& zone : settings_.zones)
@@ -298,11 +307,11 @@
   return best;
 }
 
-void Controller::stop_with_gang(TaskAttempt& p, double grace_s) {
-  if (p.job != nullptr && is_gang(*p.job))
-    stop_gang(*p.job, grace_s);
+void Controller::stop_with_gang(TaskAttempt& attempt, double grace_s) {
+  if (attempt.job != nullptr && is_gang(*attempt.job))
+    stop_gang(*attempt.job, grace_s);
   else
-    stop_task(p, grace_s);
+    stop_task(attempt, grace_s);
 }
 
 // Stops all tasks of a gang in the same step. The stops are sent directly to the machines, and
@@ -310,8 +319,8 @@
 void Controller::stop_gang(Job& job, double grace_s) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
-    for (TaskAttempt& p : task.machine->attempts)
-      if (p.job == &job && p.held && !p.stop) stop_task(p, grace_s);
+    for (TaskAttempt& attempt : task.machine->attempts)
+      if (attempt.job == &job && attempt.held && !attempt.stop) stop_task(attempt, grace_s);
   }
   review_gang(job);
 }
--- a/src/controller/machine_ranking.hpp
+++ b/src/controller/machine_ranking.hpp
@@ -38,45 +38,45 @@
   using Rate = std::function<MachineRating<Score>(std::size_t index)>;
   using ZoneOf = std::function<const std::string&(std::size_t index)>;
   using ZoneOpen = std::function<bool(const std::string& zone)>;
-  /// Returns a job's own score of a machine. It must not be lower (better) than `of_kind`, the
+  /// Returns a job's own score of a machine. It must not be lower (better) than `kind_score`, the
   /// score for all jobs of the kind.
-  using OwnScore = std::function<Score(std::size_t index, const Score& of_kind)>;
+  using OwnScore = std::function<Score(std::size_t index, const Score& kind_score)>;
 
   MachineRanking(std::size_t machines, Rate rate, const ZoneOf& zone_of)
-      : rate_(std::move(rate)), ratings_(machines), heaps_of_(machines) {
+      : rate_(std::move(rate)), ratings_(machines), heap_of_machine_(machines) {
     for (std::size_t index = 0; index < machines; ++index) {
-      heaps_of_[index] = &heaps_[zone_of(index)];
+      heap_of_machine_[index] = &heaps_by_zone_[zone_of(index)];
       store(index, rate_(index));
     }
-    for (auto& [zone, heap] : heaps_) std::make_heap(heap.begin(), heap.end(), worse);
+    for (auto& [zone, heap] : heaps_by_zone_) std::make_heap(heap.begin(), heap.end(), worse);
   }
   MachineRanking(const MachineRanking&) = delete;
   MachineRanking& operator=(const MachineRanking&) = delete;
 
   /// Rates a machine again after it has changed.
   void update(std::size_t index) {
-    const std::optional<Score> before = ratings_[index].score;
-    roomy_ -= ratings_[index].has_room ? 1 : 0;
-    const MachineRating<Score> now = rate_(index);
-    if (now.score == before) {
-      ratings_[index] = now;
-      roomy_ += now.has_room ? 1 : 0;
+    const std::optional<Score> old_score = ratings_[index].score;
+    machines_with_room_ -= ratings_[index].has_room ? 1 : 0;
+    const MachineRating<Score> rating = rate_(index);
+    if (rating.score == old_score) {
+      ratings_[index] = rating;
+      machines_with_room_ += rating.has_room ? 1 : 0;
       return;
     }
-    store(index, now);
-    Heap& heap = *heaps_of_[index];
-    if (now.score) std::push_heap(heap.begin(), heap.end(), worse);
+    store(index, rating);
+    Heap& heap = *heap_of_machine_[index];
+    if (rating.score) std::push_heap(heap.begin(), heap.end(), worse);
   }
 
   /// True if any machine has room for a task of this kind.
-  [[nodiscard]] bool any_room() const { return roomy_ > 0; }
+  [[nodiscard]] bool any_room() const { return machines_with_room_ > 0; }
 
   /// Returns the index of the machine with the best own score for a job, in the zones that are open
   /// to the job; empty if no machine can be chosen.
   std::optional<std::size_t> best(const ZoneOpen& zone_open, const OwnScore& own_score) {
     std::optional<Entry> best;
-    for (auto& [zone, heap] : heaps_)
-      if (zone_open(zone)) improve(best, heap, own_score);
+    for (auto& [zone, heap] : heaps_by_zone_)
+      if (zone_open(zone)) update_best(best, heap, own_score);
     if (!best) return {};
     return best->index;
   }
@@ -97,8 +97,8 @@
   /// Stores a rating and appends its entry; the caller restores the heap order.
   void store(std::size_t index, const MachineRating<Score>& rating) {
     ratings_[index] = rating;
-    roomy_ += rating.has_room ? 1 : 0;
-    if (rating.score) heaps_of_[index]->push_back({*rating.score, index});
+    machines_with_room_ += rating.has_room ? 1 : 0;
+    if (rating.score) heap_of_machine_[index]->push_back({*rating.score, index});
   }
 
   /// Removes entries from the front of the heap until the front one agrees with its machine's
@@ -114,18 +114,18 @@
 
   /// Replaces `best` if the heap has a better entry by the job's own score. Entries whose own score
   /// is worse than the score of their kind are removed during the search and put back afterwards.
-  void improve(std::optional<Entry>& best, Heap& heap, const OwnScore& own_score) {
-    std::vector<Entry> aside;
+  void update_best(std::optional<Entry>& best, Heap& heap, const OwnScore& own_score) {
+    std::vector<Entry> set_aside;
     for (drop_outdated(heap); !heap.empty(); drop_outdated(heap)) {
       const Entry top = heap.front();
       if (best && !(top < *best)) break;
-      const Entry own{own_score(top.index, top.score), top.index};
-      if (!best || own < *best) best = own;
-      if (!(top.score < own.score)) break;
-      aside.push_back(top);
+      const Entry own_entry{own_score(top.index, top.score), top.index};
+      if (!best || own_entry < *best) best = own_entry;
+      if (!(top.score < own_entry.score)) break;
+      set_aside.push_back(top);
       pop(heap);
     }
-    for (const Entry& entry : aside) {
+    for (const Entry& entry : set_aside) {
       heap.push_back(entry);
       std::push_heap(heap.begin(), heap.end(), worse);
     }
@@ -133,9 +133,9 @@
 
   Rate rate_;
   std::vector<MachineRating<Score>> ratings_;
-  std::map<std::string, Heap> heaps_;  // by zone
-  std::vector<Heap*> heaps_of_;        // by machine
-  std::size_t roomy_ = 0;
+  std::map<std::string, Heap> heaps_by_zone_;
+  std::vector<Heap*> heap_of_machine_;  // by machine index
+  std::size_t machines_with_room_ = 0;
 };
 
 /// The rankings of one scheduling pass, each created when the first job of its kind needs it. The
@@ -155,26 +155,26 @@
     machines_.clear();
   }
   /// Adds a machine to the pass. All machines are added before the first call of `get`.
-  void add(Machine& m) {
-    m.*index_of_ = machines_.size();
-    machines_.push_back(&m);
+  void add(Machine& machine) {
+    machine.*index_of_ = machines_.size();
+    machines_.push_back(&machine);
   }
   [[nodiscard]] const std::vector<Machine*>& machines() const { return machines_; }
 
   /// Returns the ranking for a kind, updated for all machines in `changes`, a list that only grows
-  /// during a pass. At most `most` rankings are kept, so the reference is valid until the next
-  /// call.
-  MachineRanking<Score>& get(const Kind& kind, std::size_t most,
+  /// during a pass. At most `max_rankings` rankings are kept, so the reference is valid until the
+  /// next call.
+  MachineRanking<Score>& get(const Kind& kind, std::size_t max_rankings,
                              const std::vector<Machine*>& changes, const Rate& rate) {
-    Entry& entry = find_or_make(kind, most, changes.size(), rate);
-    const Machine* last = nullptr;
+    Entry& entry = find_or_create(kind, max_rankings, changes.size(), rate);
+    const Machine* last_updated = nullptr;
     for (; entry.changes_seen < changes.size(); ++entry.changes_seen) {
-      const Machine* m = changes[entry.changes_seen];
+      const Machine* machine = changes[entry.changes_seen];
       // Consecutive changes are often to the same machine, as several tasks of a job are placed on
       // it; these need only one update.
-      const bool again = std::exchange(last, m) == m;
-      const std::optional<std::size_t> index = m->*index_of_;
-      if (index && !again) entry.ranking.update(*index);
+      const bool repeated = std::exchange(last_updated, machine) == machine;
+      const std::optional<std::size_t> index = machine->*index_of_;
+      if (index && !repeated) entry.ranking.update(*index);
     }
     return entry.ranking;
   }
@@ -186,18 +186,19 @@
     std::size_t changes_seen = 0;
   };
 
-  Entry& find_or_make(const Kind& kind, std::size_t most, std::size_t changes, const Rate& rate) {
+  Entry& find_or_create(const Kind& kind, std::size_t max_rankings, std::size_t changes_so_far,
+                        const Rate& rate) {
     const auto it = std::find_if(entries_.begin(), entries_.end(),
                                  [&](const auto& entry) { return entry->kind == kind; });
     if (it != entries_.end()) return **it;
     // If each job is of a different kind, the oldest ranking is the least likely to be used again.
-    if (entries_.size() >= most) entries_.erase(entries_.begin());
+    if (entries_.size() >= max_rankings) entries_.erase(entries_.begin());
     const auto rate_by_index = [this, rate](std::size_t index) { return rate(*machines_[index]); };
     const auto zone_of = [this](std::size_t index) -> const std::string& {
       return machines_[index]->zone;
     };
     entries_.push_back(std::unique_ptr<Entry>(
-        new Entry{kind, {machines_.size(), rate_by_index, zone_of}, changes}));
+        new Entry{kind, {machines_.size(), rate_by_index, zone_of}, changes_so_far}));
     return *entries_.back();
   }
 
--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -4,40 +4,41 @@
 
 namespace sailreel {
 namespace {
-/// Scheduling passes are at least 1/kPassesPerHeartbeat of a heartbeat interval apart, so that one
-/// pass serves all heartbeats of a burst.
-constexpr Time kPassesPerHeartbeat = 40;
+/// Scheduling passes are at least 1/kMaxPassesPerHeartbeatInterval of a heartbeat interval apart,
+/// so that one pass serves all heartbeats of a burst.
+constexpr Time kMaxPassesPerHeartbeatInterval = 40;
 /// Scheduling passes are also spaced, by up to a heartbeat interval, so that they examine on
 /// average at most this many jobs and machines per heartbeat. The cost of a heartbeat then doesn't
 /// grow with the number of waiting jobs.
-constexpr Time kLooksPerHeartbeat = 150;
+constexpr Time kMaxExaminedPerHeartbeat = 150;
 /// The fraction of a controller's memory limit that the rankings of a pass may use.
 constexpr double kRankingMemoryShare = 0.1;
 /// The estimated size of a ranking, in bytes per ranked machine.
-constexpr double kRankingBytes = 128;
+constexpr double kRankingBytesPerMachine = 128;
 /// This many rankings are kept even if they exceed the share of the memory.
-constexpr double kLeastRankings = 4;
+constexpr double kMinRankings = 4;
 }  // namespace
 
 // True if tasks can be started on the machine.
-bool Controller::usable(const Machine& m) const {
+bool Controller::usable(const Machine& machine) const {
   // Starts are sent only in the responses to a machine's own heartbeats. If a machine that answers
   // inquiries but reaches no controller itself were usable, waiting tasks would be placed on it
   // again and again without being started.
-  return m.heard_in_epoch && m.sized && !m.cordoned && !m.terminating && !m.silent &&
-         clock_.now >= m.quarantined_until && clock_.now - m.last_own_heartbeat <= silent_after();
+  return machine.heard_in_epoch && machine.sized && !machine.cordoned && !machine.terminating &&
+         !machine.silent && clock_.now >= machine.quarantined_until &&
+         clock_.now - machine.last_own_heartbeat <= silent_after();
 }
 
-Resources Controller::room_beside(const Reservations& promised, const Machine& m) {
-  Resources room = m.room();
-  if (const auto it = promised.find(&m); it != promised.end()) room -= it->second;
+Resources Controller::room_beside(const Reservations& reservations, const Machine& machine) {
+  Resources room = machine.room();
+  if (const auto it = reservations.find(&machine); it != reservations.end()) room -= it->second;
   return room;
 }
 
-Resources Controller::room_to_come(const Machine& m) const {
-  Resources room = room_beside(reservations_, m);
-  for (const TaskAttempt& p : m.attempts)
-    if (p.held && (p.stop || p.migrating)) room += p.need;
+Resources Controller::room_to_come(const Machine& machine) const {
+  Resources room = room_beside(reservations_, machine);
+  for (const TaskAttempt& attempt : machine.attempts)
+    if (attempt.held && (attempt.stop || attempt.migrating)) room += attempt.need;
   return room;
 }
 
@@ -48,47 +49,49 @@
 }
 
 // Reserves room on a machine for the rest of the pass.
-void Controller::reserve(Machine& m, const Resources& room) {
-  reservations_[&m] += room;
-  machine_changed(m);
+void Controller::reserve(Machine& machine, const Resources& room) {
+  reservations_[&machine] += room;
+  machine_changed(machine);
 }
 
-void Controller::unreserve(Machine& m, const Resources& room) {
-  reservations_[&m] -= room;
-  machine_changed(m);
+void Controller::unreserve(Machine& machine, const Resources& room) {
+  reservations_[&machine] -= room;
+  machine_changed(machine);
 }
 
 // True if the job is a gang whose tasks can never all run at the same time: a spread gang may have
 // at most half of its tasks in one zone, so it needs at least two zones.
-bool Controller::never_all_at_once(const JobSpec& s) const {
-  if (s.kind != JobKind::Gang || !s.spread || s.tasks < 2) return false;
-  return s.one_zone || !s.zone.empty() || settings_.zones.size() < 2;
+bool Controller::never_all_at_once(const JobSpec& spec) const {
+  if (spec.kind != JobKind::Gang || !spec.spread || spec.tasks < 2) return false;
+  return spec.one_zone || !spec.zone.empty() || settings_.zones.size() < 2;
 }
 
-std::optional<Infeasibility> Controller::infeasibility(const JobSpec& s) const {
+std::optional<Infeasibility> Controller::infeasibility(const JobSpec& spec) const {
   const TeamQuota* team = nullptr;
-  for (const TeamQuota& t : tables_.teams)
-    if (t.limits.name == s.team) team = &t;
+  for (const TeamQuota& quota : tables_.teams)
+    if (quota.limits.name == spec.team) team = &quota;
   if (team == nullptr) return Infeasibility::UnknownTeam;
-  const double n = s.kind == JobKind::Array ? 1 : s.tasks;
+  const double concurrent_tasks = spec.kind == JobKind::Array ? 1 : spec.tasks;
   constexpr double kSlack = 1e-6;
-  if ((team->limits.gpus_max > 0 && s.need.gpus * n > team->limits.gpus_max + kSlack) ||
-      (team->limits.cpus_max > 0 && s.need.cpus * n > team->limits.cpus_max + kSlack))
+  if ((team->limits.gpus_max > 0 &&
+       spec.need.gpus * concurrent_tasks > team->limits.gpus_max + kSlack) ||
+      (team->limits.cpus_max > 0 &&
+       spec.need.cpus * concurrent_tasks > team->limits.cpus_max + kSlack))
     return Infeasibility::AboveQuotaLimit;
-  if (never_all_at_once(s)) return Infeasibility::NeverAllAtOnce;
-  for (const MachineType& t : tables_.types) {
-    if (!tables_.type_allowed(s, t.name) || !s.need.fits_in(t.size)) continue;
-    if (s.zone.empty() || t.zones.empty() ||
-        std::find(t.zones.begin(), t.zones.end(), s.zone) != t.zones.end())
+  if (never_all_at_once(spec)) return Infeasibility::NeverAllAtOnce;
+  for (const MachineType& type : tables_.types) {
+    if (!tables_.type_allowed(spec, type.name) || !spec.need.fits_in(type.size)) continue;
+    if (spec.zone.empty() || type.zones.empty() ||
+        std::find(type.zones.begin(), type.zones.end(), spec.zone) != type.zones.end())
       return {};
   }
   return Infeasibility::NoMachineType;
 }
 
-bool Controller::ResourceRequest::as_much_as(const ResourceRequest& o) const {
-  return each.cpus >= o.each.cpus && each.gpus >= o.each.gpus &&
-         each.memory_gb >= o.each.memory_gb && spot == o.spot && zone == o.zone &&
-         any_type == o.any_type && types == o.types;
+bool Controller::ResourceRequest::as_much_as(const ResourceRequest& other) const {
+  return each.cpus >= other.each.cpus && each.gpus >= other.each.gpus &&
+         each.memory_gb >= other.each.memory_gb && spot == other.spot && zone == other.zone &&
+         any_type == other.any_type && types == other.types;
 }
 
 // Marks each job as guaranteed if it fits into its team's guaranteed quota together with the team's
@@ -99,12 +102,12 @@
   for (auto& [order, job] : tables_.in_order) {
     ++examined_;
     if (!job->active()) continue;
-    const JobSpec& s = job->spec();
+    const JobSpec& spec = job->spec();
     job->guaranteed = false;
     if (job->team != nullptr) {
       Resources& total = totals[static_cast<std::size_t>(job->team - tables_.teams.data())];
-      const double left = static_cast<double>(s.tasks - job->record.done.count());
-      total += {s.need.cpus * left, s.need.gpus * left, 0};
+      const double unfinished_tasks = static_cast<double>(spec.tasks - job->record.done.count());
+      total += {spec.need.cpus * unfinished_tasks, spec.need.gpus * unfinished_tasks, 0};
       job->guaranteed = job->team->within_guarantee(total);
     }
     // A job is not queued if its team is no longer in the settings.
@@ -112,7 +115,7 @@
     if (job->not_before > clock_.now)
       scheduling_needed_ = true;  // a later pass examines the job again
     else
-      waiting[static_cast<std::size_t>(s.priority)].push_back(job);
+      waiting[static_cast<std::size_t>(spec.priority)].push_back(job);
   }
   return waiting;
 }
@@ -120,12 +123,12 @@
 // Sorts jobs in the order in which they are served: guaranteed jobs first, then by deadline, then
 // by order of acceptance.
 void Controller::queue_order(std::vector<Job*>& jobs) const {
-  const auto due = [](const Job* j) {
+  const auto deadline = [](const Job* j) {
     return j->spec().deadline_s ? j->accepted + ms(*j->spec().deadline_s) : kNever;
   };
   std::sort(jobs.begin(), jobs.end(), [&](const Job* a, const Job* b) {
     if (a->guaranteed != b->guaranteed) return a->guaranteed;
-    if (due(a) != due(b)) return due(a) < due(b);
+    if (deadline(a) != deadline(b)) return deadline(a) < deadline(b);
     return a->order < b->order;
   });
 }
@@ -134,26 +137,27 @@
 void Controller::schedule_all() {
   scheduling_needed_ = false;
   const Time now = clock_.now;
-  const std::uint64_t examined = examined_;
+  const std::uint64_t examined_before = examined_;
   reservations_.clear();
   for (const auto& [task, move] : migrations_)
-    if (const Machine* m = tables_.machine(move.to)) reservations_[m] += move.need;
+    if (const Machine* machine = tables_.machine(move.to)) reservations_[machine] += move.need;
   unmet_demand_.clear();
   unmet_of_team_.clear();
   forget_failures();
-  Queues all = note_guarantees();
+  Queues waiting_jobs = note_guarantees();
   // For each resource, the smallest amount that a waiting job requests per task. This pass places
   // nothing on a machine with less room.
   std::optional<Resources> least_need;
-  for (const std::vector<Job*>& waiting : all)
+  for (const std::vector<Job*>& waiting : waiting_jobs)
     for (const Job* job : waiting) {
-      const Resources& n = job->spec().need;
-      if (!least_need) least_need = n;
-      least_need = Resources{std::min(least_need->cpus, n.cpus), std::min(least_need->gpus, n.gpus),
-                             std::min(least_need->memory_gb, n.memory_gb)};
+      const Resources& need = job->spec().need;
+      if (!least_need) least_need = need;
+      least_need =
+          Resources{std::min(least_need->cpus, need.cpus), std::min(least_need->gpus, need.gpus),
+                    std::min(least_need->memory_gb, need.memory_gb)};
     }
   begin_rankings(least_need);
-  for (std::vector<Job*>& waiting : all) {
+  for (std::vector<Job*>& waiting : waiting_jobs) {
     queue_order(waiting);
     // One queue per team, reversed because jobs are taken from the back.
     std::map<TeamQuota*, std::vector<Job*>> queues;
@@ -172,11 +176,14 @@
     }
   }
   end_rankings();
-  const Time looks = static_cast<Time>(examined_ - examined);
+  const Time examined_in_pass = static_cast<Time>(examined_ - examined_before);
   const Time heartbeats = std::max<Time>(1, static_cast<Time>(tables_.machines.size()));
-  const Time least = std::max<Time>(10, heartbeat_interval() / kPassesPerHeartbeat);
-  const Time by_looks = looks * heartbeat_interval() / (kLooksPerHeartbeat * heartbeats);
-  next_scheduling_ = now + std::max(least, std::min(by_looks, heartbeat_interval()));
+  const Time min_interval =
+      std::max<Time>(10, heartbeat_interval() / kMaxPassesPerHeartbeatInterval);
+  const Time interval_for_work =
+      examined_in_pass * heartbeat_interval() / (kMaxExaminedPerHeartbeat * heartbeats);
+  next_scheduling_ =
+      now + std::max(min_interval, std::min(interval_for_work, heartbeat_interval()));
 }
 
 // Examines all machines once and collects those that the pass ranks: for preemption all that accept
@@ -184,18 +191,20 @@
 void Controller::begin_rankings(const std::optional<Resources>& least_need) {
   end_rankings();
   if (!least_need) return;
-  for (auto& [name, m] : tables_.machines) {
+  for (auto& [name, machine] : tables_.machines) {
     ++examined_;
-    m->open_index = m->room_index = {};
-    if (!open(*m)) continue;
-    preemption_rankings_.add(*m);
-    if (!least_need->fits_in(room_beside(reservations_, *m))) continue;
-    rankings_.add(*m);
-    m->reserved.fill(0);
-    for (const CachedImage& c : m->images)
-      if (const auto i = tables_.image_priority.find(c.name); i != tables_.image_priority.end())
-        for (auto p = static_cast<std::size_t>(i->second) + 1; p < kPriorities; ++p)
-          ++m->reserved[p];
+    machine->open_index = machine->room_index = {};
+    if (!open(*machine)) continue;
+    preemption_rankings_.add(*machine);
+    if (!least_need->fits_in(room_beside(reservations_, *machine))) continue;
+    rankings_.add(*machine);
+    machine->reserved.fill(0);
+    for (const CachedImage& image : machine->images)
+      if (const auto found = tables_.image_priority.find(image.name);
+          found != tables_.image_priority.end())
+        for (auto priority = static_cast<std::size_t>(found->second) + 1; priority < kPriorities;
+             ++priority)
+          ++machine->reserved[priority];
   }
 }
 
@@ -210,7 +219,8 @@
 std::size_t Controller::most_rankings() const {
   const double bytes = settings_.limits.memory_mb * 1024 * 1024 * kRankingMemoryShare;
   const auto machines = static_cast<double>(tables_.machines.size() + 1);
-  return static_cast<std::size_t>(std::max(kLeastRankings, bytes / (kRankingBytes * machines)));
+  return static_cast<std::size_t>(
+      std::max(kMinRankings, bytes / (kRankingBytesPerMachine * machines)));
 }
 
 bool Controller::place_job(Job& job) {
@@ -219,11 +229,11 @@
   // mistake. Only one of its tasks runs at a time, to find out whether it still fails.
   const bool one_by_one = job.suspect();
   if (one_by_one && job.placed > 0) return true;
-  const std::optional<std::uint32_t> left = place_tasks(job, one_by_one);
-  if (!left) return false;
-  if (*left == 0) return true;
-  record_unmet_demand(job, *job.team, *left, job.spec().zone);
-  for (std::uint32_t i = 0; i < *left && preempt_for(job); ++i) {
+  const std::optional<std::uint32_t> unplaced = place_tasks(job, one_by_one);
+  if (!unplaced) return false;
+  if (*unplaced == 0) return true;
+  record_unmet_demand(job, *job.team, *unplaced, job.spec().zone);
+  for (std::uint32_t i = 0; i < *unplaced && preempt_for(job); ++i) {
   }
   return false;
 }
@@ -236,9 +246,9 @@
     return false;
   }
   // A later pass examines a task again that is not due yet or may still run elsewhere.
-  const bool due = task.not_before <= clock_.now && !job.has_orphan(index);
-  if (!due) scheduling_needed_ = true;
-  return due;
+  const bool is_due = task.not_before <= clock_.now && !job.has_orphan(index);
+  if (!is_due) scheduling_needed_ = true;
+  return is_due;
 }
 
 // Places as many of the job's tasks as possible. Returns the number of tasks that found no room, or
@@ -248,42 +258,42 @@
   for (std::uint32_t i = job.next_queued; i < job.tasks.size() && job.queued > 0; ++i) {
     if (!due(job, i)) continue;
     if (job.team == nullptr || !job.team->allows(job.spec().need)) return {};
-    Machine* m = migration_target(job, i);
-    if (m == nullptr) m = best_machine(job, false);
-    if (m != nullptr && warm_room_made(job, *m)) {
+    Machine* machine = migration_target(job, i);
+    if (machine == nullptr) machine = best_machine(job, false);
+    if (machine != nullptr && warm_room_made(job, *machine)) {
       ++waiting;
       continue;
     }
-    if (m == nullptr) {
+    if (machine == nullptr) {
       // A machine with room may already be fetching as many images as allowed. Its room is reserved
       // for the task, and the task isn't counted as unmet demand, so no instance is added for it.
-      Machine* later = best_machine(job, true);
-      if (later == nullptr) return job.queued - waiting;
-      reserve(*later, job.spec().need);
+      Machine* fetching_machine = best_machine(job, true);
+      if (fetching_machine == nullptr) return job.queued - waiting;
+      reserve(*fetching_machine, job.spec().need);
       ++waiting;
       continue;
     }
-    bind(job, i, *m, attempt_number());
+    bind(job, i, *machine, attempt_number());
     if (one_by_one) return 0;
   }
   return 0;
 }
 
-// If fetching the image on `m` would violate an SLO, tries to make room for the task on a machine
-// that holds the image: by preemption for the `wait` SLO, otherwise by migrating replicas. Returns
-// true if room is reserved there.
-bool Controller::warm_room_made(const Job& job, const Machine& m) {
-  const bool late = late_if_cold(job, m, "wait");
-  if (late && preempt_for(job, true)) return true;
-  const bool owed = job.guaranteed && late_if_cold(job, m, "guarantee");
-  return (late || owed) && migrate_for(job);
+// If fetching the image on `machine` would violate an SLO, tries to make room for the task on a
+// machine that holds the image: by preemption for the `wait` SLO, otherwise by migrating replicas.
+// Returns true if room is reserved there.
+bool Controller::warm_room_made(const Job& job, const Machine& machine) {
+  const bool violates_wait = late_if_cold(job, machine, "wait");
+  if (violates_wait && preempt_for(job, true)) return true;
+  const bool violates_guarantee = job.guaranteed && late_if_cold(job, machine, "guarantee");
+  return (violates_wait || violates_guarantee) && migrate_for(job);
 }
 
 // Places a task on a machine. The start is sent in the response to the machine's next heartbeat.
-void Controller::bind(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt) {
-  tables_.place(job, index, m, attempt, clock_.now);
-  machine_changed(m);
-  m.idle_since = 0;
+void Controller::bind(Job& job, std::uint32_t index, Machine& machine, std::uint64_t attempt) {
+  tables_.place(job, index, machine, attempt, clock_.now);
+  machine_changed(machine);
+  machine.idle_since = 0;
   if (job.record.started > index) return;
   job.record.started = index + 1;
   checkpoint_.mark_changed(job);
@@ -295,17 +305,18 @@
 // start from the autoscaler.
 void Controller::record_unmet_demand(const Job& job, const TeamQuota& team, std::uint32_t tasks,
                                      const std::string& zone) {
-  const JobSpec& s = job.spec();
+  const JobSpec& spec = job.spec();
   Resources& counted = unmet_of_team_[&team];
   std::uint32_t wanted = tasks;
-  if (const auto limit = team.gpus_limit(); limit && s.need.gpus > 0)
+  if (const auto limit = team.gpus_limit(); limit && spec.need.gpus > 0)
     wanted = std::min<std::uint32_t>(
         wanted, static_cast<std::uint32_t>(
-                    std::max(0.0, (*limit - team.used.gpus - counted.gpus) / s.need.gpus)));
+                    std::max(0.0, (*limit - team.used.gpus - counted.gpus) / spec.need.gpus)));
   if (wanted == 0) return;
-  const Resources total{s.need.cpus * wanted, s.need.gpus * wanted, s.need.memory_gb * wanted};
+  const Resources total{spec.need.cpus * wanted, spec.need.gpus * wanted,
+                        spec.need.memory_gb * wanted};
   counted += total;
-  ResourceRequest want = resource_request_of(s);
+  ResourceRequest want = resource_request_of(spec);
   want.zone = zone;
   auto it = std::find_if(unmet_demand_.begin(), unmet_demand_.end(), [&](const UnmetDemand& u) {
     return u.guaranteed == job.guaranteed && u.want == want;
@@ -319,14 +330,16 @@
 
 // True if a task that fetches its image on this machine would start later than an objective of kind
 // `slo` allows.
-bool Controller::late_if_cold(const Job& job, const Machine& m, const char* slo) const {
-  const JobSpec& s = job.spec();
-  if (m.has_image(s.image) || m.fetching(s.image)) return false;
-  const MachineType* t = tables_.type(m.type);
-  if (t == nullptr || t->fetch_gb_per_s <= 0) return false;
-  for (const ServiceLevelObjective& o : settings_.objectives)
-    if (o.kind == slo && (o.job_class.empty() || o.job_class == s.job_class))
-      return s.image_gb / t->fetch_gb_per_s + settings_.workers.heartbeat_interval_s > o.within_s;
+bool Controller::late_if_cold(const Job& job, const Machine& machine, const char* slo) const {
+  const JobSpec& spec = job.spec();
+  if (machine.has_image(spec.image) || machine.fetching(spec.image)) return false;
+  const MachineType* type = tables_.type(machine.type);
+  if (type == nullptr || type->fetch_gb_per_s <= 0) return false;
+  for (const ServiceLevelObjective& objective : settings_.objectives)
+    if (objective.kind == slo &&
+        (objective.job_class.empty() || objective.job_class == spec.job_class))
+      return spec.image_gb / type->fetch_gb_per_s + settings_.workers.heartbeat_interval_s >
+             objective.within_s;
   return false;
 }
 
@@ -335,12 +348,12 @@
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
     ++examined_;
-    Machine& m = *task.machine;
-    for (std::size_t i = m.attempts.size(); i-- > 0;) {
-      const TaskAttempt& p = m.attempts[i];
-      if (p.job == &job && p.state == AttemptState::Reserved) tables_.erase(m, i);
+    Machine& machine = *task.machine;
+    for (std::size_t i = machine.attempts.size(); i-- > 0;) {
+      const TaskAttempt& attempt = machine.attempts[i];
+      if (attempt.job == &job && attempt.state == AttemptState::Reserved) tables_.erase(machine, i);
     }
-    machine_changed(m);
+    machine_changed(machine);
   }
   forget_failures();
 }
@@ -358,73 +371,76 @@
   if (migrations_.empty()) return nullptr;
   const auto node = migrations_.extract(task_name({job.spec().id, index}));
   if (!node) return nullptr;
-  Machine* m = tables_.machine(node.mapped().to);
-  if (m == nullptr) return nullptr;
-  unreserve(*m, node.mapped().need);
+  Machine* machine = tables_.machine(node.mapped().to);
+  if (machine == nullptr) return nullptr;
+  unreserve(*machine, node.mapped().need);
   forget_failures();
-  const bool possible = open(*m) && m->has_image(job.spec().image) &&
-                        job.spec().need.fits_in(m->room()) && tables_.allowed(job, *m);
-  return possible ? m : nullptr;
+  const bool possible = open(*machine) && machine->has_image(job.spec().image) &&
+                        job.spec().need.fits_in(machine->room()) && tables_.allowed(job, *machine);
+  return possible ? machine : nullptr;
 }
 
 // Rates a machine for one more task of a job with this spec, regardless of where the job has tasks
 // or has failed.
 MachineRating<Controller::BinPackingScore> Controller::bin_packing_score(
-    const JobSpec& s, const Machine& m, bool may_queue_fetch) const {
-  if (!open(m)) return {};
-  const Resources room = room_beside(reservations_, m);
-  if (!s.need.fits_in(room) || !tables_.suits(s, m)) return {};
-  const double image = m.has_image(s.image) ? 0 : m.fetching(s.image) ? 1 : 2;
-  const std::size_t fetches = image == 2 ? m.fetches() : 0;
-  if (image == 2 && !may_queue_fetch && fetches >= fetch_limit()) return {{}, true};
+    const JobSpec& spec, const Machine& machine, bool may_queue_fetch) const {
+  if (!open(machine)) return {};
+  const Resources room = room_beside(reservations_, machine);
+  if (!spec.need.fits_in(room) || !tables_.suits(spec, machine)) return {};
+  const double image_state = machine.has_image(spec.image)  ? 0
+                             : machine.fetching(spec.image) ? 1
+                                                            : 2;
+  const std::size_t fetches = image_state == 2 ? machine.fetches() : 0;
+  if (image_state == 2 && !may_queue_fetch && fetches >= fetch_limit()) return {{}, true};
   // Jobs that may use spot instances leave on-demand instances to jobs that may not.
-  const double dear = s.spot && !m.spot ? 1 : 0;
+  const double uses_on_demand = spec.spot && !machine.spot ? 1 : 0;
   // Machines that hold images of higher-priority jobs are left to those jobs as long as there is
   // room elsewhere.
-  const double reserved = m.reserved[static_cast<std::size_t>(s.priority)];
+  const double higher_priority_images = machine.reserved[static_cast<std::size_t>(spec.priority)];
   // Among machines that hold or are fetching the image, the fullest is best, so that others become
   // empty. Among the other machines, the one with the fewest fetches is best, as they share its
   // rate, and of these the one with the most free GPUs.
-  const double fill =
-      image < 2 ? room.gpus + room.cpus / 1000 : static_cast<double>(fetches) * 100 - room.gpus;
-  return {BinPackingScore{0, dear, image, reserved, 0, fill}, true};
+  const double room_score = image_state < 2 ? room.gpus + room.cpus / 1000
+                                            : static_cast<double>(fetches) * 100 - room.gpus;
+  return {BinPackingScore{0, uses_on_demand, image_state, higher_priority_images, 0, room_score},
+          true};
 }
 
 // Returns the score for a particular job: the score of its kind, worsened if the job has failed on
 // the machine or, for a service, has replicas there.
-Controller::BinPackingScore Controller::score_for_job(const Job& job, const Machine& m,
-                                                      BinPackingScore of_kind) {
-  if (job.error_machines.contains(m.name)) of_kind[kScoreFailed] = 1;
+Controller::BinPackingScore Controller::score_for_job(const Job& job, const Machine& machine,
+                                                      BinPackingScore kind_score) {
+  if (job.error_machines.contains(machine.name)) kind_score[kScoreFailed] = 1;
   // The replicas of a service are spread over machines, so that the loss of one affects few of
   // them.
   if (job.spec().kind == JobKind::Service && job.placed > 0)
-    of_kind[kScoreTogether] = static_cast<double>(
-        std::count_if(m.attempts.begin(), m.attempts.end(),
-                      [&](const TaskAttempt& p) { return p.job == &job && p.held; }));
-  return of_kind;
+    kind_score[kScoreTogether] = static_cast<double>(std::count_if(
+        machine.attempts.begin(), machine.attempts.end(),
+        [&](const TaskAttempt& attempt) { return attempt.job == &job && attempt.held; }));
+  return kind_score;
 }
 
 Machine* Controller::best_machine(const Job& job, bool may_queue_fetch) {
-  const JobSpec& s = job.spec();
-  const ResourceRequest want = resource_request_of(s);
+  const JobSpec& spec = job.spec();
+  const ResourceRequest want = resource_request_of(spec);
   for (const ResourceRequest& failed : no_room_for_)
     if (want.as_much_as(failed)) return nullptr;
-  const auto rate = [this, s, may_queue_fetch](const Machine& m) {
+  const auto rate = [this, spec, may_queue_fetch](const Machine& machine) {
     ++examined_;
-    return bin_packing_score(s, m, may_queue_fetch);
+    return bin_packing_score(spec, machine, may_queue_fetch);
   };
   MachineRanking<BinPackingScore>& ranking = rankings_.get(
-      {s.image, s.priority, may_queue_fetch, want}, most_rankings(), machines_changed_, rate);
+      {spec.image, spec.priority, may_queue_fetch, want}, most_rankings(), machines_changed_, rate);
   if (!ranking.any_room()) {
     no_room_for_.push_back(want);
     return nullptr;
   }
   const auto zone_open = [&](const std::string& zone) { return tables_.zone_open(job, zone); };
-  const auto own = [&](std::size_t index, const BinPackingScore& of_kind) {
+  const auto own_score = [&](std::size_t index, const BinPackingScore& kind_score) {
     ++examined_;
-    return score_for_job(job, *rankings_.machines()[index], of_kind);
+    return score_for_job(job, *rankings_.machines()[index], kind_score);
   };
-  const std::optional<std::size_t> best = ranking.best(zone_open, own);
+  const std::optional<std::size_t> best = ranking.best(zone_open, own_score);
   return best ? rankings_.machines()[*best] : nullptr;
 }
 
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -11,49 +11,49 @@
 namespace sailreel::sim {
 namespace {
 
-constexpr Time kWait = 20'000;
+constexpr Time kWaitMs = 20'000;
 
-GangView whole(std::uint32_t tasks) {
+GangView all_placed(std::uint32_t tasks) {
   GangView view;
   view.tasks = view.placed = tasks;
   return view;
 }
 
 TEST(GangStates, IsPlacedGathersAndRuns) {
-  Gang gang(kWait);
+  Gang gang(kWaitMs);
   GangView view;
   view.tasks = 4;
   EXPECT_EQ(gang.decide(view, 0), GangDecision::PlaceAll);
   EXPECT_EQ(gang.phase(), GangPhase::Placing);
-  EXPECT_EQ(gang.decide(whole(4), 10), GangDecision::Wait);
+  EXPECT_EQ(gang.decide(all_placed(4), 10), GangDecision::Wait);
   EXPECT_EQ(gang.phase(), GangPhase::Gathering);
-  view = whole(4);
+  view = all_placed(4);
   view.running = 1;  // the heartbeats that report the other tasks arrive later
   EXPECT_EQ(gang.decide(view, 20), GangDecision::Wait);
   EXPECT_EQ(gang.phase(), GangPhase::Running);
 }
 
-TEST(GangStates, NothingIsPlacedWhileTasksMayBeAnywhere) {
-  Gang gang(kWait);
+TEST(GangStates, NothingIsPlacedWhileATaskIsUnknown) {
+  Gang gang(kWaitMs);
   GangView view;
   view.tasks = 4;
   view.unknown = 1;
   EXPECT_EQ(gang.decide(view, 0), GangDecision::Wait);
 }
 
-TEST(GangStates, ALostTaskIsReplacedOnlyWhileTheOthersWaitLongEnough) {
-  Gang gang(kWait);
-  gang.decide(whole(4), 0);
-  GangView view = whole(4);
+TEST(GangStates, ALostTaskIsReplacedOnlyInTheFirstHalfOfTheWait) {
+  Gang gang(kWaitMs);
+  gang.decide(all_placed(4), 0);
+  GangView view = all_placed(4);
   view.placed = 3;
-  EXPECT_EQ(gang.decide(view, kWait / 2 - 1), GangDecision::PlaceMissing);
-  EXPECT_EQ(gang.decide(view, kWait / 2), GangDecision::StopRest);
+  EXPECT_EQ(gang.decide(view, kWaitMs / 2 - 1), GangDecision::PlaceMissing);
+  EXPECT_EQ(gang.decide(view, kWaitMs / 2), GangDecision::StopRest);
   EXPECT_EQ(gang.phase(), GangPhase::Stopping);
 }
 
-TEST(GangStates, ATaskLostWhileRunningEndsAllAndAllAreAwaited) {
-  Gang gang(kWait);
-  GangView view = whole(4);
+TEST(GangStates, ATaskLostWhileRunningStopsAllBeforeTheNextAttempt) {
+  Gang gang(kWaitMs);
+  GangView view = all_placed(4);
   view.running = 4;
   gang.decide(view, 0);
   view.placed = view.running = 3;
@@ -66,56 +66,57 @@
   EXPECT_EQ(gang.decide(view, 4), GangDecision::PlaceAll);
 }
 
-TEST(GangStates, AnExitEndsTheAttemptEvenWhileTheRestStillSeemsToWait) {
-  Gang gang(kWait);
-  gang.decide(whole(4), 0);
+TEST(GangStates, AnExitEndsTheAttemptWhileOtherTasksStillWait) {
+  Gang gang(kWaitMs);
+  gang.decide(all_placed(4), 0);
   gang.attempt_over();
-  GangView view = whole(4);
+  GangView view = all_placed(4);
   view.placed = 3;
   EXPECT_EQ(gang.decide(view, 1), GangDecision::StopRest);
 }
 
-TEST(GangStates, TwoAttemptsNeverRunBesideEachOther) {
-  Gang gang(kWait);
-  GangView view = whole(4);
+TEST(GangStates, TasksOfTwoAttemptsNeverRunTogether) {
+  Gang gang(kWaitMs);
+  GangView view = all_placed(4);
   view.one_attempt = false;
   EXPECT_EQ(gang.decide(view, 0), GangDecision::StopRest);
 }
 
-TEST(GangStates, UnsentTasksMoveOnFromAMachineWithoutHeartbeats) {
-  Gang gang(kWait);
-  GangView view = whole(4);
+TEST(GangStates, UnsentTasksAreUnplacedWhenAHeartbeatIsOverdue) {
+  Gang gang(kWaitMs);
+  GangView view = all_placed(4);
   view.unsent = 4;
-  view.overdue = true;
+  view.start_overdue = true;
   EXPECT_EQ(gang.decide(view, 0), GangDecision::Unplace);
   view.unsent = 3;  // one start was sent
   EXPECT_EQ(gang.decide(view, 1), GangDecision::Wait);
 }
 
-TEST(GangPlans, OneMachineForAllThatIsReadyFirst) {
+TEST(GangPlans, PrefersTheEarliestMachineThatFitsAllTasks) {
   const std::vector<GangCandidate> machines{
       {"za", 8, 2.0}, {"zb", 4, 0.5}, {"za", 3, 0.0}, {"zb", 5, 0.7}};
   const GangPlan plan = plan_gang(machines, 4, {});
   EXPECT_EQ(plan.missing, 0U);
-  EXPECT_EQ(plan.tasks, (std::vector<std::uint32_t>{0, 4, 0, 0}));
+  EXPECT_EQ(plan.tasks_per_candidate, (std::vector<std::uint32_t>{0, 4, 0, 0}));
 }
 
-TEST(GangPlans, AsFewMachinesAsPossibleInOneZoneIfAsked) {
+TEST(GangPlans, UsesFewMachinesInOneZoneIfRequired) {
   const std::vector<GangCandidate> machines{{"za", 3, 0}, {"zb", 2, 0}, {"zb", 2, 0}, {"za", 2, 0}};
   GangZones zones;
   zones.one_zone = true;
-  EXPECT_EQ(plan_gang(machines, 5, zones).tasks, (std::vector<std::uint32_t>{3, 0, 0, 2}));
-  const GangPlan none = plan_gang(machines, 6, zones);
-  EXPECT_EQ(none.missing, 1U);
-  EXPECT_EQ(none.zone, "za");
+  EXPECT_EQ(plan_gang(machines, 5, zones).tasks_per_candidate,
+            (std::vector<std::uint32_t>{3, 0, 0, 2}));
+  const GangPlan incomplete_plan = plan_gang(machines, 6, zones);
+  EXPECT_EQ(incomplete_plan.missing, 1U);
+  EXPECT_EQ(incomplete_plan.zone, "za");
   EXPECT_EQ(plan_gang(machines, 6, {}).missing, 0U);
 }
 
-TEST(GangPlans, ASpreadGangKeepsToEachZonesRoom) {
+TEST(GangPlans, ASpreadGangStaysWithinEachZonesLimit) {
   const std::vector<GangCandidate> machines{{"za", 9, 0}, {"zb", 9, 0}};
   GangZones zones;
-  zones.room = {{"za", 3}, {"zb", 3}};
-  EXPECT_EQ(plan_gang(machines, 5, zones).tasks, (std::vector<std::uint32_t>{3, 2}));
+  zones.remaining_tasks = {{"za", 3}, {"zb", 3}};
+  EXPECT_EQ(plan_gang(machines, 5, zones).tasks_per_candidate, (std::vector<std::uint32_t>{3, 2}));
   EXPECT_EQ(plan_gang(machines, 7, zones).missing, 1U);
 }
 
@@ -123,10 +124,10 @@
 
 constexpr std::uint64_t kSeeds = 6;
 
-class GangScene : public ::testing::TestWithParam<Scenario> {};
+class GangScenarioTest : public ::testing::TestWithParam<Scenario> {};
 
-TEST_P(GangScene, KeepsTheRules) {
-  const Scenario& scene = GetParam();
+TEST_P(GangScenarioTest, KeepsTheRules) {
+  const Scenario& scenario = GetParam();
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SimulationPlan plan = quiet(seed * 17);
     plan.length = 400'000;
@@ -144,7 +145,7 @@
     region.run_until(region.now() + 50);
     // From now on, users query jobs within milliseconds of a change and cancel some as they end.
     region.poll_closely(plan.length);
-    scene.play(region, seed);
+    scenario.play(region, seed);
     region.run_until(region.now() + 60'000);
     region.faults_ended();
     region.run_until(region.now() + 150'000);
@@ -170,140 +171,141 @@
     region.run_until(region.now() + 10);
 }
 
-const Scenario kScenes[] = {
+const Scenario kScenarios[] = {
     {"AllCompleteWithoutFaults",
-     [](SimulatedRegion& w, std::uint64_t) {
-       wait_for_start(w, "job-1");
-       EXPECT_EQ(w.gang_starts("job-1"), 1U);
+     [](SimulatedRegion& region, std::uint64_t) {
+       wait_for_start(region, "job-1");
+       EXPECT_EQ(region.gang_starts("job-1"), 1U);
      }},
     {"AMachineEndsWhileTheGangGathers",
-     [](SimulatedRegion& w, std::uint64_t seed) {
+     [](SimulatedRegion& region, std::uint64_t seed) {
        const std::string job = seed % 2 == 0 ? "job-1" : "job-2";
-       const std::string machine = wait_for_task(w, job);
-       w.cloud().machines.erase(machine);
-       w.kill_machine(machine);
+       const std::string machine = wait_for_task(region, job);
+       region.cloud().machines.erase(machine);
+       region.kill_machine(machine);
      }},
     {"AMachineEndsWhileTheGangRuns",
-     [](SimulatedRegion& w, std::uint64_t seed) {
+     [](SimulatedRegion& region, std::uint64_t seed) {
        const std::string job = seed % 2 == 0 ? "job-1" : "job-2";
-       wait_for_start(w, job);
-       w.run_until(w.now() + 3'000);
-       const std::string machine = wait_for_task(w, job);
-       w.cloud().machines.erase(machine);
-       w.kill_machine(machine);
+       wait_for_start(region, job);
+       region.run_until(region.now() + 3'000);
+       const std::string machine = wait_for_task(region, job);
+       region.cloud().machines.erase(machine);
+       region.kill_machine(machine);
      }},
     {"AMachineHangsWhileTheGangRuns",
-     [](SimulatedRegion& w, std::uint64_t seed) {
-       wait_for_start(w, "job-2");
-       w.hang_machine(wait_for_task(w, "job-2"), seed % 2 == 0 ? 5'000 : 30'000);
+     [](SimulatedRegion& region, std::uint64_t seed) {
+       wait_for_start(region, "job-2");
+       region.hang_machine(wait_for_task(region, "job-2"), seed % 2 == 0 ? 5'000 : 30'000);
      }},
     {"AMachineIsCutOffWhileTheGangGathersOrRuns",
-     [](SimulatedRegion& w, std::uint64_t seed) {
-       if (seed % 2 == 0) wait_for_start(w, "job-1");
-       cut_off(w, wait_for_task(w, "job-1"), 25'000, seed % 3 == 0);
+     [](SimulatedRegion& region, std::uint64_t seed) {
+       if (seed % 2 == 0) wait_for_start(region, "job-1");
+       cut_off(region, wait_for_task(region, "job-1"), 25'000, seed % 3 == 0);
      }},
     {"OneMachineGetsASpotNotice",
-     [](SimulatedRegion& w, std::uint64_t seed) {
+     [](SimulatedRegion& region, std::uint64_t seed) {
        const std::string job = seed % 2 == 0 ? "job-1" : "job-2";
-       wait_for_start(w, job);
-       w.run_until(w.now() + 5'000);
-       w.preempt_machine(wait_for_task(w, job), 6'000);
+       wait_for_start(region, job);
+       region.run_until(region.now() + 5'000);
+       region.preempt_machine(wait_for_task(region, job), 6'000);
      }},
     {"StopsArriveLate",
-     [](SimulatedRegion& w, std::uint64_t seed) {
-       wait_for_start(w, "job-2");
-       w.slow_commands(20'000);
-       w.run_until(w.now() + 3'000 + 500 * static_cast<Time>(seed));
-       w.preempt_machine(wait_for_task(w, "job-2"), 8'000);
+     [](SimulatedRegion& region, std::uint64_t seed) {
+       wait_for_start(region, "job-2");
+       region.slow_commands(20'000);
+       region.run_until(region.now() + 3'000 + 500 * static_cast<Time>(seed));
+       region.preempt_machine(wait_for_task(region, "job-2"), 8'000);
      }},
     {"AStopDoesNotReachOneMachine",
-     [](SimulatedRegion& w, std::uint64_t) {
-       wait_for_start(w, "job-2");
-       const auto machines = w.machines_of("job-2");
+     [](SimulatedRegion& region, std::uint64_t) {
+       wait_for_start(region, "job-2");
+       const auto machines = region.machines_of("job-2");
        ASSERT_FALSE(machines.empty());
-       w.block_inbound(machines.back(), 15'000);
-       w.preempt_machine(machines.front(), 8'000);
+       region.block_inbound(machines.back(), 15'000);
+       region.preempt_machine(machines.front(), 8'000);
      }},
     {"TheLeaderEndsInEachPhase",
-     [](SimulatedRegion& w, std::uint64_t seed) {
-       w.run_until(w.now() + 200 * static_cast<Time>(seed));
-       w.kill(leader_of(w), 4'000);
-       wait_for_task(w, "job-2");
-       w.kill(leader_of(w), 4'000);
-       wait_for_start(w, "job-2");
-       w.kill(leader_of(w), 4'000);
-       w.run_until(w.now() + 4'000);
-       w.preempt_machine(wait_for_task(w, "job-2"), 8'000);
-       w.run_until(w.now() + 300);
-       w.kill(leader_of(w), 4'000);
+     [](SimulatedRegion& region, std::uint64_t seed) {
+       region.run_until(region.now() + 200 * static_cast<Time>(seed));
+       region.kill(leader_of(region), 4'000);
+       wait_for_task(region, "job-2");
+       region.kill(leader_of(region), 4'000);
+       wait_for_start(region, "job-2");
+       region.kill(leader_of(region), 4'000);
+       region.run_until(region.now() + 4'000);
+       region.preempt_machine(wait_for_task(region, "job-2"), 8'000);
+       region.run_until(region.now() + 300);
+       region.kill(leader_of(region), 4'000);
      }},
     {"TheLeaderEndsAsAGangIsDone",
-     [](SimulatedRegion& w, std::uint64_t seed) {
+     [](SimulatedRegion& region, std::uint64_t seed) {
        bool ended = false;
-       w.on_completed = [&w, &ended, seed](const TaskKey& key, const std::string&) {
+       region.on_completed = [&region, &ended, seed](const TaskKey& key, const std::string&) {
          if (key.job != "job-2" || std::exchange(ended, true)) return;
-         w.kill(leader_of(w), seed % 2 == 0 ? 300 : 5'000);
+         region.kill(leader_of(region), seed % 2 == 0 ? 300 : 5'000);
        };
-       w.run_until(w.now() + 60'000);
-       w.on_completed = nullptr;
+       region.run_until(region.now() + 60'000);
+       region.on_completed = nullptr;
        EXPECT_TRUE(ended);
      }},
     {"OneTaskIsDoneAndTheOtherMachinesAreSilent",
-     [](SimulatedRegion& w, std::uint64_t) {
+     [](SimulatedRegion& region, std::uint64_t) {
        bool cut = false;
-       w.on_completed = [&w, &cut](const TaskKey& key, const std::string& machine) {
+       region.on_completed = [&region, &cut](const TaskKey& key, const std::string& machine) {
          if (key.job != "job-2" || std::exchange(cut, true)) return;
-         for (const std::string& other : w.machines_of("job-2"))
-           if (other != machine) cut_off(w, other, 30'000, false);
+         for (const std::string& other : region.machines_of("job-2"))
+           if (other != machine) cut_off(region, other, 30'000, false);
        };
-       w.run_until(w.now() + 60'000);
-       w.on_completed = nullptr;
+       region.run_until(region.now() + 60'000);
+       region.on_completed = nullptr;
        EXPECT_TRUE(cut);
      }},
     {"ZonesArePartitionedWhileGangsRun",
-     [](SimulatedRegion& w, std::uint64_t seed) {
-       if (seed % 2 == 0) wait_for_start(w, "job-2");
-       w.cut_zone("za", 15'000, seed % 3 == 0);
+     [](SimulatedRegion& region, std::uint64_t seed) {
+       if (seed % 2 == 0) wait_for_start(region, "job-2");
+       region.cut_zone("za", 15'000, seed % 3 == 0);
      }},
     {"CancelledInEachPhase",
-     [](SimulatedRegion& w, std::uint64_t seed) {
-       w.run_until(w.now() + 300);
-       if (seed % 3 == 0) w.cancel("job-2");
-       wait_for_task(w, "job-1");
-       if (seed % 3 == 1) w.cancel("job-1");
-       wait_for_start(w, "job-3");
-       if (seed % 3 == 2) w.cancel("job-3");
-       w.run_until(w.now() + 2'000);
+     [](SimulatedRegion& region, std::uint64_t seed) {
+       region.run_until(region.now() + 300);
+       if (seed % 3 == 0) region.cancel("job-2");
+       wait_for_task(region, "job-1");
+       if (seed % 3 == 1) region.cancel("job-1");
+       wait_for_start(region, "job-3");
+       if (seed % 3 == 2) region.cancel("job-3");
+       region.run_until(region.now() + 2'000);
        const std::string other = seed % 3 == 1 ? "job-2" : "job-1";
-       const std::string machine = wait_for_task(w, other);
-       if (!machine.empty()) w.preempt_machine(machine, 5'000);
-       w.run_until(w.now() + 400);
-       w.cancel(other);
+       const std::string machine = wait_for_task(region, other);
+       if (!machine.empty()) region.preempt_machine(machine, 5'000);
+       region.run_until(region.now() + 400);
+       region.cancel(other);
      }},
     {"HeartbeatsAreDelayedWhileGangsRestart",
-     [](SimulatedRegion& w, std::uint64_t) {
-       w.delay_heartbeats(0.4, 40'000);
-       w.keep_heartbeats_for_next_leader(0.4, 20'000);
-       wait_for_start(w, "job-1");
-       w.kill(leader_of(w), 4'000);
-       w.run_until(w.now() + 8'000);
-       const std::string machine = wait_for_task(w, "job-2");
-       if (!machine.empty()) w.kill_machine(machine);
+     [](SimulatedRegion& region, std::uint64_t) {
+       region.delay_heartbeats(0.4, 40'000);
+       region.keep_heartbeats_for_next_leader(0.4, 20'000);
+       wait_for_start(region, "job-1");
+       region.kill(leader_of(region), 4'000);
+       region.run_until(region.now() + 8'000);
+       const std::string machine = wait_for_task(region, "job-2");
+       if (!machine.empty()) region.kill_machine(machine);
      }},
-    {"HigherPriorityJobsPreemptGangs", [](SimulatedRegion& w, std::uint64_t) {
-       wait_for_start(w, "job-2");
-       for (std::size_t n = 50; n < 58; ++n) {
-         JobSpec s = service(job_id(n), 2);
-         s.need = {7, 1, 10};
-         w.submit(s, w.now() + 40'000);
+    {"HigherPriorityJobsPreemptGangs", [](SimulatedRegion& region, std::uint64_t) {
+       wait_for_start(region, "job-2");
+       for (std::size_t job_number = 50; job_number < 58; ++job_number) {
+         JobSpec spec = service(job_id(job_number), 2);
+         spec.need = {7, 1, 10};
+         region.submit(spec, region.now() + 40'000);
        }
      }}};
 
-INSTANTIATE_TEST_SUITE_P(Scenes, GangScene, ::testing::ValuesIn(kScenes), scenario_name);
+INSTANTIATE_TEST_SUITE_P(Scenarios, GangScenarioTest, ::testing::ValuesIn(kScenarios),
+                         scenario_name);
 
 // A spot notice on one machine stops the whole gang with a grace period, in which all tasks save
 // their progress, so that the next attempt can continue from it.
-TEST(GangStops, ANoticeOnOneMachineSavesTheProgressOfAll) {
+TEST(GangStops, ASpotNoticeOnOneMachineSavesTheProgressOfAllTasks) {
   SimulatedRegion region(quiet(3));
   region.run_until(1'000);
   JobSpec spec = gang("job-1", 5, 6, 60);
@@ -319,7 +321,7 @@
 
 // A gang that needs exactly its team's limit runs, and one that needs more is rejected with status
 // 422.
-TEST(GangLimits, ATeamExactlyAtItsLimit) {
+TEST(GangLimits, AGangMayUseExactlyItsTeamsLimit) {
   SimulatedRegion region(quiet(4));
   region.run_until(1'000);
   JobSpec spec = gang("job-1", 6, 2, 10);
@@ -335,7 +337,8 @@
   spec.tasks = 7;
   int status = 0;
   region.submit(spec);
-  region.ask_for("job-3", leader_of(region), UserOp::Submit, [&status](int s) { status = s; });
+  region.ask_for("job-3", leader_of(region), UserOp::Submit,
+                 [&status](int response_status) { status = response_status; });
   region.run_until(72'000);
   EXPECT_EQ(status, 422);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
@@ -344,13 +347,14 @@
 // The tasks of a spread gang run at the same time with at most half of them in any zone, which is
 // impossible if the job is restricted to one zone. Such a gang must be rejected at submission,
 // because it would wait forever. A gang of a single task is exempt.
-TEST(GangLimits, AGangThatCanNeverRunIsRefused) {
+TEST(GangLimits, AGangThatCanNeverRunIsRejected) {
   SimulatedRegion region(quiet(5));
   region.run_until(3'000);
   const auto status_of = [&region](const JobSpec& spec) {
     int status = 0;
     region.submit(spec);
-    region.ask_for(spec.id, leader_of(region), UserOp::Submit, [&status](int s) { status = s; });
+    region.ask_for(spec.id, leader_of(region), UserOp::Submit,
+                   [&status](int response_status) { status = response_status; });
     region.run_until(region.now() + 1'000);
     return status;
   };
@@ -370,7 +374,7 @@
 }
 
 /// A leader after a failover whose checkpoint has a started gang of two tasks and three machines.
-std::unique_ptr<ControllerDriver> with_gang_of_two() {
+std::unique_ptr<ControllerDriver> leader_with_running_gang() {
   auto driver = std::make_unique<ControllerDriver>(settings_without_peers());
   JobRecord record;
   record.spec = gang("job-1", 2, 6, 30);
@@ -384,21 +388,23 @@
   return driver;
 }
 
-TaskStatus member(std::uint32_t index, std::uint64_t attempt, RunState state,
-                  ExitCause cause = ExitCause::None) {
+TaskStatus task_status(std::uint32_t index, std::uint64_t attempt, RunState state,
+                       ExitCause cause = ExitCause::None) {
   return {{"job-1", index}, attempt, state, cause, false};
 }
 
 // A machine may report the exit of an older attempt after a failover. This must not stop the
 // current attempt, which runs on other machines.
-TEST(GangFailover, AnExitOfAnOlderAttemptDoesNotEndThePresentOne) {
-  const auto driver = with_gang_of_two();
+TEST(GangFailover, AnExitOfAnOlderAttemptDoesNotEndTheCurrentOne) {
+  const auto driver = leader_with_running_gang();
   const auto running = [&driver](const char* machine, std::uint64_t seq, std::uint32_t index) {
-    return driver->heartbeat(heartbeat_of(machine, seq, {member(index, 2, RunState::Running)}));
+    return driver->heartbeat(
+        heartbeat_of(machine, seq, {task_status(index, 2, RunState::Running)}));
   };
   running("m-1", 1, 0);
   running("m-2", 1, 1);
-  driver->heartbeat(heartbeat_of("m-3", 1, {member(0, 1, RunState::Exited, ExitCause::PeersGone)}));
+  driver->heartbeat(
+      heartbeat_of("m-3", 1, {task_status(0, 1, RunState::Exited, ExitCause::PeersGone)}));
   driver->run_for(500);
   EXPECT_EQ(running("m-1", 2, 0).find("kill"), std::string::npos);
   EXPECT_EQ(running("m-2", 2, 1).find("kill"), std::string::npos);
@@ -406,16 +412,16 @@
 
 // The tasks of a gang complete together. If one is reported as done and the other only as ended
 // because its peer was gone, both are done, and no task may be started again.
-TEST(GangFailover, OneTaskThatIsDoneSaysItOfAll) {
-  const auto driver = with_gang_of_two();
-  driver->heartbeat(heartbeat_of("m-1", 1, {member(0, 2, RunState::Running)}));
-  driver->heartbeat(heartbeat_of("m-2", 1, {member(1, 2, RunState::Running)}));
+TEST(GangFailover, OneCompletedTaskCompletesTheGang) {
+  const auto driver = leader_with_running_gang();
+  driver->heartbeat(heartbeat_of("m-1", 1, {task_status(0, 2, RunState::Running)}));
+  driver->heartbeat(heartbeat_of("m-2", 1, {task_status(1, 2, RunState::Running)}));
   driver->heartbeat(heartbeat_of("m-3", 1, {}));
-  driver->heartbeat(heartbeat_of("m-1", 2, {member(0, 2, RunState::Exited, ExitCause::Done)}));
+  driver->heartbeat(heartbeat_of("m-1", 2, {task_status(0, 2, RunState::Exited, ExitCause::Done)}));
   driver->run_for(500);
   EXPECT_EQ(driver->checkpoint().jobs.at("job-1").phase, Phase::Done);
   const std::string commands = driver->heartbeat(
-      heartbeat_of("m-2", 2, {member(1, 2, RunState::Exited, ExitCause::PeersGone)}));
+      heartbeat_of("m-2", 2, {task_status(1, 2, RunState::Exited, ExitCause::PeersGone)}));
   EXPECT_EQ(commands.find("start"), std::string::npos) << commands;
   EXPECT_EQ(driver->heartbeat(heartbeat_of("m-3", 2, {})).find("start"), std::string::npos);
 }
@@ -428,16 +434,16 @@
   SimulatedRegion region(plan);
   region.run_until(1'000);
   // Slightly more tasks than the machines can run.
-  constexpr std::size_t kFirst = 10, kLast = 150, kGangAfter = 60;
-  for (std::size_t n = kFirst; n < kLast; ++n) {
-    JobSpec single = array(job_id(n), 8, 8);
+  constexpr std::size_t kFirstJob = 10, kEndJob = 150, kGangAfterJob = 60;
+  for (std::size_t job_number = kFirstJob; job_number < kEndJob; ++job_number) {
+    JobSpec single = array(job_id(job_number), 8, 8);
     single.need = {4, 0, 10};
     single.team = "guest";
     single.spot = false;
     single.priority = Priority::Normal;
     region.submit(single);
     region.run_until(region.now() + 1'600);
-    if (n != kGangAfter) continue;
+    if (job_number != kGangAfterJob) continue;
     JobSpec spec = gang("job-1", 3, 16, 10);
     spec.team = "guest";
     spec.one_zone = true;
@@ -456,34 +462,34 @@
   region.submit(spec);
   region.run_until(3'000);
   std::map<std::string, std::size_t> zones;
-  for (const auto& [name, m] : region.cloud().machines) ++zones[m.zone];
+  for (const auto& [name, machine] : region.cloud().machines) ++zones[machine.zone];
   EXPECT_GE(std::max(zones["za"], zones["zb"]), 3U);
-  std::size_t most = 0;
+  std::size_t max_machines = 0;
   while (region.now() < 60'000) {
     region.run_until(region.now() + 100);
-    most = std::max(most, region.cloud().machines.size());
+    max_machines = std::max(max_machines, region.cloud().machines.size());
   }
   EXPECT_EQ(region.gang_starts("job-1"), 1U);
-  EXPECT_LE(most, 5U);
+  EXPECT_LE(max_machines, 5U);
 }
 
 // Gangs that each need most of a zone compete with single tasks that keep arriving. No job may
 // starve, and no gang may hold room for which another waits.
-TEST(GangRoom, SwarmsOfGangsAndSingleTasksAllGetOn) {
+TEST(GangRoom, ManyGangsAndSingleTasksAllComplete) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SimulationPlan plan = quiet(seed);
     plan.length = 900'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
     pcg32 random(seed);
-    for (std::size_t n = 0; n < 60; ++n) {
-      JobSpec single = array(job_id(n), 2, 8);
+    for (std::size_t job_number = 0; job_number < 60; ++job_number) {
+      JobSpec single = array(job_id(job_number), 2, 8);
       single.spot = false;
       single.priority = Priority::Normal;
-      if (n % 4 != 0) {
+      if (job_number % 4 != 0) {
         region.submit(single);
       } else {
-        JobSpec spec = gang(job_id(n), 4 + random(5), 5, 8);
+        JobSpec spec = gang(job_id(job_number), 4 + random(5), 5, 8);
         spec.team = "guest";
         spec.one_zone = random(2) == 0;
         spec.need.gpus = 2;
--- a/tests/machine_ranking_test.cpp
+++ b/tests/machine_ranking_test.cpp
@@ -19,7 +19,7 @@
   std::vector<int> own_penalties;
   std::set<std::string> closed_zones;
 
-  [[nodiscard]] std::optional<std::size_t> best_by_looking_at_all() const {
+  [[nodiscard]] std::optional<std::size_t> best_by_full_scan() const {
     std::optional<std::pair<int, std::size_t>> best;
     for (std::size_t i = 0; i < ratings.size(); ++i) {
       if (!ratings[i].score || closed_zones.contains(zones[i])) continue;
@@ -34,18 +34,18 @@
   }
 };
 
-MachineRating<int> any_rating() {
+MachineRating<int> random_rating() {
   MachineRating<int> rating;
   rating.has_room = *rc::gen::inRange(0, 3) > 0;
   if (rating.has_room && *rc::gen::inRange(0, 4) > 0) rating.score = *rc::gen::inRange(0, 6);
   return rating;
 }
 
-Fleet any_fleet() {
+Fleet random_fleet() {
   Fleet fleet;
   const int machines = *rc::gen::inRange(0, 25);
   for (int i = 0; i < machines; ++i) {
-    fleet.ratings.push_back(any_rating());
+    fleet.ratings.push_back(random_rating());
     fleet.zones.push_back("z" + std::to_string(*rc::gen::inRange(0, 3)));
     fleet.own_penalties.push_back(0);
   }
@@ -53,17 +53,17 @@
 }
 
 /// Replaces the penalties and closed zones by those of another job of the same kind.
-void next_job(Fleet& fleet) {
+void switch_to_next_job(Fleet& fleet) {
   for (int& penalty : fleet.own_penalties) penalty = *rc::gen::inRange(0, 4) / 2;
   fleet.closed_zones.clear();
   for (const char* zone : {"z0", "z1", "z2"})
     if (*rc::gen::inRange(0, 4) == 0) fleet.closed_zones.insert(zone);
 }
 
-TEST(MachineRanking, ChoosesAsALookAtAllMachinesWould) {
+TEST(MachineRanking, ChoosesTheSameMachineAsAFullScan) {
   fix_cases(300);
-  const bool held = rc::check([] {
-    Fleet fleet = any_fleet();
+  const bool passed = rc::check([] {
+    Fleet fleet = random_fleet();
     Ranking ranking(
         fleet.ratings.size(), [&fleet](std::size_t i) { return fleet.ratings[i]; },
         [&fleet](std::size_t i) -> const std::string& { return fleet.zones[i]; });
@@ -72,18 +72,18 @@
       const int changes = fleet.ratings.empty() ? 0 : *rc::gen::inRange(0, 4);
       for (int change = 0; change < changes; ++change) {
         const auto index = *rc::gen::inRange<std::size_t>(0, fleet.ratings.size());
-        fleet.ratings[index] = any_rating();
+        fleet.ratings[index] = random_rating();
         ranking.update(index);
       }
-      next_job(fleet);
+      switch_to_next_job(fleet);
       const auto best = ranking.best(
           [&](const std::string& zone) { return !fleet.closed_zones.contains(zone); },
-          [&](std::size_t i, int of_kind) { return of_kind + fleet.own_penalties[i]; });
-      RC_ASSERT(best == fleet.best_by_looking_at_all());
+          [&](std::size_t i, int kind_score) { return kind_score + fleet.own_penalties[i]; });
+      RC_ASSERT(best == fleet.best_by_full_scan());
       RC_ASSERT(ranking.any_room() == fleet.any_room());
     }
   });
-  EXPECT_TRUE(held);
+  EXPECT_TRUE(passed);
 }
 
 struct Kind {
@@ -93,20 +93,20 @@
 
 // The number of rankings is limited. A dropped ranking that is needed again must be rebuilt from
 // the machines' current state, and a kept one must be updated only for machines that have changed.
-TEST(MachineRanking, KindsBeyondTheMostAreRankedAgain) {
+TEST(MachineRanking, ADroppedRankingIsRebuilt) {
   std::vector<Machine> machines(3);
   RankingsByKind<Kind, double> rankings(&Machine::open_index);
-  for (Machine& m : machines) rankings.add(m);
+  for (Machine& machine : machines) rankings.add(machine);
   std::vector<Machine*> changes;
   std::size_t rated = 0;
-  const auto rate = [&](const Machine& m) -> MachineRating<double> {
+  const auto rate = [&](const Machine& machine) -> MachineRating<double> {
     ++rated;
-    return {m.used.gpus, true};
+    return {machine.used.gpus, true};
   };
   const auto best = [&](int kind) {
     return *rankings.get({kind}, 2, changes, rate)
                 .best([](const std::string&) { return true; },
-                      [](std::size_t, double of_kind) { return of_kind; });
+                      [](std::size_t, double kind_score) { return kind_score; });
   };
   EXPECT_EQ(best(1), 0U);
   EXPECT_EQ(best(2), 0U);
