--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -1,39 +1,44 @@
-// Places tasks: on a machine that holds the image, else on the one with the most room, in the zones
-// that the job allows.
+// Places queued tasks on machines in the zones that the job allows: preferably on a machine that
+// holds the image, otherwise on one with few image fetches in progress and much free room.
 #include "controller/controller.hpp"
 
 namespace sailreel {
 namespace {
-/// Heartbeats arrive in bunches; one pass serves those that arrive within this fraction of a
-/// heartbeat interval.
-constexpr Time kPassesPerHeartbeat = 40;
-/// Passes are also so far apart that, per heartbeat, at most this many jobs and machines are
-/// examined: the cost of a heartbeat doesn't grow with the number of waiting jobs.
-constexpr Time kLooksPerHeartbeat = 150;
-/// The rankings of a pass take at most this share of a controller's memory, at a fixed number of
-/// bytes for each ranked machine; a few are kept in any case.
+/// Scheduling passes are at least 1/kMaxPassesPerHeartbeatInterval of a heartbeat interval apart,
+/// so that one pass serves all heartbeats of a burst.
+constexpr Time kMaxPassesPerHeartbeatInterval = 40;
+/// Scheduling passes are also spaced, by up to a heartbeat interval, so that they examine on
+/// average at most this many jobs and machines per heartbeat. The cost of a heartbeat then doesn't
+/// grow with the number of waiting jobs.
+constexpr Time kMaxExaminedPerHeartbeat = 150;
+/// The fraction of a controller's memory limit that the rankings of a pass may use.
 constexpr double kRankingMemoryShare = 0.1;
-constexpr double kRankingBytes = 128;
-constexpr double kLeastRankings = 4;
+/// The estimated size of a ranking, in bytes per ranked machine.
+constexpr double kRankingBytesPerMachine = 128;
+/// This many rankings are kept even if they exceed the share of the memory.
+constexpr double kMinRankings = 4;
 }  // namespace
 
-bool Controller::usable(const Machine& m) const {
-  // A start is sent with the response to a machine's own heartbeat. A machine that answered
-  // inquiries but reached no controller itself once drew the waiting work again and again.
-  return m.heard_in_epoch && m.sized && !m.cordoned && !m.terminating && !m.silent &&
-         clock_.now >= m.quarantined_until && clock_.now - m.last_own_heartbeat <= silent_after();
+// True if tasks can be started on the machine.
+bool Controller::usable(const Machine& machine) const {
+  // Starts are sent only in the responses to a machine's own heartbeats. If a machine that answers
+  // inquiries but reaches no controller itself were usable, waiting tasks would be placed on it
+  // again and again without being started.
+  return machine.heard_in_epoch && machine.sized && !machine.cordoned && !machine.terminating &&
+         !machine.silent && clock_.now >= machine.quarantined_until &&
+         clock_.now - machine.last_own_heartbeat <= silent_after();
 }
 
-Resources Controller::room_beside(const Reservations& promised, const Machine& m) {
-  Resources room = m.room();
-  if (const auto it = promised.find(&m); it != promised.end()) room -= it->second;
+Resources Controller::room_beside(const Reservations& reservations, const Machine& machine) {
+  Resources room = machine.room();
+  if (const auto it = reservations.find(&machine); it != reservations.end()) room -= it->second;
   return room;
 }
 
-Resources Controller::room_to_come(const Machine& m) const {
-  Resources room = room_beside(reservations_, m);
-  for (const TaskAttempt& p : m.attempts)
-    if (p.held && (p.stop || p.migrating)) room += p.need;
+Resources Controller::room_to_come(const Machine& machine) const {
+  Resources room = room_beside(reservations_, machine);
+  for (const TaskAttempt& attempt : machine.attempts)
+    if (attempt.held && (attempt.stop || attempt.migrating)) room += attempt.need;
   return room;
 }
 
@@ -44,114 +49,122 @@
 }
 
 // Reserves room on a machine for the rest of the pass.
-void Controller::reserve(Machine& m, const Resources& room) {
-  reservations_[&m] += room;
-  machine_changed(m);
+void Controller::reserve(Machine& machine, const Resources& room) {
+  reservations_[&machine] += room;
+  machine_changed(machine);
 }
 
-void Controller::unreserve(Machine& m, const Resources& room) {
-  reservations_[&m] -= room;
-  machine_changed(m);
+void Controller::unreserve(Machine& machine, const Resources& room) {
+  reservations_[&machine] -= room;
+  machine_changed(machine);
 }
 
-// A gang of which no zone may hold more than half needs two zones.
-bool Controller::never_all_at_once(const JobSpec& s) const {
-  if (s.kind != JobKind::Gang || !s.spread || s.tasks < 2) return false;
-  return s.one_zone || !s.zone.empty() || settings_.zones.size() < 2;
+// True if the job is a gang whose tasks can never all run at the same time: a spread gang may have
+// at most half of its tasks in one zone, so it needs at least two zones.
+bool Controller::never_all_at_once(const JobSpec& spec) const {
+  if (spec.kind != JobKind::Gang || !spec.spread || spec.tasks < 2) return false;
+  return spec.one_zone || !spec.zone.empty() || settings_.zones.size() < 2;
 }
 
-std::optional<Infeasibility> Controller::infeasibility(const JobSpec& s) const {
+std::optional<Infeasibility> Controller::infeasibility(const JobSpec& spec) const {
   const TeamQuota* team = nullptr;
-  for (const TeamQuota& t : tables_.teams)
-    if (t.limits.name == s.team) team = &t;
+  for (const TeamQuota& quota : tables_.teams)
+    if (quota.limits.name == spec.team) team = &quota;
   if (team == nullptr) return Infeasibility::UnknownTeam;
-  const double n = s.kind == JobKind::Array ? 1 : s.tasks;
+  const double concurrent_tasks = spec.kind == JobKind::Array ? 1 : spec.tasks;
   constexpr double kSlack = 1e-6;
-  if ((team->limits.gpus_max > 0 && s.need.gpus * n > team->limits.gpus_max + kSlack) ||
-      (team->limits.cpus_max > 0 && s.need.cpus * n > team->limits.cpus_max + kSlack))
+  if ((team->limits.gpus_max > 0 &&
+       spec.need.gpus * concurrent_tasks > team->limits.gpus_max + kSlack) ||
+      (team->limits.cpus_max > 0 &&
+       spec.need.cpus * concurrent_tasks > team->limits.cpus_max + kSlack))
     return Infeasibility::AboveQuotaLimit;
-  if (never_all_at_once(s)) return Infeasibility::NeverAllAtOnce;
-  for (const MachineType& t : tables_.types) {
-    if (!tables_.type_allowed(s, t.name) || !s.need.fits_in(t.size)) continue;
-    if (s.zone.empty() || t.zones.empty() ||
-        std::find(t.zones.begin(), t.zones.end(), s.zone) != t.zones.end())
+  if (never_all_at_once(spec)) return Infeasibility::NeverAllAtOnce;
+  for (const MachineType& type : tables_.types) {
+    if (!tables_.type_allowed(spec, type.name) || !spec.need.fits_in(type.size)) continue;
+    if (spec.zone.empty() || type.zones.empty() ||
+        std::find(type.zones.begin(), type.zones.end(), spec.zone) != type.zones.end())
       return {};
   }
   return Infeasibility::NoMachineType;
 }
 
-bool Controller::ResourceRequest::as_much_as(const ResourceRequest& o) const {
-  return each.cpus >= o.each.cpus && each.gpus >= o.each.gpus &&
-         each.memory_gb >= o.each.memory_gb && spot == o.spot && zone == o.zone &&
-         any_type == o.any_type && types == o.types;
+bool Controller::ResourceRequest::as_much_as(const ResourceRequest& other) const {
+  return each.cpus >= other.each.cpus && each.gpus >= other.each.gpus &&
+         each.memory_gb >= other.each.memory_gb && spot == other.spot && zone == other.zone &&
+         any_type == other.any_type && types == other.types;
 }
 
-// Marks the jobs that fit, with their team's earlier unfinished ones, into the team's guaranteed
-// quota. Returns those that have tasks to place, by priority.
+// Marks each job as guaranteed if it fits into its team's guaranteed quota together with the team's
+// earlier unfinished jobs. Returns the jobs that have tasks to place, by priority.
 Controller::Queues Controller::note_guarantees() {
   Queues waiting;
   std::vector<Resources> totals(tables_.teams.size());
   for (auto& [order, job] : tables_.in_order) {
     ++examined_;
     if (!job->active()) continue;
-    const JobSpec& s = job->spec();
+    const JobSpec& spec = job->spec();
     job->guaranteed = false;
     if (job->team != nullptr) {
       Resources& total = totals[static_cast<std::size_t>(job->team - tables_.teams.data())];
-      const double left = static_cast<double>(s.tasks - job->record.done.count());
-      total += {s.need.cpus * left, s.need.gpus * left, 0};
+      const double unfinished_tasks = static_cast<double>(spec.tasks - job->record.done.count());
+      total += {spec.need.cpus * unfinished_tasks, spec.need.gpus * unfinished_tasks, 0};
       job->guaranteed = job->team->within_guarantee(total);
     }
-    // A team that the settings no longer name has no queue.
+    // A job is not queued if its team is no longer in the settings.
     if (job->team == nullptr || job->queued == 0) continue;
     if (job->not_before > clock_.now)
-      scheduling_needed_ = true;  // examined again by a later pass
+      scheduling_needed_ = true;  // a later pass examines the job again
     else
-      waiting[static_cast<std::size_t>(s.priority)].push_back(job);
+      waiting[static_cast<std::size_t>(spec.priority)].push_back(job);
   }
   return waiting;
 }
 
-// Guaranteed jobs first, then by deadline and age.
+// Sorts jobs in the order in which they are served: guaranteed jobs first, then by deadline, then
+// by order of acceptance.
 void Controller::queue_order(std::vector<Job*>& jobs) const {
-  const auto due = [](const Job* j) {
+  const auto deadline = [](const Job* j) {
     return j->spec().deadline_s ? j->accepted + ms(*j->spec().deadline_s) : kNever;
   };
   std::sort(jobs.begin(), jobs.end(), [&](const Job* a, const Job* b) {
     if (a->guaranteed != b->guaranteed) return a->guaranteed;
-    if (due(a) != due(b)) return due(a) < due(b);
+    if (deadline(a) != deadline(b)) return deadline(a) < deadline(b);
     return a->order < b->order;
   });
 }
 
+// Runs one scheduling pass over all waiting jobs and sets the time of the next pass.
 void Controller::schedule_all() {
   scheduling_needed_ = false;
   const Time now = clock_.now;
-  const std::uint64_t examined = examined_;
+  const std::uint64_t examined_before = examined_;
   reservations_.clear();
   for (const auto& [task, move] : migrations_)
-    if (const Machine* m = tables_.machine(move.to)) reservations_[m] += move.need;
+    if (const Machine* machine = tables_.machine(move.to)) reservations_[machine] += move.need;
   unmet_demand_.clear();
   unmet_of_team_.clear();
   forget_failures();
-  Queues all = note_guarantees();
-  // The least that any of them needs: a machine with less room is of no use to this pass.
+  Queues waiting_jobs = note_guarantees();
+  // For each resource, the smallest amount that a waiting job requests per task. This pass places
+  // nothing on a machine with less room.
   std::optional<Resources> least_need;
-  for (const std::vector<Job*>& waiting : all)
+  for (const std::vector<Job*>& waiting : waiting_jobs)
     for (const Job* job : waiting) {
-      const Resources& n = job->spec().need;
-      if (!least_need) least_need = n;
-      least_need = Resources{std::min(least_need->cpus, n.cpus), std::min(least_need->gpus, n.gpus),
-                             std::min(least_need->memory_gb, n.memory_gb)};
+      const Resources& need = job->spec().need;
+      if (!least_need) least_need = need;
+      least_need =
+          Resources{std::min(least_need->cpus, need.cpus), std::min(least_need->gpus, need.gpus),
+                    std::min(least_need->memory_gb, need.memory_gb)};
     }
   begin_rankings(least_need);
-  for (std::vector<Job*>& waiting : all) {
+  for (std::vector<Job*>& waiting : waiting_jobs) {
     queue_order(waiting);
-    // One queue per team.
+    // One queue per team, reversed because jobs are taken from the back.
     std::map<TeamQuota*, std::vector<Job*>> queues;
     for (Job* job : waiting) queues[job->team].push_back(job);
     for (auto& [team, queue] : queues) std::reverse(queue.begin(), queue.end());
-    // Fair share: the team that uses the least of its share is served next.
+    // Fair sharing: the team that uses the smallest fraction of its guaranteed quota is served
+    // next.
     while (!queues.empty()) {
       auto next = std::min_element(queues.begin(), queues.end(), [](const auto& a, const auto& b) {
         return a.first->share() < b.first->share();
@@ -163,30 +176,35 @@
     }
   }
   end_rankings();
-  const Time looks = static_cast<Time>(examined_ - examined);
+  const Time examined_in_pass = static_cast<Time>(examined_ - examined_before);
   const Time heartbeats = std::max<Time>(1, static_cast<Time>(tables_.machines.size()));
-  const Time least = std::max<Time>(10, heartbeat_interval() / kPassesPerHeartbeat);
-  const Time by_looks = looks * heartbeat_interval() / (kLooksPerHeartbeat * heartbeats);
-  next_scheduling_ = now + std::max(least, std::min(by_looks, heartbeat_interval()));
+  const Time min_interval =
+      std::max<Time>(10, heartbeat_interval() / kMaxPassesPerHeartbeatInterval);
+  const Time interval_for_work =
+      examined_in_pass * heartbeat_interval() / (kMaxExaminedPerHeartbeat * heartbeats);
+  next_scheduling_ =
+      now + std::max(min_interval, std::min(interval_for_work, heartbeat_interval()));
 }
 
-// Examines all machines once: which of them accept work, and which have room for the smallest
-// waiting request.
+// Examines all machines once and collects those that the pass ranks: for preemption all that accept
+// work, for placement those that also have room for the smallest waiting request.
 void Controller::begin_rankings(const std::optional<Resources>& least_need) {
   end_rankings();
   if (!least_need) return;
-  for (auto& [name, m] : tables_.machines) {
+  for (auto& [name, machine] : tables_.machines) {
     ++examined_;
-    m->open_index = m->room_index = {};
-    if (!open(*m)) continue;
-    preemption_rankings_.add(*m);
-    if (!least_need->fits_in(room_beside(reservations_, *m))) continue;
-    rankings_.add(*m);
-    m->reserved.fill(0);
-    for (const CachedImage& c : m->images)
-      if (const auto i = tables_.image_priority.find(c.name); i != tables_.image_priority.end())
-        for (auto p = static_cast<std::size_t>(i->second) + 1; p < kPriorities; ++p)
-          ++m->reserved[p];
+    machine->open_index = machine->room_index = {};
+    if (!open(*machine)) continue;
+    preemption_rankings_.add(*machine);
+    if (!least_need->fits_in(room_beside(reservations_, *machine))) continue;
+    rankings_.add(*machine);
+    machine->reserved.fill(0);
+    for (const CachedImage& image : machine->images)
+      if (const auto found = tables_.image_priority.find(image.name);
+          found != tables_.image_priority.end())
+        for (auto priority = static_cast<std::size_t>(found->second) + 1; priority < kPriorities;
+             ++priority)
+          ++machine->reserved[priority];
   }
 }
 
@@ -197,100 +215,108 @@
   image_holders_.clear();
 }
 
+// The number of rankings that fit into the rankings' share of the memory.
 std::size_t Controller::most_rankings() const {
   const double bytes = settings_.limits.memory_mb * 1024 * 1024 * kRankingMemoryShare;
   const auto machines = static_cast<double>(tables_.machines.size() + 1);
-  return static_cast<std::size_t>(std::max(kLeastRankings, bytes / (kRankingBytes * machines)));
+  return static_cast<std::size_t>(
+      std::max(kMinRankings, bytes / (kRankingBytesPerMachine * machines)));
 }
 
 bool Controller::place_job(Job& job) {
   if (is_gang(job)) return place_gang(job);
-  // Of a job that is likely to be a mistake, one task at a time shows whether it still fails.
+  // A suspect job has failed on several machines and never run, so it was probably submitted with a
+  // mistake. Only one of its tasks runs at a time, to find out whether it still fails.
   const bool one_by_one = job.suspect();
   if (one_by_one && job.placed > 0) return true;
-  const std::optional<std::uint32_t> left = place_tasks(job, one_by_one);
-  if (!left) return false;
-  if (*left == 0) return true;
-  record_unmet_demand(job, *job.team, *left, job.spec().zone);
-  for (std::uint32_t i = 0; i < *left && preempt_for(job); ++i) {
+  const std::optional<std::uint32_t> unplaced = place_tasks(job, one_by_one);
+  if (!unplaced) return false;
+  if (*unplaced == 0) return true;
+  record_unmet_demand(job, *job.team, *unplaced, job.spec().zone);
+  for (std::uint32_t i = 0; i < *unplaced && preempt_for(job); ++i) {
   }
   return false;
 }
 
-// True if the task is to be placed by this pass.
+// True if this pass has to place the task. Advances `next_queued` past tasks that aren't queued.
 bool Controller::due(Job& job, std::uint32_t index) {
   const Task& task = job.tasks[index];
   if (task.state != TaskState::Queued) {
     if (index == job.next_queued) ++job.next_queued;
     return false;
   }
-  // A task that is not due yet, or may still run elsewhere, is examined again by a later pass.
-  const bool due = task.not_before <= clock_.now && !job.has_orphan(index);
-  if (!due) scheduling_needed_ = true;
-  return due;
+  // A later pass examines a task again that is not due yet or may still run elsewhere.
+  const bool is_due = task.not_before <= clock_.now && !job.has_orphan(index);
+  if (!is_due) scheduling_needed_ = true;
+  return is_due;
 }
 
-// Places as many of the job's tasks as possible. Returns how many found no room; empty if the team
-// is at its quota limit.
+// Places as many of the job's tasks as possible. Returns the number of tasks that found no room, or
+// an empty value if the team is at its quota limit.
 std::optional<std::uint32_t> Controller::place_tasks(Job& job, bool one_by_one) {
   std::uint32_t waiting = 0;
   for (std::uint32_t i = job.next_queued; i < job.tasks.size() && job.queued > 0; ++i) {
     if (!due(job, i)) continue;
     if (job.team == nullptr || !job.team->allows(job.spec().need)) return {};
-    Machine* m = migration_target(job, i);
-    if (m == nullptr) m = best_machine(job, false);
-    if (m != nullptr && warm_room_made(job, *m)) {
+    Machine* machine = migration_target(job, i);
+    if (machine == nullptr) machine = best_machine(job, false);
+    if (machine != nullptr && warm_room_made(job, *machine)) {
       ++waiting;
       continue;
     }
-    if (m == nullptr) {
-      // A machine with room may be busy fetching: that room is reserved, and no instance is added
-      // for it.
-      Machine* later = best_machine(job, true);
-      if (later == nullptr) return job.queued - waiting;
-      reserve(*later, job.spec().need);
+    if (machine == nullptr) {
+      // A machine with room may already be fetching as many images as allowed. Its room is reserved
+      // for the task, and the task isn't counted as unmet demand, so no instance is added for it.
+      Machine* fetching_machine = best_machine(job, true);
+      if (fetching_machine == nullptr) return job.queued - waiting;
+      reserve(*fetching_machine, job.spec().need);
       ++waiting;
       continue;
     }
-    bind(job, i, *m, attempt_number());
+    bind(job, i, *machine, attempt_number());
     if (one_by_one) return 0;
   }
   return 0;
 }
 
-// Where an image fetch would break an SLO, preempts on a machine that holds the image, if possible.
-bool Controller::warm_room_made(const Job& job, const Machine& m) {
-  const bool late = late_if_cold(job, m, "wait");
-  if (late && preempt_for(job, true)) return true;
-  const bool owed = job.guaranteed && late_if_cold(job, m, "guarantee");
-  return (late || owed) && migrate_for(job);
+// If fetching the image on `machine` would violate an SLO, tries to make room for the task on a
+// machine that holds the image: by preemption for the `wait` SLO, otherwise by migrating replicas.
+// Returns true if room is reserved there.
+bool Controller::warm_room_made(const Job& job, const Machine& machine) {
+  const bool violates_wait = late_if_cold(job, machine, "wait");
+  if (violates_wait && preempt_for(job, true)) return true;
+  const bool violates_guarantee = job.guaranteed && late_if_cold(job, machine, "guarantee");
+  return (violates_wait || violates_guarantee) && migrate_for(job);
 }
 
-void Controller::bind(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt) {
-  tables_.place(job, index, m, attempt, clock_.now);
-  machine_changed(m);
-  m.idle_since = 0;
+// Places a task on a machine. The start is sent in the response to the machine's next heartbeat.
+void Controller::bind(Job& job, std::uint32_t index, Machine& machine, std::uint64_t attempt) {
+  tables_.place(job, index, machine, attempt, clock_.now);
+  machine_changed(machine);
+  machine.idle_since = 0;
   if (job.record.started > index) return;
   job.record.started = index + 1;
   checkpoint_.mark_changed(job);
 }
 
-// Adds the tasks to the unmet demand that more machines could serve: what the team's limit allows
-// beyond its usage and its demand counted so far. Jobs of one kind are counted together: a list
-// limited to a number of jobs once hid most of a cold start from the autoscaler.
+// Adds the tasks to the unmet demand that additional machines could serve, up to what the team's
+// limit allows beyond its usage and its demand counted so far. Demand is summed over all jobs with
+// the same request: a list limited to a number of jobs would hide most of the demand of a cold
+// start from the autoscaler.
 void Controller::record_unmet_demand(const Job& job, const TeamQuota& team, std::uint32_t tasks,
                                      const std::string& zone) {
-  const JobSpec& s = job.spec();
+  const JobSpec& spec = job.spec();
   Resources& counted = unmet_of_team_[&team];
   std::uint32_t wanted = tasks;
-  if (const auto limit = team.gpus_limit(); limit && s.need.gpus > 0)
+  if (const auto limit = team.gpus_limit(); limit && spec.need.gpus > 0)
     wanted = std::min<std::uint32_t>(
         wanted, static_cast<std::uint32_t>(
-                    std::max(0.0, (*limit - team.used.gpus - counted.gpus) / s.need.gpus)));
+                    std::max(0.0, (*limit - team.used.gpus - counted.gpus) / spec.need.gpus)));
   if (wanted == 0) return;
-  const Resources total{s.need.cpus * wanted, s.need.gpus * wanted, s.need.memory_gb * wanted};
+  const Resources total{spec.need.cpus * wanted, spec.need.gpus * wanted,
+                        spec.need.memory_gb * wanted};
   counted += total;
-  ResourceRequest want = resource_request_of(s);
+  ResourceRequest want = resource_request_of(spec);
   want.zone = zone;
   auto it = std::find_if(unmet_demand_.begin(), unmet_demand_.end(), [&](const UnmetDemand& u) {
     return u.guaranteed == job.guaranteed && u.want == want;
@@ -302,105 +328,119 @@
   it->tasks += wanted;
 }
 
-// True if fetching the image there takes longer than an SLO on starting allows.
-bool Controller::late_if_cold(const Job& job, const Machine& m, const char* slo) const {
-  const JobSpec& s = job.spec();
-  if (m.has_image(s.image) || m.fetching(s.image)) return false;
-  const MachineType* t = tables_.type(m.type);
-  if (t == nullptr || t->fetch_gb_per_s <= 0) return false;
-  for (const ServiceLevelObjective& o : settings_.objectives)
-    if (o.kind == slo && (o.job_class.empty() || o.job_class == s.job_class))
-      return s.image_gb / t->fetch_gb_per_s + settings_.workers.heartbeat_interval_s > o.within_s;
+// True if a task that fetches its image on this machine would start later than an objective of kind
+// `slo` allows.
+bool Controller::late_if_cold(const Job& job, const Machine& machine, const char* slo) const {
+  const JobSpec& spec = job.spec();
+  if (machine.has_image(spec.image) || machine.fetching(spec.image)) return false;
+  const MachineType* type = tables_.type(machine.type);
+  if (type == nullptr || type->fetch_gb_per_s <= 0) return false;
+  for (const ServiceLevelObjective& objective : settings_.objectives)
+    if (objective.kind == slo &&
+        (objective.job_class.empty() || objective.job_class == spec.job_class))
+      return spec.image_gb / type->fetch_gb_per_s + settings_.workers.heartbeat_interval_s >
+             objective.within_s;
   return false;
 }
 
-// Takes back the job's attempts whose start has not been sent yet.
+// Removes the job's attempts whose start has not been sent yet; their tasks are queued again.
 void Controller::unplace(Job& job) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
     ++examined_;
-    Machine& m = *task.machine;
-    for (std::size_t i = m.attempts.size(); i-- > 0;) {
-      const TaskAttempt& p = m.attempts[i];
-      if (p.job == &job && p.state == AttemptState::Reserved) tables_.erase(m, i);
+    Machine& machine = *task.machine;
+    for (std::size_t i = machine.attempts.size(); i-- > 0;) {
+      const TaskAttempt& attempt = machine.attempts[i];
+      if (attempt.job == &job && attempt.state == AttemptState::Reserved) tables_.erase(machine, i);
     }
-    machine_changed(m);
+    machine_changed(machine);
   }
   forget_failures();
 }
 
-// Increases across epochs without any stored state.
+// Returns a new attempt number. The high bits hold the epoch, so the numbers increase across epochs
+// without any stored state.
 std::uint64_t Controller::attempt_number() {
   return (election_.epoch() << kAttemptBits) + next_attempt_++;
 }
 
-// The machine that awaits a replica stopped for migration, if it can still start there.
+// Returns the target machine of a replica that was stopped for migration, or null if the task is
+// not migrating or can no longer start there. Ends the migration and releases the room reserved for
+// it.
 Machine* Controller::migration_target(const Job& job, std::uint32_t index) {
   if (migrations_.empty()) return nullptr;
   const auto node = migrations_.extract(task_name({job.spec().id, index}));
   if (!node) return nullptr;
-  Machine* m = tables_.machine(node.mapped().to);
-  if (m == nullptr) return nullptr;
-  unreserve(*m, node.mapped().need);
+  Machine* machine = tables_.machine(node.mapped().to);
+  if (machine == nullptr) return nullptr;
+  unreserve(*machine, node.mapped().need);
   forget_failures();
-  const bool possible = open(*m) && m->has_image(job.spec().image) &&
-                        job.spec().need.fits_in(m->room()) && tables_.allowed(job, *m);
-  return possible ? m : nullptr;
+  const bool possible = open(*machine) && machine->has_image(job.spec().image) &&
+                        job.spec().need.fits_in(machine->room()) && tables_.allowed(job, *machine);
+  return possible ? machine : nullptr;
 }
 
-// Scores a machine for one more task of such a job, disregarding the job's own tasks and failures.
+// Rates a machine for one more task of a job with this spec, regardless of where the job has tasks
+// or has failed.
 MachineRating<Controller::BinPackingScore> Controller::bin_packing_score(
-    const JobSpec& s, const Machine& m, bool may_queue_fetch) const {
-  if (!open(m)) return {};
-  const Resources room = room_beside(reservations_, m);
-  if (!s.need.fits_in(room) || !tables_.suits(s, m)) return {};
-  const double image = m.has_image(s.image) ? 0 : m.fetching(s.image) ? 1 : 2;
-  const std::size_t fetches = image == 2 ? m.fetches() : 0;
-  if (image == 2 && !may_queue_fetch && fetches >= fetch_limit()) return {{}, true};
-  // Work that may use spot instances leaves the on-demand ones to work that may not.
-  const double dear = s.spot && !m.spot ? 1 : 0;
-  // Room beside images of more important work is left to that, as long as there is other room.
-  const double reserved = m.reserved[static_cast<std::size_t>(s.priority)];
-  // Among machines that hold the image the fullest, so that others become empty; otherwise the one
-  // with the most room, and of these the one with the fewest fetches, as they share its rate.
-  const double fill =
-      image < 2 ? room.gpus + room.cpus / 1000 : static_cast<double>(fetches) * 100 - room.gpus;
-  return {BinPackingScore{0, dear, image, reserved, 0, fill}, true};
+    const JobSpec& spec, const Machine& machine, bool may_queue_fetch) const {
+  if (!open(machine)) return {};
+  const Resources room = room_beside(reservations_, machine);
+  if (!spec.need.fits_in(room) || !tables_.suits(spec, machine)) return {};
+  const double image_state = machine.has_image(spec.image)  ? 0
+                             : machine.fetching(spec.image) ? 1
+                                                            : 2;
+  const std::size_t fetches = image_state == 2 ? machine.fetches() : 0;
+  if (image_state == 2 && !may_queue_fetch && fetches >= fetch_limit()) return {{}, true};
+  // Jobs that may use spot instances leave on-demand instances to jobs that may not.
+  const double uses_on_demand = spec.spot && !machine.spot ? 1 : 0;
+  // Machines that hold images of higher-priority jobs are left to those jobs as long as there is
+  // room elsewhere.
+  const double higher_priority_images = machine.reserved[static_cast<std::size_t>(spec.priority)];
+  // Among machines that hold or are fetching the image, the fullest is best, so that others become
+  // empty. Among the other machines, the one with the fewest fetches is best, as they share its
+  // rate, and of these the one with the most free GPUs.
+  const double room_score = image_state < 2 ? room.gpus + room.cpus / 1000
+                                            : static_cast<double>(fetches) * 100 - room.gpus;
+  return {BinPackingScore{0, uses_on_demand, image_state, higher_priority_images, 0, room_score},
+          true};
 }
 
-// The score for a particular job, which includes its own tasks and failures.
-Controller::BinPackingScore Controller::score_for_job(const Job& job, const Machine& m,
-                                                      BinPackingScore of_kind) {
-  if (job.error_machines.contains(m.name)) of_kind[kScoreFailed] = 1;
-  // Replicas of a service are spread, so that the loss of a machine affects few of them.
+// Returns the score for a particular job: the score of its kind, worsened if the job has failed on
+// the machine or, for a service, has replicas there.
+Controller::BinPackingScore Controller::score_for_job(const Job& job, const Machine& machine,
+                                                      BinPackingScore kind_score) {
+  if (job.error_machines.contains(machine.name)) kind_score[kScoreFailed] = 1;
+  // The replicas of a service are spread over machines, so that the loss of one affects few of
+  // them.
   if (job.spec().kind == JobKind::Service && job.placed > 0)
-    of_kind[kScoreTogether] = static_cast<double>(
-        std::count_if(m.attempts.begin(), m.attempts.end(),
-                      [&](const TaskAttempt& p) { return p.job == &job && p.held; }));
-  return of_kind;
+    kind_score[kScoreTogether] = static_cast<double>(std::count_if(
+        machine.attempts.begin(), machine.attempts.end(),
+        [&](const TaskAttempt& attempt) { return attempt.job == &job && attempt.held; }));
+  return kind_score;
 }
 
 Machine* Controller::best_machine(const Job& job, bool may_queue_fetch) {
-  const JobSpec& s = job.spec();
-  const ResourceRequest want = resource_request_of(s);
+  const JobSpec& spec = job.spec();
+  const ResourceRequest want = resource_request_of(spec);
   for (const ResourceRequest& failed : no_room_for_)
     if (want.as_much_as(failed)) return nullptr;
-  const auto rate = [this, s, may_queue_fetch](const Machine& m) {
+  const auto rate = [this, spec, may_queue_fetch](const Machine& machine) {
     ++examined_;
-    return bin_packing_score(s, m, may_queue_fetch);
+    return bin_packing_score(spec, machine, may_queue_fetch);
   };
   MachineRanking<BinPackingScore>& ranking = rankings_.get(
-      {s.image, s.priority, may_queue_fetch, want}, most_rankings(), machines_changed_, rate);
+      {spec.image, spec.priority, may_queue_fetch, want}, most_rankings(), machines_changed_, rate);
   if (!ranking.any_room()) {
     no_room_for_.push_back(want);
     return nullptr;
   }
   const auto zone_open = [&](const std::string& zone) { return tables_.zone_open(job, zone); };
-  const auto own = [&](std::size_t index, const BinPackingScore& of_kind) {
+  const auto own_score = [&](std::size_t index, const BinPackingScore& kind_score) {
     ++examined_;
-    return score_for_job(job, *rankings_.machines()[index], of_kind);
+    return score_for_job(job, *rankings_.machines()[index], kind_score);
   };
-  const std::optional<std::size_t> best = ranking.best(zone_open, own);
+  const std::optional<std::size_t> best = ranking.best(zone_open, own_score);
   return best ? rankings_.machines()[*best] : nullptr;
 }
 
