--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -1,5 +1,5 @@
-// Autoscaler: scales out for unmet demand and headroom, drains and terminates surplus and idle
-// machines.
+// Autoscaler: launches machines for unmet demand and headroom, and drains and terminates surplus
+// and idle machines.
 #include <cmath>
 #include <utility>
 
@@ -9,26 +9,32 @@
 
 namespace sailreel {
 namespace {
+/// Machines that one scale-out request asks for, at most.
 constexpr std::uint32_t kMaxScaleOut = 50;
+/// Machines that one terminate request names, at most.
 constexpr std::size_t kMaxRelease = 100;
-/// A machine that takes this many times its type's boot time is terminated.
+/// A machine that has sent no heartbeat after this many times its type's boot time is terminated.
 constexpr double kDeadBoot = 3;
-/// The fraction of the room that running arrays will have freed by the time a machine has booted
-/// that is relied upon.
+/// Running arrays free room while a new machine boots. This fraction of the room that they are
+/// expected to free counts as available to waiting tasks.
 constexpr double kRelief = 0.5;
-/// Machines are terminated above this many times the headroom; between the two nothing changes.
+/// An on-demand machine is drained or terminated only if the others still provide this many times
+/// the headroom. Between the headroom and this, the fleet stays as it is.
 constexpr double kReturnHeadroom = 1.2;
-/// At most one in this many machines may be draining.
+/// At most one in this many usable on-demand machines, plus one, drain at the same time.
 constexpr std::size_t kRetiringShare = 32;
-/// No machine drains until nothing has waited for an on-demand one for this many worker leases.
+/// No machine is drained until no work has waited for on-demand capacity for this many worker
+/// leases.
 constexpr Time kRetireLeases = 2;
 
-/// In ms. Where there was no capacity, the request is repeated after a list's lag and at least
-/// this.
+/// After the cloud had no capacity for a kind of machine in a zone, none is requested there for the
+/// lag of the cloud's machine list, and for at least this many ms.
 constexpr Time kLeastNoCapacity = 2'000;
+/// Delay in ms after which a scale-out request without a final response is sent again.
 constexpr Time kScaleOutRetry = 1'000;
+/// Minimum interval in ms at which the reading of the cloud's machine list begins.
 constexpr Time kLeastListGap = 1'000;
-/// Logged where no machine type can hold what is guaranteed.
+/// Logged as the number of machines needed if no machine type can hold the guaranteed quotas.
 constexpr double kMostDescribed = 1e9;
 /// A demand for less than this fraction of a machine doesn't justify another one.
 constexpr double kMachineSlack = 0.01;
@@ -69,12 +75,13 @@
             tables_.types.empty() ? CloudBudget::Full : CloudBudget::KeepReserve))
       next_types_ = now + 6 * worker_lease();
   }
-  // A list that was begun is continued.
+  // A list of which some pages have been read is read to its end.
   if ((now >= next_list_ || !listed_up_to_.empty()) && !listing_) ask_for_list();
 }
 
-// Requests the list's next page; if the rate limit doesn't allow it now, later. When the list was
-// restarted instead, it was never read to its end if it had more pages than the rate's burst.
+// Requests the next page of the machine list. If the rate limit doesn't allow that now, the same
+// page is requested later: restarting the list instead would never reach the end of a list that has
+// more pages than the rate limit's burst.
 void Controller::ask_for_list() {
   const std::uint64_t term = election_.term();
   CloudRequest call;
@@ -98,7 +105,8 @@
   check_capacity();
 }
 
-// Logs, once per leader, if the settings describe more machines than their limits carry.
+// Logs a warning, once per leader, if the guaranteed quotas need more machines than the settings'
+// limits support.
 void Controller::check_capacity() {
   if (std::exchange(capacity_checked_, true) || tables_.types.empty()) return;
   double boot_s = 0;
@@ -118,7 +126,7 @@
   listed_up_to_.clear();
   if (r.status != 200) return;
   for (const ListedMachine& l : r.machines) {
-    // Lists lag: a terminated machine remains listed for a while.
+    // The list lags behind: a terminated machine remains listed for a while.
     if (terminated_.contains(l.name)) continue;
     Machine* known = tables_.machine(l.name);
     if (known == nullptr && l.state == ListedMachine::State::Failed) {
@@ -161,7 +169,9 @@
   for (const auto& [kind, total] : demand.anywhere) scale_out_missing(kind, total, supply);
 }
 
-// Machines that are up or still booting. Late ones aren't counted any more.
+// Counts the machines by kind and zone, including those requested from the cloud, and separately
+// the machines that are still to come up. Those in unreachable zones, and those that take much
+// longer to boot than usual, aren't expected to come up.
 Controller::FleetSupply Controller::count_supply() const {
   FleetSupply supply;
   for (const auto& [name, m] : tables_.machines) {
@@ -193,7 +203,8 @@
   return it == no_capacity_until_.end() || it->second <= clock_.now;
 }
 
-// The type that takes such work at the lowest price, among those that may be launched now.
+// Returns the machine type with the lowest price per task slot for the request, among the types
+// that may be launched now; null if there is none.
 const MachineType* Controller::cheapest_type(const ResourceRequest& want, bool spot) const {
   const MachineType* best = nullptr;
   double best_price = 0;
@@ -215,8 +226,8 @@
   return best;
 }
 
-// Array tasks end by themselves: by the time that a machine has booted, some of their room is free
-// for waiting tasks.
+// Estimates the room that tasks of arrays and gangs free for waiting tasks by the time that a new
+// machine would have booted: unlike replicas, these tasks end by themselves.
 Resources Controller::room_freed_by_arrays() const {
   Resources freed;
   for (const auto& [name, m] : tables_.machines) {
@@ -231,8 +242,8 @@
   return freed;
 }
 
-// How much on-demand room may be added for work without a guaranteed quota: as far as the fleet
-// stays within twice its headroom.
+// Returns how much on-demand capacity may be added for work without a guaranteed quota: as much as
+// keeps the unused on-demand capacity within twice the headroom.
 Resources Controller::on_demand_allowance(const OnDemandCapacity& on_demand,
                                           const FleetSupply& supply) const {
   const double most = 1 + 2 * options_.headroom_ratio;
@@ -248,7 +259,9 @@
   return allowance;
 }
 
-// For each kind of waiting work, room on the cheapest type that takes it.
+// Assigns the unmet demand of each kind of waiting work to the cheapest machine type that can run
+// it. Work that may use spot instances is assigned to on-demand ones only if no spot instances can
+// be launched for it.
 Controller::Demand Controller::demand_of_waiting(const OnDemandCapacity& on_demand,
                                                  const FleetSupply& supply) {
   Demand demand;
@@ -275,7 +288,8 @@
   return demand;
 }
 
-// Subtracts what the freed room will serve from the unmet demand.
+// Subtracts the tasks that fit into the freed room from the unmet demand, and their needs from the
+// freed room.
 void Controller::serve_from(Resources& freed, UnmetDemand& unmet) {
   if (unmet.tasks == 0) return;
   const Resources& each = unmet.want.each;
@@ -287,9 +301,10 @@
   unmet.total -= served;
 }
 
-// Work without a guaranteed quota that may use spot instances waits for these. On-demand ones are
-// added for it within the allowance, and one beyond, so that it progresses where there are no spot
-// instances: a guest's array once filled a zone's expensive machines.
+// Limits the on-demand capacity that is added for work that has no guaranteed quota and may use
+// spot instances: the allowance, plus one machine so that the work progresses where there are no
+// spot instances. For the rest it waits for spot instances. Without this limit, an array of a team
+// without a guaranteed quota filled the expensive machines of a zone.
 void Controller::limit_to_allowance(const MachineType& type, Resources& allowance,
                                     UnmetDemand& unmet) {
   constexpr double kSlack = 1e-6;
@@ -303,7 +318,8 @@
   allowance -= unmet.total;
 }
 
-// Headroom for future services, as a share of what such work uses or waits for.
+// Adds headroom for future work that requires on-demand machines, as a share of what such work uses
+// or waits for.
 void Controller::add_headroom(const OnDemandCapacity& on_demand, Demand& demand) const {
   Resources used = on_demand.used;
   for (const UnmetDemand& unmet : unmet_demand_)
@@ -311,10 +327,10 @@
   if (used.gpus <= 0 && used.cpus <= 0) return;
   const MachineType* type = cheapest_type(ResourceRequest{}, false);
   if (type == nullptr) return;
-  // Waiting work has no room: the whole headroom is added on top of it.
+  // `used` includes waiting work, for which there is no room yet: the headroom comes on top of it.
   Resources& wanted = demand.anywhere[{type->name, false}];
   const double share = 1 + options_.headroom_ratio;
-  // Room for work that is bound to a zone is added there.
+  // The room that is added in single zones, for work bound to them, counts as provided.
   Resources provided = on_demand.size;
   for (const auto& [pool, total] : demand.in_zone)
     if (!pool.kind.spot) provided += total;
@@ -322,8 +338,9 @@
   wanted.cpus = std::max(wanted.cpus, used.cpus * share - provided.cpus);
 }
 
-// Adds what is missing in a zone. Machines there are for that work, and for none that could go
-// elsewhere. A job bound to one zone once had machines launched in all of them, again and again.
+// Launches the machines that are missing for work bound to a zone. The machines that are still to
+// come up there count for this work first, and for work that may run in any zone only beyond that.
+// Without this distinction, a job bound to one zone caused launches in all zones again and again.
 void Controller::scale_out_in_zone(const InstancePool& pool, const Resources& total,
                                    FleetSupply& supply) {
   const MachineType* type = tables_.type(pool.kind.type);
@@ -340,8 +357,8 @@
   supply.coming[pool.kind] -= std::min(needed, coming);
 }
 
-// Adds what is missing, one by one in the zone that has the fewest machines, of the reachable zones
-// if possible.
+// Launches the missing machines, each in the zone that has the fewest machines of that kind. Zones
+// that are unreachable are used only if no other zone may be used.
 void Controller::scale_out_missing(const MachineKind& kind, const Resources& total,
                                    FleetSupply& supply) {
   const MachineType* type = tables_.type(kind.type);
@@ -365,18 +382,20 @@
   for (const auto& [zone, count] : split) scale_out(kind, zone, count);
 }
 
-// Records a scale-out request; it is sent to the cloud once that is committed.
+// Records scale-out requests. Each is sent to the cloud once its record is committed to the
+// checkpoint.
 void Controller::scale_out(const MachineKind& kind, const std::string& zone, std::uint32_t count) {
   while (count > 0) {
     const std::uint32_t n = std::min(count, kMaxScaleOut);
     count -= n;
     PendingScaleOut scale_out;
-    // The epoch makes the name unique to this leader; no other controller ever uses it.
+    // The epoch makes the name unique to this leader: no other controller ever uses the same name.
     const std::string name =
         "r-" + std::to_string(election_.epoch()) + "-" + std::to_string(next_scale_out_++);
     scale_out.request = {name, kind.type, zone, kind.spot, n};
     scale_out.since = clock_.now;
-    // The rest is requested once these have been answered.
+    // If the checkpoint has no room for another pending request, a later run of the autoscaler
+    // requests the remaining machines, once the cloud has answered some of the pending requests.
     if (!checkpoint_.scale_out_fits(scale_out.request)) return;
     outbox_.log(Log::Level::Info, LogEvent::ScaleOut,
                 {{"request", name},
@@ -424,7 +443,7 @@
     scale_outs_.erase(it);
     checkpoint_.mark_scale_outs_changed();
   } else {
-    // No response: the same request again, since it may have been carried out.
+    // The cloud may have carried out the request, so the same one is sent again under its name.
     open.retry = clock_.now + kScaleOutRetry;
   }
 }
@@ -493,15 +512,16 @@
   drain_surplus(on_demand);
 }
 
-// True if more than enough remains without the machine.
+// Returns whether the other on-demand machines still provide the headroom that has to remain.
 bool Controller::spare(const OnDemandCapacity& on_demand, const Machine& m) const {
   const auto& [size, used] = on_demand;
   const double keep = 1 + kReturnHeadroom * options_.headroom_ratio;
   return size.gpus - m.size.gpus >= used.gpus * keep && size.cpus - m.size.cpus >= used.cpus * keep;
 }
 
-// The size of the on-demand machines that accept work, and what work that needs them uses; what may
-// be preempted counts as free.
+// Returns the total size of the on-demand machines that accept work, and what work that requires
+// on-demand machines uses on them. The room of tasks that may run on spot instances counts as free,
+// since these tasks can be preempted.
 Controller::OnDemandCapacity Controller::on_demand_capacity() const {
   OnDemandCapacity room;
   for (const auto& [name, m] : tables_.machines) {
@@ -513,17 +533,18 @@
   return room;
 }
 
-// When more is up than is needed, the machines with the fewest replicas are drained: replicas end
-// here and there, and no machine would become empty by itself. Each replica migrates to a machine
-// that already holds its image.
+// Drains the on-demand machines with the fewest tasks while there is more capacity than needed:
+// replicas end on one machine here, on another there, and no machine would become empty by itself.
+// Each replica migrates to a machine that already holds its image.
 void Controller::drain_surplus(OnDemandCapacity on_demand) {
-  // Demand that comes and goes within seconds once had one machine marked 17 times in a day, and
-  // its replicas migrated each time.
+  // Draining starts only after a time without such demand: when demand came and went within
+  // seconds, one machine was drained 17 times in a day, and its replicas migrated each time.
   const bool wanted = on_demand_awaited_ || std::any_of(unmet_demand_.begin(), unmet_demand_.end(),
                                                         [](auto& u) { return !u.want.spot; });
   if (wanted) {
     drain_not_before_ = clock_.now + kRetireLeases * worker_lease();
-    // When a machine was drained while such work waited for it, another was launched each time.
+    // Usable machines stop draining: if they continued while work waits for on-demand capacity, a
+    // new machine would be launched for each of them.
     for (auto& [name, m] : tables_.machines) m->draining = m->draining && !usable(*m);
   }
   if (reconciling_ || clock_.now < drain_not_before_) return;
@@ -538,8 +559,8 @@
     if (const Machine* to = tables_.machine(move.to)) under_way[to] += move.need;
   std::vector<FailedMigration> failed_migrations;
   image_holders_.clear();
-  // As many at a time as the fleet's size allows: one per autoscaler run was too slow for hundreds,
-  // when demand fell.
+  // Starts to drain as many machines in one run as the fleet's size allows. One machine per run was
+  // too slow when demand fell and hundreds of machines had to be drained.
   for (Machine* m : machines_to_drain()) {
     if (draining > up / kRetiringShare) break;
     if (!spare(on_demand, *m) || !drain_machine(*m, under_way, failed_migrations)) continue;
@@ -549,7 +570,8 @@
   image_holders_.clear();
 }
 
-// Candidates for draining, those first on which the fewest tasks have to end or migrate.
+// Returns the machines that can be drained, ordered by the number of tasks that have to end or
+// migrate, the fewest first.
 std::vector<Machine*> Controller::machines_to_drain() const {
   struct Candidate {
     std::size_t tasks;
@@ -564,7 +586,7 @@
     for (const TaskAttempt& p : m->attempts) {
       if (!p.held) continue;
       ++tasks;
-      // Tasks of an array or a gang are left to end.
+      // Tasks of arrays and gangs aren't migrated; draining waits until they end.
       if (p.job != nullptr && p.job->spec().kind != JobKind::Service) continue;
       moved += p.need;
       possible = possible && migratable(p);
@@ -580,13 +602,14 @@
   return machines;
 }
 
-// Marks a machine as draining if each of its replicas can migrate to a machine that holds its
-// image. What is reserved there meanwhile is added to `under_way`, and what finds no place is
-// recorded in `failed_migrations`: examining all machines for each replica of each machine grew
-// with the square of the fleet.
+// Marks a machine as draining and starts to migrate its replicas, if each of them has a target: a
+// machine with room that holds its image. Adds the room reserved on the targets to `under_way`.
+// Adds replicas without a target to `failed_migrations`, so that no target is searched for similar
+// replicas again: the cost of examining all machines for each replica of each machine grew with the
+// square of the fleet's size.
 bool Controller::drain_machine(Machine& m, Reservations& under_way,
                                std::vector<FailedMigration>& failed_migrations) {
-  // Replicas that another machine's draining has sent here stay.
+  // A machine that is the target of migrations isn't drained.
   if (under_way.contains(&m)) return false;
   std::vector<PlannedMigration> plan;
   for (TaskAttempt& p : m.attempts) {
@@ -600,8 +623,9 @@
       return false;
     Machine* to = warm_room(p, m, under_way, plan);
     if (to == nullptr) {
-      // The same holds for similar replicas elsewhere, unless they could come here, or the plan
-      // itself takes the room.
+      // Similar replicas on other machines have no target either, with these exceptions: this
+      // machine has room for them, or the migrations planned above take the room, or constraints on
+      // the job's zones exclude targets that other jobs may use.
       const bool room_here = spec.need.fits_in(room_beside(under_way, m));
       if (plan.empty() && !room_here && !spec.spread && !spec.one_zone)
         failed_migrations.push_back({want, spec.image});
@@ -638,7 +662,8 @@
         for (const std::string& name : names) {
           termination_queue_.erase(name);
           terminated_[name] = clock_.now;
-          // The machine and everything on it is gone: the strongest proof there is.
+          // The cloud has confirmed the termination. This proves that none of the machine's tasks
+          // runs any more.
           if (Machine* m = tables_.machine(name))
             machine_gone(*m, IncarnationLossCause::Terminated);
         }
--- a/src/controller/capacity_check.cpp
+++ b/src/controller/capacity_check.cpp
@@ -9,20 +9,26 @@
 namespace sailreel {
 namespace {
 
+/// The key-value store and the cloud get one in this many sockets.
 constexpr std::size_t kServicesPart = 4;
+/// Calls to workers get one in this many sockets.
 constexpr std::size_t kWorkerCallsPart = 4;
+/// Connections from users and workers get one in this many sockets, less a part for peer links.
 constexpr std::size_t kServerPart = 2;
-/// One link each way for each peer, and as many again that a partition has left half open. A few
-/// more than that cost nothing.
+/// Sockets for the links with each peer: one link each way, as many again that a network partition
+/// has left half-open, and a margin, since a few spare sockets cost nothing.
 constexpr std::size_t kLinksPerPeer = 8;
+/// Minimum number of sockets for links with peers.
 constexpr std::size_t kLeastLinks = 32;
-/// Workers' share of the sockets for users and workers; users' connections are short.
+/// Fraction of the sockets for users and workers that workers may use. Users' connections are short
+/// and need few sockets.
 constexpr double kWorkersShare = 0.9;
-/// In MB. Measured with 3.5 tasks a machine (docs/CAPACITY.md).
+/// Memory in MB that a leader uses without machines, and for each machine. Measured with 3.5 tasks
+/// per machine (docs/CAPACITY.md).
 constexpr double kLeaderMb = 8.1;
 constexpr double kMachineMb = 0.0022;
 
-/// True if any number of machines of that size can hold so much.
+/// Returns whether machines of that size can hold the total if there are enough of them.
 bool can_hold(const Resources& total, const Resources& size) {
   return (total.gpus <= 0 || size.gpus > 0) && (total.cpus <= 0 || size.cpus > 0);
 }
@@ -36,8 +42,9 @@
   shares.worker_calls = sockets / kWorkerCallsPart;
   const std::size_t peer_links = std::max(kLeastLinks, kLinksPerPeer * settings.peers.size());
   shares.links = peer_links + region_links;
-  // The links get half of their sockets from the server's part, the rest from what the others
-  // leave; where there are few sockets, the server keeps half of its part.
+  // Half of the sockets for peer links are taken from the server's part; the rest relies on the
+  // other uses not taking all of theirs. The server keeps at least half of its part, even if there
+  // are few sockets.
   const std::size_t part = sockets / kServerPart;
   shares.server = part - std::min(part / 2, peer_links / 2);
   return shares;
--- a/src/controller/capacity_check.hpp
+++ b/src/controller/capacity_check.hpp
@@ -1,4 +1,4 @@
-// How many machines the settings' limits carry, and how a controller's sockets are distributed.
+// How many machines the settings' limits support, and how a controller's sockets are distributed.
 #pragma once
 
 #include <cstddef>
@@ -9,15 +9,15 @@
 
 namespace sailreel {
 
-/// A controller's sockets by use; counts of sockets.
+/// The number of a controller's sockets that each use may take.
 struct SocketShares {
   std::size_t services = 0;      // to the key-value store and the cloud
   std::size_t worker_calls = 0;  // to workers, for direct commands and inquiries
   std::size_t links = 0;         // with other controllers, in both directions
   std::size_t server = 0;        // from users and workers
 };
-/// Distributes the sockets that the settings allow. `region_links`: links with controllers of other
-/// regions.
+/// Distributes the sockets that the settings allow among their uses. `region_links` is the number
+/// of links with controllers of other regions.
 SocketShares share_sockets(const Settings& settings, std::size_t region_links);
 
 /// A limit of the settings, and the approximate number of machines at which it binds.
@@ -25,11 +25,13 @@
   const char* name = "";
   double machines = 0;
 };
-/// The limit that binds first: sockets for workers' heartbeats with one controller down, a leader's
-/// memory, or the writes that record a whole fleet within a boot time (`boot_s`, seconds).
+/// Returns the limit that binds at the smallest number of machines: the sockets for workers'
+/// heartbeats while one controller is down, the leader's memory, or the rate of state writes, which
+/// has to record the whole fleet within a boot time (`boot_s`, in seconds).
 CapacityLimit tightest_limit(const Settings& settings, const Options& options, double boot_s);
 
-/// The least number of machines that holds what the settings guarantee to teams.
+/// Returns the smallest number of machines of one type, as a fraction, that holds all quotas that
+/// the settings guarantee to teams: 0 if `types` is empty, infinity if no type can hold them.
 double described_machines(const Settings& settings, const std::vector<MachineType>& types);
 
 }  // namespace sailreel
--- a/src/controller/pending_scale_out.hpp
+++ b/src/controller/pending_scale_out.hpp
@@ -1,4 +1,4 @@
-// Requests for instances that the cloud hasn't answered for good.
+// Scale-out requests to which the cloud has not given a final response.
 #pragma once
 
 #include <map>
@@ -9,18 +9,19 @@
 
 namespace sailreel {
 
-/// A request for instances, from its decision until the cloud's final answer.
+/// A scale-out request, from the autoscaler's decision until the cloud's final response.
 struct PendingScaleOut {
   ScaleOutRequest request;
-  /// It is in the checkpoint, so the cloud may be asked.
+  /// The request is recorded in the checkpoint, so it may be sent to the cloud.
   bool committed = false;
-  /// A call for it is in flight.
+  /// A call to the cloud with this request is in flight.
   bool asking = false;
-  /// Moments in ms of the controller's clock: not asked again before `retry`; decided at `since`.
+  /// Times in ms of the controller's clock: the request is not sent again before `retry`, and it
+  /// was decided at `since`.
   Time retry = 0, since = 0;
 };
 
-/// By the request's name, which no other controller ever uses.
+/// Scale-out requests by name. A request's name is never used by another controller.
 using PendingScaleOuts = std::map<std::string, PendingScaleOut>;
 
 }  // namespace sailreel
--- a/src/controller/regional_quotas.hpp
+++ b/src/controller/regional_quotas.hpp
@@ -1,6 +1,6 @@
-// What teams may use in this region: their limits as the settings give them and, where limits span
-// regions, the region's shares of them. Keeps the caps in the tables; the share manager moves the
-// shares.
+// What each team may use in this region: its limits from the settings and, if limits span regions,
+// this region's share of them. Keeps the caps in the tables up to date; the share manager moves the
+// shares between regions.
 #pragma once
 
 #include <memory>
@@ -14,39 +14,44 @@
 
 namespace sailreel {
 
-/// The teams' limits in one region. Writes the caps to `tables`, which it doesn't own and which
-/// must outlive it; owns the share manager.
+/// The teams' limits in one region. Writes the caps to `tables`, which must outlive this object,
+/// and owns the share manager.
 class RegionalQuotas {
  public:
-  /// Without federation in the options, limits are the settings' and nothing is ever written.
+  /// Without federation in the options, only the settings' limits apply, and no share records are
+  /// written.
   RegionalQuotas(const Settings& settings, const FederationOptions& options, Tables& tables);
 
-  /// True if limits span regions.
+  /// Whether limits span regions.
   [[nodiscard]] bool shared() const { return shares_ != nullptr; }
-  /// To be called when this controller becomes leader, with the checkpoint's contents. False if
-  /// these say that limits span regions and the options don't, or if they can't be read: then the
-  /// caps stay at what was written, or at nothing.
+  /// To be called with the checkpoint's contents when this controller becomes leader. Returns false
+  /// if the checkpoint has share records but the options have no federation. Each team's cap is
+  /// then the share in its record, or 0 if the record is missing or can't be decoded.
   bool load(const Snapshot& checkpoint, std::uint64_t epoch, Time now);
-  /// This controller no longer leads.
+  /// To be called when this controller no longer leads.
   void stop();
 
-  /// To be called periodically while this controller leads; `now` in ms. `complete`: everything
-  /// that may run is counted. `all_share`: every controller of the region is known to share limits.
+  /// To be called periodically while this controller leads. Passes the teams' load to the share
+  /// manager; returns what has to be sent, stopped or logged. `now` is in ms. `complete` tells that
+  /// all tasks that may run are counted, `all_share` that every controller of the region is known
+  /// to support quota shares.
   std::vector<federation::ShareAction> observe(Time now, bool complete, bool all_share);
-  /// Processes a message of another region; returns what has to be sent or logged for it. `now` in
-  /// ms.
+  /// Processes a message from another region; returns what has to be sent or logged for it. `now`
+  /// is in ms.
   std::vector<federation::ShareAction> take(Time now, const RegionMessage& message);
-  /// The checkpoint commit that contains the last writes has succeeded.
+  /// To be called when the checkpoint commit with the last result of `writes` has succeeded. `now`
+  /// is in ms.
   std::vector<federation::ShareAction> committed(Time now);
 
-  /// Whether share records have to be written, and the writes for the next checkpoint commit, at
-  /// most `most`.
+  /// Whether share records have to be written.
   [[nodiscard]] bool wants_commit() const { return shares_ && shares_->wants_commit(); }
+  /// Returns at most `most` writes of share records for the next checkpoint commit. Only valid if
+  /// limits span regions.
   std::vector<federation::ShareWrite> writes(std::size_t most) { return shares_->writes(most); }
 
-  /// True if a cap was raised since the last call.
+  /// Returns whether a cap was raised since the last call.
   bool take_raised() { return std::exchange(raised_, false); }
-  /// Null where limits don't span regions. Owned by this object.
+  /// The share manager, which this object owns; null if limits don't span regions.
   [[nodiscard]] const federation::ShareManager* shares() const { return shares_.get(); }
 
  private:
--- a/src/controller/resource_ratios.hpp
+++ b/src/controller/resource_ratios.hpp
@@ -7,7 +7,8 @@
 
 namespace sailreel {
 
-/// How many tasks that need `each` have room; resources that they don't need don't bound it.
+/// Returns how many tasks that need `each` fit into `room`, as a fraction. Resources of which a
+/// task needs none are ignored.
 inline double task_slots(const Resources& room, const Resources& each) {
   constexpr double kUnbounded = 1e9, kSlack = 1e-6;
   double slots = kUnbounded;
@@ -17,7 +18,8 @@
   return std::max(0.0, slots);
 }
 
-/// How many machines of that size hold `total`; resources that they don't have don't count.
+/// Returns how many machines of that size hold `total`, as a fraction. Resources that the machines
+/// don't have are ignored.
 inline double machines_for(const Resources& total, const Resources& size) {
   double machines = 0;
   if (size.gpus > 0) machines = std::max(machines, total.gpus / size.gpus);
--- a/src/controller/share_moves.cpp
+++ b/src/controller/share_moves.cpp
@@ -3,14 +3,15 @@
 
 namespace sailreel {
 namespace {
-/// How often the share manager is told of the load within a heartbeat interval.
+/// The share manager gets the teams' load this many times per heartbeat interval.
 constexpr Time kLooksPerHeartbeat = 10;
 }  // namespace
 
 void Controller::share_tick() {
   if (!quotas_.shared() || clock_.now < next_share_look_) return;
   next_share_look_ = clock_.now + heartbeat_interval() / kLooksPerHeartbeat;
-  // While unknown tasks may run, nothing can be given away: they may count against the share.
+  // Tasks that are not known to this leader may run and count against the share. Until they can be
+  // ruled out, no share may be given to another region.
   const bool complete = !reconciling_ && !unknown_jobs_ && !unknown_machines_;
   perform_share_actions(quotas_.observe(clock_.now, complete, peers_.all_share_limits()));
 }
@@ -35,8 +36,8 @@
   if (quotas_.take_raised()) scheduling_needed_ = true;
 }
 
-// Stops the team's tasks below that priority, the least important first, until the rest is within
-// its cap.
+// Preempts the team's tasks that have a lower priority than `below`, those of the lowest priority
+// first, until the rest is within the team's cap.
 void Controller::stop_beyond_cap(const std::string& name, Priority below) {
   TeamQuota* team = tables_.team(name);
   if (team == nullptr) return;
@@ -53,7 +54,7 @@
   std::sort(candidates.begin(), candidates.end(), preempted_before);
   for (TaskAttempt* p : candidates) {
     if (team->within_cap(left)) return;
-    if (p->stop) continue;  // stopped with its gang
+    if (p->stop) continue;  // was stopped above, with another task of its gang
     outbox_.log(Log::Level::Info, LogEvent::PreemptedForQuota, {{"task", p->key}});
     left -= is_gang(*p->job) ? p->need.times(p->job->placed) : p->need;
     stop_with_gang(*p, grace_for(*p->job));
--- a/src/federation/log_fields.hpp
+++ b/src/federation/log_fields.hpp
@@ -7,7 +7,8 @@
 
 namespace sailreel::federation {
 
-/// With a space in front, so that it can be appended to an event's name.
+/// Returns the log fields of a team's amounts, with a leading space so that they can be appended to
+/// an event's name.
 inline std::string log_fields(const TeamAmounts& entry) {
   return " team=" + entry.team + " cpus=" + std::to_string(units(entry.amounts.cpus)) +
          " gpus=" + std::to_string(units(entry.amounts.gpus));
--- a/src/federation/share_commits.cpp
+++ b/src/federation/share_commits.cpp
@@ -1,4 +1,4 @@
-// The share manager's changes of the ledger on their way into the checkpoint.
+// How the share manager commits changes of its ledger to the checkpoint.
 #include "federation/log_fields.hpp"
 #include "federation/share_manager.hpp"
 
@@ -38,8 +38,8 @@
   return out;
 }
 
-// Changes are committed in their order, and each as a whole: a transfer's number must not be stored
-// without its amounts.
+// Changes are committed in the order in which they were decided. The writes of one change are never
+// split between two commits: a transfer's number must not be stored without its amounts.
 std::vector<ShareWrite> ShareManager::writes(std::size_t most) {
   if (!wants_commit()) return {};
   staged_ = committed_;
@@ -49,7 +49,8 @@
     std::set<std::string> with = keys;
     with.merge(keys_of(pending_[taken]));
     if (with.size() > most) break;
-    // Not expected: what is given was promised out of what is held, and credits are in order.
+    // Not expected to fail: amounts to give were reserved out of the share held, and credits are
+    // queued in the order of their numbers.
     if (!apply(staged_, pending_[taken])) break;
     keys = std::move(with);
   }
--- a/src/federation/share_demands.cpp
+++ b/src/federation/share_demands.cpp
@@ -1,4 +1,5 @@
-// What the share manager gives to other regions, asks them for, and offers them.
+// How the share manager serves the demands of other regions, and which demands and surpluses it
+// sends to them.
 #include <algorithm>
 #include <cstdlib>
 
@@ -8,14 +9,15 @@
 namespace sailreel::federation {
 namespace {
 
-/// A demand is sent that often in a heartbeat interval while it lasts.
+/// A demand is sent this many times per heartbeat interval while it lasts.
 constexpr Time kDemandsPerHeartbeat = 4;
-/// The whole surplus is sent again after so many heartbeat intervals, in case a message was lost.
+/// The whole surplus is sent again after this many heartbeat intervals, in case a message was lost.
 constexpr Time kSurplusHeartbeats = 10;
-/// Heartbeat intervals that tasks which are preempted for another region have to exit. Then the
-/// share stays here.
+/// Heartbeat intervals within which tasks that are preempted for another region have to exit. If
+/// they don't, the share stays in this region.
 constexpr Time kReclaimHeartbeats = 6;
-/// A change of the surplus is sent when it is above this share of what was sent last.
+/// A change of the surplus is sent if it exceeds this fraction of the value that was sent last, or
+/// if the value becomes 0 or was 0.
 constexpr double kSentChange = 0.1;
 
 bool differs(const Amounts& now, const Amounts& sent) {
@@ -28,7 +30,7 @@
 
 }  // namespace
 
-// ---- what other regions ask for ----
+// ---- demands of other regions ----
 
 void ShareManager::serve_demands() {
   for (auto& [team, view] : teams_)
@@ -63,7 +65,7 @@
   pending_.emplace_back(std::move(give));
 }
 
-// Tasks were preempted for these shares, which are given once the use is within the lowered cap.
+// Gives the shares for which tasks were preempted, once the team's use is within its lowered cap.
 void ShareManager::finish_reclaims(std::size_t region, std::map<std::string, Amounts>& given) {
   for (auto& [team, view] : teams_) {
     if (!view.reclaim || view.reclaim->region != region || given.size() >= kTeamsPerTransfer)
@@ -74,8 +76,10 @@
   }
 }
 
-// Ordinary work of another region gets what is unused here beyond the reserve; urgent work gets all
-// that is unused, and what tasks of lower priority use once they are preempted.
+// Returns what another region gets now of a team's share. Work that isn't urgent gets what is
+// unused here beyond the reserve. Urgent work gets all that is unused. If nothing can be granted
+// now, tasks of lower priority are preempted for urgent work, which gets their share after they
+// have exited.
 Amounts ShareManager::grant(TeamView& view, std::size_t region, const DemandEntry& demand) {
   const std::string& team = demand.team;
   const Amounts spare = unused(team, view);
@@ -83,7 +87,7 @@
   const Amounts granted = on_demand.at_least(spare.at_most(demand.urgent));
   const Amounts missing = (demand.urgent - granted).positive();
   const Amounts stoppable = limited(team, preemptible_of(view.load.running));
-  // Urgent work of this region comes first.
+  // Nothing is reclaimed while urgent work waits in this region, as that work comes first.
   const Amounts reclaimed =
       urgent_of(view.load.waiting).none() ? missing.at_most(stoppable) : Amounts{};
   if (!reclaimed.none() && granted.none() && !view.reclaim) {
@@ -94,7 +98,7 @@
   return granted;
 }
 
-// ---- what this region asks for and offers ----
+// ---- demands and surpluses of this region ----
 
 void ShareManager::send_demands() {
   const auto wanted = plan_demands();
@@ -123,8 +127,9 @@
   }
 }
 
-// What each region is asked for: what is known to be unused there, beginning with the region that
-// has most; for urgent work also what could be preempted there.
+// Returns the demand on each region, by team. Regions are asked for what is known to be unused
+// there, beginning with the region that has the most; for urgent work, they are also asked for what
+// can be preempted there.
 std::vector<std::map<std::string, DemandEntry>> ShareManager::plan_demands() const {
   std::vector<std::map<std::string, DemandEntry>> out(regions_.size());
   for (const auto& [team, view] : teams_) {
@@ -132,7 +137,7 @@
     const auto excess = committed_.teams.find(team);
     const Amounts waiting = sum_of(view.load.waiting) +
                             (excess == committed_.teams.end() ? Amounts{} : excess->second.excess);
-    // Asked for before it is needed: a team whose work arrives now is likely to submit more.
+    // The reserve is asked for in advance: a team with waiting work is likely to submit more.
     const Amounts ahead = sum_of(view.load.waiting).none() ? Amounts{} : reserve(view);
     Amounts wanted = limited(team, waiting + ahead - left).positive();
     Amounts urgent = limited(team, urgent_of(view.load.waiting) - left).positive();
@@ -148,7 +153,8 @@
       if (wanted.none()) break;
       const auto known = regions_[n].surplus.find(team);
       if (known == regions_[n].surplus.end()) {
-        // Its surplus is unknown, as after a failover; urgent work doesn't wait for it.
+        // The region's surplus is unknown, as it is after a failover here. The region is asked all
+        // the same for what urgent work needs.
         if (!urgent.none()) out[n][team] = {team, urgent, urgent};
         continue;
       }
--- a/src/federation/share_manager.cpp
+++ b/src/federation/share_manager.cpp
@@ -28,9 +28,9 @@
   return options_.regions.front().name == options_.region;
 }
 
-// The shares that regions start with. Those of the other regions are fixed by the options, since
-// the limit may have changed by the time they are switched on; the first region gets the rest, and
-// alone follows changes of the limit.
+// Returns the share of a team's limit that this region starts with. The options fix the shares of
+// all regions except the first, since the limit may have changed by the time that those regions are
+// switched on. The first region gets the rest, and it alone follows changes of the limit.
 ShareRecord ShareManager::first_record(const std::string& team) const {
   ShareRecord record;
   Amounts others;
@@ -75,8 +75,8 @@
     region.acknowledged = committed_.regions[region.name].in_transit.empty();
     region.resend_at = now;
   }
-  // A value that can't be decoded is not overwritten: the region may hold another share by now than
-  // the one it started with.
+  // A value that can't be decoded is not overwritten: by now, the region may hold a different share
+  // than the one that it started with.
   if (active_ && !unreadable_) write_first_shares();
 }
 
@@ -123,8 +123,9 @@
   return amounts;
 }
 
-// A credit counts once it is committed, a debit (`promised`) as soon as it is decided: so the
-// regions together never use more than the limit.
+// Returns the committed share. A credit counts once it is committed, whereas a debit (`promised`,
+// see `available`) counts as soon as it is decided. Therefore all regions together never use more
+// than the limit.
 Amounts ShareManager::held(const std::string& team) const {
   const auto record = committed_.teams.find(team);
   return record == committed_.teams.end() ? Amounts{} : record->second.share;
@@ -142,7 +143,7 @@
   Amounts may_use;
   const auto view = teams_.find(team);
   if (!unreadable_ && view != teams_.end()) may_use = available(team, view->second).positive();
-  // The share may still be above a limit that was lowered.
+  // After the limit was lowered, the share may exceed it until the excess is paid off.
   may_use = may_use.at_most(managed->second.limit);
   Cap out;
   if (managed->second.cpus) out.cpus = units(may_use.cpus);
@@ -150,12 +151,13 @@
   return out;
 }
 
-// Neither used nor waited for.
+// Returns the part of the available share that is neither used nor waited for.
 Amounts ShareManager::unused(const std::string& team, const TeamView& view) const {
   return limited(team, available(team, view) - view.load.used - sum_of(view.load.waiting))
       .positive();
 }
 
+// Returns what is kept beyond the present use, for work that may arrive next.
 Amounts ShareManager::reserve(const TeamView& view) const {
   return view.load.used.times(options_.reserve_ratio);
 }
@@ -172,7 +174,8 @@
   resend_transfers();
 }
 
-// Only one region creates and destroys shares: if several did, their sum could leave the limit.
+// Follows changes of the limits, and pays off excess. Only the first region creates and destroys
+// shares: if several regions did, the sum of the shares could deviate from the limit.
 void ShareManager::adjust_limits() {
   if (!administers_limits() || !pending_.empty() || !in_flight_.empty()) return;
   for (auto& [team, view] : teams_) {
--- a/src/federation/share_manager.hpp
+++ b/src/federation/share_manager.hpp
@@ -1,11 +1,12 @@
-// Quota shares: how regions divide the quota limits of teams among themselves. A state machine in
-// the leader of each region, which does no input or output and reads no clock. It tells how much of
-// each limit the region may use now, asks other regions for more, gives them what they need more,
-// and tells which values of its ledger the next checkpoint commit has to write.
+// Quota shares: how regions divide the quota limits of teams among themselves. The share manager is
+// a state machine in the leader of each region. It does no input or output and reads no clock. It
+// determines how much of each limit the region may use now, asks other regions for more, gives them
+// shares that they need more, and determines which values of its ledger the next checkpoint commit
+// has to write.
 //
 // The code is in four files: share_manager.cpp (start, caps, changes of limits), share_demands.cpp
-// (what is asked for and given), share_messages.cpp (messages of other regions), share_commits.cpp
-// (changes on their way into the checkpoint).
+// (demands, surpluses and grants), share_messages.cpp (messages from and to other regions),
+// share_commits.cpp (commits of changes to the checkpoint).
 #pragma once
 
 #include <compare>
@@ -26,12 +27,14 @@
 
 // ---- inputs ----
 
-/// What the leader's tables show, several times per heartbeat interval.
+/// The teams' load according to the leader's tables. Passed in several times per heartbeat
+/// interval.
 struct LoadObserved {
   std::vector<TeamLoad> teams;
   /// Whether all tasks that may run are counted; false during reconciliation after a failover.
   bool complete = false;
 };
+/// A message from another region has arrived.
 struct MessageArrived {
   RegionMessage message;
 };
@@ -41,16 +44,18 @@
 
 // ---- actions ----
 
+/// A message has to be sent to another region.
 struct SendToRegion {
-  std::size_t region = 0;  // among the other regions, in the order of the options
+  std::size_t region = 0;  // index among the other regions, in the order of the options
   RegionMessage message;
 };
-/// Tasks of the team of lower priority than `below` are to be preempted until the team's use is
-/// within its cap.
+/// The team's tasks that have a lower priority than `below` have to be preempted until the team's
+/// use is within its cap.
 struct StopBeyondCap {
   std::string team;
   Priority below = Priority::High;
 };
+/// A line has to be logged.
 struct ShareEvent {
   bool is_error = false;
   std::string text;
@@ -62,27 +67,31 @@
   std::string key, value;
 };
 
+/// Manages the quota shares of one region while its controller leads, from `load` to `stop`. Times
+/// are in ms.
 class ShareManager {
  public:
-  /// `heartbeat_ms` is the interval of workers' heartbeats, which all times here are ratios to.
+  /// `heartbeat_ms` is the interval of workers' heartbeats. All periods of the share manager are
+  /// multiples or fractions of it.
   ShareManager(const FederationOptions& options, const std::vector<Team>& teams, Time heartbeat_ms);
 
-  /// Starts from the checkpoint's values, as the leader of that epoch. Before the first commit with
-  /// quota shares there are none, and the region holds the share that the options give it.
+  /// Starts from the checkpoint's values, as the leader of that epoch. `values` is empty before the
+  /// first commit with quota shares; then the region holds the share that the options give it.
   void load(const std::map<std::string, std::string>& values, std::uint64_t epoch, Time now);
-  /// This node is no longer the leader: changes that were not committed are dropped.
+  /// To be called when this controller no longer leads. Drops changes that were not committed.
   void stop();
 
+  /// Processes an input at the time `now`; returns the actions to perform.
   std::vector<ShareAction> step(Time now, ShareInput input);
 
   /// Whether there are changes to commit; never while a commit is in flight.
   [[nodiscard]] bool wants_commit() const;
-  /// Transfers may begin, as every controller of the region understands quota shares. Stored by the
-  /// first commit, and permanent from then on.
+  /// Allows transfers. To be called once every controller of the region supports quota shares. The
+  /// first commit stores this, and it is permanent from then on.
   void activate();
   [[nodiscard]] bool active() const { return active_; }
-  /// The writes for the next commit, at most so many; none if there is nothing to commit. They take
-  /// effect with `CheckpointCommitted`.
+  /// Returns at most `most` writes for the next commit, none if there is nothing to commit. The
+  /// changes that they store take effect with `CheckpointCommitted`.
   std::vector<ShareWrite> writes(std::size_t most);
 
   /// What the team's tasks may use in this region now; empty in a dimension without a quota limit.
@@ -91,18 +100,21 @@
   };
   [[nodiscard]] Cap cap(const std::string& team) const;
 
-  /// The ledger as the checkpoint has it.
+  /// The ledger as stored in the checkpoint.
   [[nodiscard]] const ShareLedger& ledger() const { return committed_; }
 
  private:
+  /// A team with a quota limit.
   struct ManagedTeam {
     bool cpus = false, gpus = false;  // which dimensions have a limit
     Amounts limit;
   };
+  /// Starts a transfer to another region.
   struct Give {
     std::size_t region = 0;
     std::vector<TeamAmounts> amounts;
   };
+  /// Credits a transfer from another region.
   struct CreditTransfer {
     std::size_t region = 0;
     ShareTransfer transfer;
@@ -115,41 +127,45 @@
     std::string team;
     Amounts amounts;
   };
-  /// Stores the share that the region starts with; the options don't count from then on.
+  /// Stores the share that the region starts with. From then on, the options no longer determine
+  /// it.
   struct WriteFirstShare {
     std::string team;
   };
   using Change = std::variant<Give, CreditTransfer, ChangeLimit, PayExcess, WriteFirstShare>;
-  /// Orders the messages of a region: one of a later leader, which has a higher epoch, is newer
-  /// than all of its predecessors.
+  /// Orders the messages of a region. A later leader has a higher epoch, so its messages are newer
+  /// than all messages of its predecessors.
   struct MessageNumber {
     std::uint64_t epoch = 0, sequence = 0;
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 mistakes the generated comparison
     auto operator<=>(const MessageNumber&) const = default;
   };
+  /// What is known of another region, and what was sent to it.
   struct RegionView {
     std::string name;
-    bool acknowledged = true;  // the last transfer to it
+    bool acknowledged = true;  // it has acknowledged the last transfer to it
     Time resend_at = 0;
     bool giving = false;  // a transfer to it is being written
     MessageNumber last_demand, last_surplus;
-    std::map<std::string, DemandEntry> demands;
+    std::map<std::string, DemandEntry> demands;  // its last demand by team, until it expires
     Time demands_until = 0;
-    std::map<std::string, SurplusEntry> surplus;
-    std::map<std::string, SurplusEntry> surplus_sent;
+    std::map<std::string, SurplusEntry> surplus;       // what it last offered, by team
+    std::map<std::string, SurplusEntry> surplus_sent;  // what was last offered to it, by team
     Time surplus_resend_at = 0;
-    std::map<std::string, DemandEntry> asked;
+    std::map<std::string, DemandEntry> asked;  // the last demand sent to it, by team
     Time demand_resend_at = 0;
   };
-  /// Share that a region needs for urgent work, while tasks of lower priority are being preempted.
+  /// Share that another region needs for urgent work. It is given once enough tasks of lower
+  /// priority have been preempted here, or kept if that takes longer than `until`.
   struct Reclaim {
     std::size_t region = 0;
     Amounts amounts;
     Time until = 0;
   };
+  /// The state of a team in this region, beside its ledger record.
   struct TeamView {
     TeamLoad load;
-    Amounts promised;  // in changes that are not committed
+    Amounts promised;  // to be given or paid off by changes that are not committed yet
     std::optional<Reclaim> reclaim;
   };
 
@@ -183,7 +199,7 @@
   [[nodiscard]] Amounts reserve(const TeamView& view) const;
   [[nodiscard]] std::optional<std::size_t> region_index(const std::string& name) const;
   void send_transfer(std::size_t region);
-  /// Leaves out the dimensions that have no limit.
+  /// Returns the amounts, with 0 in the dimensions in which the team has no limit.
   [[nodiscard]] Amounts limited(const std::string& team, Amounts amounts) const;
 
   const FederationOptions options_;
@@ -195,7 +211,7 @@
   bool leading_ = false, active_ = false, unreadable_ = false, complete_ = false;
   std::uint64_t epoch_ = 0, sequence_ = 0;
   Time now_ = 0;
-  /// The ledger as the checkpoint has it, and as the commit in flight will leave it.
+  /// The ledger as stored in the checkpoint, and as the commit in flight will store it.
   ShareLedger committed_, staged_;
   /// Changes that wait for a commit, and those in the commit that is in flight.
   std::vector<Change> pending_, in_flight_;
--- a/src/federation/share_messages.cpp
+++ b/src/federation/share_messages.cpp
@@ -6,7 +6,7 @@
 namespace sailreel::federation {
 namespace {
 
-/// A transfer is sent that often in a heartbeat interval until it is acknowledged.
+/// A transfer is sent this many times per heartbeat interval until it is acknowledged.
 constexpr Time kResendsPerHeartbeat = 2;
 /// Heartbeat intervals after which a demand that is not repeated no longer counts.
 constexpr Time kDemandHeartbeats = 4;
@@ -34,8 +34,9 @@
   }
 }
 
-// Acknowledged once the credit is committed, since the sender then stops sending the transfer: a
-// repeat that arrives before the commit is left unanswered.
+// Queues the credit of a new transfer. The transfer is acknowledged once the credit is committed,
+// since the sender stops sending it after the acknowledgement. A repeated transfer that arrives
+// before the commit gets no response.
 void ShareManager::handle_transfer(std::size_t region, const RegionMessage& message) {
   const std::string& from = regions_[region].name;
   const TransferRecord& transfers = committed_.regions[from];
@@ -70,12 +71,14 @@
   const MessageNumber number{message.epoch, message.sequence};
   if (number <= from.last_demand) return;
   from.last_demand = number;
-  // Sent before our last transfer arrived there, which may be all that it asks for.
+  // The demand was sent before the last transfer to that region arrived there, and that transfer
+  // may already satisfy it.
   if (message.demand.credited != committed_.regions[from.name].sent) return;
   from.demands.clear();
   for (const DemandEntry& entry : message.demand.entries) from.demands[entry.team] = entry;
   from.demands_until = now_ + kDemandHeartbeats * interval_;
-  // Served when the load is observed next: more may be in use by now than at the last time.
+  // The demand is served when the load is observed next: more may be in use by now than at the last
+  // observation.
 }
 
 void ShareManager::handle_surplus(std::size_t region, const RegionMessage& message) {
--- a/src/federation/team_load.hpp
+++ b/src/federation/team_load.hpp
@@ -10,17 +10,19 @@
 
 namespace sailreel::federation {
 
+/// Indexed by `Priority`.
 using AmountsByPriority = std::array<Amounts, kPriorities>;
 
-/// Every attempt that may be on a machine counts as used: also starts in flight, tasks whose
-/// machine is not known, and what is reserved for gangs.
+/// What one team uses and waits for. Every task attempt that may be on a machine counts as used,
+/// including starts in flight, tasks whose machine is not known, and reservations for gangs.
 struct TeamLoad {
   std::string team;
   Amounts used;
-  /// What runs, and what waits for a start.
+  /// What running tasks use, and what waiting tasks need.
   AmountsByPriority running, waiting;
 };
 
+/// The sum over all priorities.
 inline Amounts sum_of(const AmountsByPriority& by_priority) {
   Amounts sum;
   for (const Amounts& amounts : by_priority) sum += amounts;
--- a/src/federation/units.hpp
+++ b/src/federation/units.hpp
@@ -1,5 +1,5 @@
-// Conversions between CPUs or GPUs, which are decimals, and the thousandths that quota shares are
-// counted in.
+// Conversions between decimal numbers of CPUs or GPUs and thousandths of them, in which quota
+// shares are counted.
 #pragma once
 
 #include <cmath>
@@ -14,13 +14,14 @@
 /// The nearest number of thousandths.
 inline std::int64_t thousandths(double units) { return std::llround(units * kThousandthsPerUnit); }
 
-/// Rounded up, so that a use is never counted as less than it is; the rounding error of a sum of
-/// decimals is not a use.
+/// The number of thousandths, rounded up so that usage is never counted as less than it is. An
+/// excess as small as the rounding error of a sum of decimals is not rounded up.
 inline std::int64_t thousandths_at_least(double units) {
   constexpr double kRoundingError = 1e-3;
   return static_cast<std::int64_t>(std::ceil(units * kThousandthsPerUnit - kRoundingError));
 }
 
+/// The decimal number of CPUs or GPUs.
 inline double units(std::int64_t thousandths) {
   return static_cast<double>(thousandths) / kThousandthsPerUnit;
 }
--- a/tests/federation_test.cpp
+++ b/tests/federation_test.cpp
@@ -1,5 +1,5 @@
-// Days of several regions that share teams' limits: shares move to where the demand is; and
-// whatever fails, no team is above its limit over all regions, and no share appears or vanishes.
+// Simulates several regions that share teams' limits. Shares move to where the demand is. Whatever
+// fails, no team exceeds its limit over all regions, and no share is created or lost.
 #include <gtest/gtest.h>
 
 #include "sim/simulated_federation.hpp"
@@ -28,13 +28,16 @@
   return spec;
 }
 
-// Enough of one region's machines are for the team that its limit is what binds.
+// Gives a region enough machines that the team's limit, not the capacity, bounds what the team
+// uses.
 void add_machines(SimulationPlan& day) {
   Deployment deployment = sample_deployment(day);
   for (const char* zone : {"za", "zb"}) deployment.capacity[{zone, false}] = 12;
   day.deployment = deployment;
 }
 
+// Returns the fraction of the limit that the team uses if all of its demand is in one region: with
+// a fixed division of the limit among the regions, or with shares that move.
 double use_under_skew(bool fixed_division) {
   FederationPlan plan = even_plan(3, 2);
   plan.fixed_division = fixed_division;
@@ -61,8 +64,8 @@
   RecordProperty("use_with_shares", std::to_string(moved));
 }
 
-// How long urgent jobs of region 1 waited for their start, in milliseconds. Region 0 holds all of
-// the limit but what region 1 uses already.
+// Returns how long each urgent job of region 1 waited for its start, in milliseconds. Region 1
+// starts with a share of 1 GPU, and region 0 holds the rest of the limit.
 std::vector<Time> urgent_waits(std::uint64_t seed) {
   FederationPlan plan;
   plan.seed = seed;
@@ -84,7 +87,7 @@
       since.erase(it);
     }
   };
-  // Work of a team without a limit keeps machines up, so that only the share is waited for.
+  // Work of a team without a limit keeps machines up, so that urgent jobs wait only for share.
   JobSpec warm = replicas("job-900", 16, Priority::Low);
   warm.team = "guest";
   asking.submit(warm);
@@ -122,7 +125,7 @@
   SimulatedFederation day(plan);
   day.region(0).submit(replicas("job-1", 30, Priority::Low));
   day.run_until(40'000);
-  // All of the limit is in use by now, in region 0.
+  // By now, region 0 uses the whole limit.
   ASSERT_GT(day.used_gpus("red"), kRedLimit - 1.5);
   day.region(1).submit(replicas("job-2", 5, Priority::High));
   day.run_until(70'000);
@@ -131,14 +134,14 @@
   EXPECT_EQ(day.broken(), "");
 }
 
-// Work of the same importance gets nothing that is in use elsewhere: so shares can't go back and
-// forth between two regions that both want all of it.
-/// Numbers of the last transfers between region 0 and region 1, both ways.
+/// Numbers of the last transfers from region 0 to region 1 and back.
 std::pair<std::uint64_t, std::uint64_t> transfers(const SimulatedFederation& day) {
   const TransferRecord record = day.ledger(0).regions["region-1"];
   return {record.sent, record.credited};
 }
 
+// Guards against shares that move back and forth between two regions which both need the whole
+// limit: work gets no share that work of the same priority uses in another region.
 TEST(Federation, EqualsDoNotTakeShareFromEachOther) {
   FederationPlan plan = even_plan(6, 2);
   plan.adjust = [](std::size_t, SimulationPlan& day) { add_machines(day); };
@@ -165,7 +168,7 @@
     day.run_until(12'000);
     for (std::size_t n = 0; n < 25; ++n)
       day.region(0).submit(replicas(job_id(n), 1, Priority::Normal));
-    // Transfers are in flight when the regions lose each other.
+    // With some of the seeds, transfers are in flight when the cut begins.
     day.run_until(12'000 + static_cast<Time>(seed) * 50);
     under_way += day.in_transit("red").none() ? 0 : 1;
     day.cut(0, 1, 90'000, seed % 2 == 0);
@@ -209,7 +212,7 @@
   day.cut(0, 1, 30'000, false);
   for (std::size_t n = 0; n < 2; ++n) day.region(n).change_team_limit("red", 20);
   day.run_until(70'000);
-  // Running tasks continue, and what they use beyond the new limit is excess.
+  // Running tasks continue. What they use beyond the new limit is excess.
   EXPECT_GT(day.ledger(0).teams.at("red").excess.gpus, 0);
   EXPECT_EQ(day.broken(), "");
   for (std::size_t n = 0; n < 2; ++n) day.region(n).cancel("job-1");
@@ -251,7 +254,8 @@
   EXPECT_EQ(day.region(1).kv_store().value_of(share_key("red")), "gibberish");
 }
 
-// A controller whose operator forgot the options keeps to what its region holds.
+// A controller that is started without the federation options keeps to the share that its region
+// holds.
 TEST(Federation, WithoutItsOptionsAControllerKeepsToTheShareThatIsWritten) {
   FederationPlan plan = even_plan(12, 2);
   plan.adjust = [](std::size_t n, SimulationPlan& day) {
@@ -289,7 +293,7 @@
     day.jobs = 30;
   };
   SimulatedFederation day(plan);
-  // Bursts of one team, now in one region, now in the other, some of them cancelled.
+  // Submits bursts of one team's jobs in random regions, each job to be cancelled after 10 to 50 s.
   pcg32 random(seed * 31);
   for (std::size_t n = 0; n < 24; ++n) {
     SimulatedRegion& region = day.region(random(static_cast<std::uint32_t>(day.regions())));
--- a/tests/federation_upgrade_test.cpp
+++ b/tests/federation_upgrade_test.cpp
@@ -1,5 +1,5 @@
-// The version in production beside controllers that share limits: no share is written and nothing
-// moves before all of a region's controllers support shared limits.
+// Upgrade from the version in production, which doesn't support quota shares: a region writes no
+// share and transfers none before all of its controllers support them.
 #include <gtest/gtest.h>
 
 #include "production/production_controller.hpp"
--- a/tests/share_manager_test.cpp
+++ b/tests/share_manager_test.cpp
@@ -1,4 +1,4 @@
-// The share manager without a controller: its actions for each input.
+// Tests the share manager without a controller: its actions for each input.
 #include "federation/share_manager.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   return out;
 }
 
-/// A region's manager with a team of 10 GPUs, of which south begins with 4.
+/// The share manager of one region. A team has a limit of 10 GPUs, of which south starts with 4.
 class Region {
  public:
   explicit Region(const std::string& name)
@@ -45,7 +45,7 @@
     for (const ShareWrite& write : manager_.writes(4)) stored_[write.key] = write.value;
     return manager_.step(now_, CheckpointCommitted{});
   }
-  /// A failover within the region: the next leader starts from what was committed.
+  /// Simulates a failover within the region: the next leader starts from what was committed.
   void next_leader() { manager_.load(stored_, ++epoch_, now_); }
   void wait(Time span) { now_ += span; }
 
@@ -95,8 +95,9 @@
   EXPECT_EQ(Region("south").cap(), 4);
 }
 
-// At the last observation all was unused; by now it isn't. Found by review: demands used to be
-// served by a load that was observed up to a tenth of a heartbeat interval before.
+// Guards against giving away share that is in use: demands were served according to the last
+// observed load, which is up to a tenth of a heartbeat interval old, while more may be in use by
+// now.
 TEST(ShareManager, ADemandIsServedByAFreshViewOfTheLoadOnly) {
   Region north("north");
   north.observe(0);
@@ -172,7 +173,7 @@
   RegionMessage acknowledgement = message_from("south", RegionMessage::Kind::Acknowledgement, 6);
   acknowledgement.acknowledgement.number = 1;
   north.arrive(acknowledgement);
-  north.arrive(demand(2, 0, 0, 7));  // sent before the transfer arrived
+  north.arrive(demand(2, 0, 0, 7));  // sent before the transfer was credited
   north.observe(0);
   EXPECT_FALSE(north.manager().wants_commit());
   north.arrive(demand(2, 0, 1, 4));  // older than one that was served
--- a/tests/share_protocol_test.cpp
+++ b/tests/share_protocol_test.cpp
@@ -1,7 +1,7 @@
-// Exhaustive search of the transfer protocol at small sizes: three regions, one team. Every order
-// of starts, ends, transfers, commits, crashes and messages is played; a message that was once sent
-// may arrive at any later moment, any number of times or never, which covers loss, repetition,
-// reordering and messages of former leaders.
+// Exhaustive state-space search of the transfer protocol at small sizes: three regions, one team.
+// It explores every order of task starts and ends, transfers, commits, crashes and messages. A
+// message that has been sent may arrive at any later time, any number of times or never, which
+// covers loss, repetition, reordering and messages of former leaders.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -20,7 +20,7 @@
 
 std::string region_name(int region) { return std::string(1, static_cast<char>('a' + region)); }
 
-/// A transfer or an acknowledgement that was once sent.
+/// A transfer or an acknowledgement that has been sent.
 struct Sent {
   bool acknowledgement = false;
   int from = 0, to = 0;
@@ -31,15 +31,18 @@
 };
 
 struct Region {
-  ShareLedger ledger;  // as the key-value store has it
-  /// A write in flight. It may be carried out at any moment until another leader's epoch fences it.
+  ShareLedger ledger;  // as stored in the key-value store
+  /// A write of `written` is in flight. It may be carried out at any time until another leader's
+  /// epoch fences it. If it is in doubt, it was carried out and the response to it was lost.
   bool writing = false, in_doubt = false;
   ShareLedger written;
+  /// The message to send once the response to the write has arrived.
   Sent after_write;
-  /// What the leader has promised to give, and whether each other region has acknowledged.
+  /// What the leader has promised to give to another region.
   std::int64_t promised = 0;
   /// The share as its leader knows it: without a write whose outcome is unknown.
   std::int64_t known = 0;
+  /// Whether each other region has acknowledged the last transfer to it.
   std::array<bool, kRegions> acknowledged{};
   std::int64_t used = 0;
 
@@ -50,7 +53,8 @@
   [[nodiscard]] std::int64_t cap() const { return known - promised; }
 };
 
-/// How far a search goes: each of them ends with a number of transfers.
+/// The bounds of a search: the team's limit, the number of transfers between all regions, and
+/// whether tasks start and end.
 struct Size {
   std::int64_t limit = 0;
   std::uint64_t transfers = 0;
@@ -130,7 +134,7 @@
   return sum;
 }
 
-/// What must hold in every state; empty if it does.
+/// Checks what must hold in every state. Returns the rule that is broken; empty if none is.
 std::string broken_rule(const State& state, const Size& size) {
   std::int64_t held = 0, used = 0;
   for (const Region& region : state.regions) {
@@ -139,12 +143,13 @@
     if (region.used > region.share()) return "a region uses more than its share";
     if (region.cap() < 0) return "a region has promised more than it holds";
   }
-  if (held + in_transit(state) != size.limit) return "shares held and in transit are not the limit";
+  if (held + in_transit(state) != size.limit)
+    return "shares held and in transit do not add up to the limit";
   if (used > size.limit) return "the regions use more than the limit";
   return {};
 }
 
-/// All states that may follow.
+/// Generates all states that may follow a state.
 class Successors {
  public:
   Successors(const State& state, const Size& size) : state_(state), size_(size) {
@@ -174,7 +179,7 @@
     if (now(n).used > 0) --next(n).used;
   }
 
-  // The cap is lowered at once, and only as far as the use allows.
+  // A region gives only what it doesn't use, and its cap is lowered as soon as it decides to give.
   void give_to_others(int n) {
     if (now(n).writing || transfers_made(state_) >= size_.transfers) return;
     for (int to = 0; to < kRegions; ++to) {
@@ -191,7 +196,8 @@
     }
   }
 
-  // The write is carried out, and the response arrives, or is lost and the outcome unknown.
+  // The write in flight is carried out. Either the response arrives, or it is lost and the leader
+  // doesn't know the outcome.
   void finish_write(int n) {
     if (!now(n).writing) return;
     if (!now(n).in_doubt) {
@@ -217,7 +223,7 @@
     region.known = region.share();
   }
 
-  // Failover: another leader reads the ledger; a write that wasn't carried out is rejected from
+  // Failover: another leader reads the ledger, and a write that wasn't carried out is rejected from
   // then on. Tasks keep running.
   void crash(int n) {
     Region& region = next(n);
@@ -263,7 +269,8 @@
   const Size& size_;
 };
 
-// Liveness: from any state, once messages arrive and nothing crashes, nothing stays in transit.
+// Checks liveness: from any state, once messages arrive and no leader crashes, no transfer stays in
+// transit.
 bool settles(State state) {
   for (int turn = 0; turn < 6; ++turn) {
     for (int n = 0; n < kRegions; ++n) {
@@ -307,10 +314,10 @@
   std::printf("states: %zu\n", seen.size());
 }
 
-// The numbers of transfers are over all regions together. With three of them, a region gets a
-// second one from the same region, and share goes on to a third region and back.
-// The last size leaves tasks out to reach further: a late acknowledgement of an earlier transfer
-// does harm only with the third transfer to the same region.
+// The number of transfers in a size is that of all regions together. With three transfers, a region
+// can get a second one from the same region, and share can go on to a third region and back.
+// The last size has no tasks, which keeps a search with a larger limit small enough: a late
+// acknowledgement of an earlier transfer does harm only with the third transfer to the same region.
 INSTANTIATE_TEST_SUITE_P(Sizes, ShareProtocol,
                          ::testing::Values(Size{1, 4}, Size{1, 5}, Size{2, 3}, Size{3, 3, false}));
 
