--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -10,37 +10,37 @@
 namespace sailreel {
 namespace {
 /// Machines that one scale-out request asks for, at most.
-constexpr std::uint32_t kMaxScaleOut = 50;
+constexpr std::uint32_t kMaxMachinesPerScaleOut = 50;
 /// Machines that one terminate request names, at most.
-constexpr std::size_t kMaxRelease = 100;
+constexpr std::size_t kMaxMachinesPerTermination = 100;
 /// A machine that has sent no heartbeat after this many times its type's boot time is terminated.
-constexpr double kDeadBoot = 3;
+constexpr double kFailedBootRatio = 3;
 /// Running arrays free room while a new machine boots. This fraction of the room that they are
 /// expected to free counts as available to waiting tasks.
-constexpr double kRelief = 0.5;
+constexpr double kCountedFreedRoomRatio = 0.5;
 /// An on-demand machine is drained or terminated only if the others still provide this many times
 /// the headroom. Between the headroom and this, the fleet stays as it is.
-constexpr double kReturnHeadroom = 1.2;
+constexpr double kScaleInHeadroomRatio = 1.2;
 /// At most one in this many usable on-demand machines, plus one, drain at the same time.
-constexpr std::size_t kRetiringShare = 32;
+constexpr std::size_t kUsableMachinesPerDraining = 32;
 /// No machine is drained until no work has waited for on-demand capacity for this many worker
 /// leases.
-constexpr Time kRetireLeases = 2;
+constexpr Time kDrainDelayLeases = 2;
 
 /// After the cloud had no capacity for a kind of machine in a zone, none is requested there for the
 /// lag of the cloud's machine list, and for at least this many ms.
-constexpr Time kLeastNoCapacity = 2'000;
+constexpr Time kMinNoCapacityDelayMs = 2'000;
 /// Delay in ms after which a scale-out request without a final response is sent again.
-constexpr Time kScaleOutRetry = 1'000;
+constexpr Time kScaleOutRetryDelayMs = 1'000;
 /// Minimum interval in ms at which the reading of the cloud's machine list begins.
-constexpr Time kLeastListGap = 1'000;
+constexpr Time kMinListIntervalMs = 1'000;
 /// Logged as the number of machines needed if no machine type can hold the guaranteed quotas.
-constexpr double kMostDescribed = 1e9;
+constexpr double kMaxLoggedMachines = 1e9;
 /// A demand for less than this fraction of a machine doesn't justify another one.
-constexpr double kMachineSlack = 0.01;
+constexpr double kMinMachineFraction = 0.01;
 
-Resources scaled(const Resources& r, double share) {
-  return {r.cpus * share, r.gpus * share, r.memory_gb * share};
+Resources scaled(const Resources& resources, double ratio) {
+  return {resources.cpus * ratio, resources.gpus * ratio, resources.memory_gb * ratio};
 }
 
 }  // namespace
@@ -65,10 +65,10 @@
     call.kind = CloudRequest::Kind::Types;
     if (outbox_.call_cloud(
             call,
-            [this, term](const CloudResponse& r) {
+            [this, term](const CloudResponse& reply) {
               if (term != election_.term()) return;
-              if (r.status == 200)
-                handle_types(r);
+              if (reply.status == 200)
+                handle_types(reply);
               else
                 next_types_ = clock_.now + 1000;
             },
@@ -89,18 +89,18 @@
   call.after = listed_up_to_;
   listing_ = outbox_.call_cloud(
       call,
-      [this, term](const CloudResponse& r) {
-        if (term == election_.term()) handle_machine_list(r);
+      [this, term](const CloudResponse& reply) {
+        if (term == election_.term()) handle_machine_list(reply);
       },
       CloudBudget::KeepReserve);
   if (listing_ && listed_up_to_.empty())
     next_list_ =
-        clock_.now + std::max<Time>(ms(settings_.cloud_limits.list_lag_s / 2), kLeastListGap);
+        clock_.now + std::max<Time>(ms(settings_.cloud_limits.list_lag_s / 2), kMinListIntervalMs);
 }
 
-void Controller::handle_types(const CloudResponse& r) {
-  tables_.types = r.types;
-  for (auto& [name, m] : tables_.machines) tables_.size_machine(*m);
+void Controller::handle_types(const CloudResponse& reply) {
+  tables_.types = reply.types;
+  for (auto& [name, machine] : tables_.machines) tables_.size_machine(*machine);
   scheduling_needed_ = true;
   check_capacity();
 }
@@ -117,41 +117,41 @@
   outbox_.log(Log::Level::Warning, LogEvent::CapacityLimit,
               {{"limit", limit.name},
                {"machines", static_cast<std::uint64_t>(limit.machines)},
-               {"described", static_cast<std::uint64_t>(std::min(described, kMostDescribed))}});
+               {"described", static_cast<std::uint64_t>(std::min(described, kMaxLoggedMachines))}});
 }
 
-void Controller::handle_machine_list(const CloudResponse& r) {
+void Controller::handle_machine_list(const CloudResponse& reply) {
   const Time now = clock_.now;
   listing_ = false;
   listed_up_to_.clear();
-  if (r.status != 200) return;
-  for (const ListedMachine& l : r.machines) {
+  if (reply.status != 200) return;
+  for (const ListedMachine& listed : reply.machines) {
     // The list lags behind: a terminated machine remains listed for a while.
-    if (terminated_.contains(l.name)) continue;
-    Machine* known = tables_.machine(l.name);
-    if (known == nullptr && l.state == ListedMachine::State::Failed) {
-      termination_queue_.insert(l.name);
+    if (terminated_.contains(listed.name)) continue;
+    Machine* known = tables_.machine(listed.name);
+    if (known == nullptr && listed.state == ListedMachine::State::Failed) {
+      termination_queue_.insert(listed.name);
       continue;
     }
-    Machine& m = tables_.add_machine(l.name, now);
+    Machine& machine = tables_.add_machine(listed.name, now);
     if (known == nullptr)
       outbox_.log(Log::Level::Info, LogEvent::MachineFound,
-                  {{"machine", l.name}, {"zone", l.zone}});
-    if (!m.heard_in_epoch) {
-      m.type = l.type;
-      m.zone = l.zone;
-      m.spot = l.spot;
-      m.launched = std::min(m.launched, now - ms(l.age_s));
-      tables_.size_machine(m);
+                  {{"machine", listed.name}, {"zone", listed.zone}});
+    if (!machine.heard_in_epoch) {
+      machine.type = listed.type;
+      machine.zone = listed.zone;
+      machine.spot = listed.spot;
+      machine.launched = std::min(machine.launched, now - ms(listed.age_s));
+      tables_.size_machine(machine);
     }
-    if (m.address.empty() && !l.address.empty()) m.address = l.address;
-    m.listed_running = l.state == ListedMachine::State::Running;
+    if (machine.address.empty() && !listed.address.empty()) machine.address = listed.address;
+    machine.listed_running = listed.state == ListedMachine::State::Running;
     // A failed machine has stopped by itself; terminating it removes it from the list.
-    if (l.state == ListedMachine::State::Failed && !m.terminating)
-      terminate_instance(m, TerminationCause::LaunchFailed);
+    if (listed.state == ListedMachine::State::Failed && !machine.terminating)
+      terminate_instance(machine, TerminationCause::LaunchFailed);
   }
-  if (r.more && !r.machines.empty()) {
-    listed_up_to_ = r.machines.back().name;
+  if (reply.more && !reply.machines.empty()) {
+    listed_up_to_ = reply.machines.back().name;
     return ask_for_list();
   }
   for (auto it = terminated_.begin(); it != terminated_.end();)
@@ -174,16 +174,16 @@
 // longer to boot than usual, aren't expected to come up.
 Controller::FleetSupply Controller::count_supply() const {
   FleetSupply supply;
-  for (const auto& [name, m] : tables_.machines) {
-    if (m->type.empty() || m->terminating) continue;
-    const MachineType* type = tables_.type(m->type);
+  for (const auto& [name, machine] : tables_.machines) {
+    if (machine->type.empty() || machine->terminating) continue;
+    const MachineType* type = tables_.type(machine->type);
     if (type == nullptr) continue;
-    const MachineKind kind{m->type, m->spot};
-    ++supply.by_zone[kind][m->zone];
-    if (!m->heard_in_epoch && !zone_unreachable(m->zone) &&
-        clock_.now - m->launched < ms(type->boot_s * kLateBoot)) {
+    const MachineKind kind{machine->type, machine->spot};
+    ++supply.by_zone[kind][machine->zone];
+    if (!machine->heard_in_epoch && !zone_unreachable(machine->zone) &&
+        clock_.now - machine->launched < ms(type->boot_s * kLateBoot)) {
       supply.coming[kind] += 1;
-      supply.coming_in_zone[{kind, m->zone}] += 1;
+      supply.coming_in_zone[{kind, machine->zone}] += 1;
     }
   }
   for (const auto& [name, scale_out] : scale_outs_) {
@@ -206,37 +206,40 @@
 // Returns the machine type with the lowest price per task slot for the request, among the types
 // that may be launched now; null if there is none.
 const MachineType* Controller::cheapest_type(const ResourceRequest& want, bool spot) const {
-  const MachineType* best = nullptr;
-  double best_price = 0;
+  const MachineType* cheapest = nullptr;
+  double lowest_price = 0;
   for (const MachineType& type : tables_.types) {
     if (!want.any_type &&
         std::find(want.types.begin(), want.types.end(), type.name) == want.types.end())
       continue;
     if (!want.each.fits_in(type.size)) continue;
-    const bool open = std::any_of(type.zones.begin(), type.zones.end(), [&](const auto& zone) {
-      return (want.zone.empty() || want.zone == zone) && may_scale_out({type.name, spot}, zone);
-    });
-    if (!open) continue;
+    const bool launchable =
+        std::any_of(type.zones.begin(), type.zones.end(), [&](const auto& zone) {
+          return (want.zone.empty() || want.zone == zone) && may_scale_out({type.name, spot}, zone);
+        });
+    if (!launchable) continue;
     const double slots = std::max(1.0, std::floor(task_slots(type.size, want.each)));
     const double price = (spot ? type.spot_price : type.price) / slots;
-    if (best != nullptr && price >= best_price) continue;
-    best = &type;
-    best_price = price;
+    if (cheapest != nullptr && price >= lowest_price) continue;
+    cheapest = &type;
+    lowest_price = price;
   }
-  return best;
+  return cheapest;
 }
 
 // Estimates the room that tasks of arrays and gangs free for waiting tasks by the time that a new
 // machine would have booted: unlike replicas, these tasks end by themselves.
 Resources Controller::room_freed_by_arrays() const {
   Resources freed;
-  for (const auto& [name, m] : tables_.machines) {
-    const MachineType* type = tables_.type(m->type);
-    if (type == nullptr || !usable(*m)) continue;
-    for (const TaskAttempt& p : m->attempts) {
-      if (!p.held || p.job == nullptr || p.job->spec().kind == JobKind::Service) continue;
-      const double share = kRelief * type->boot_s / (type->boot_s + p.job->spec().estimate_s);
-      freed += scaled(p.need, share);
+  for (const auto& [name, machine] : tables_.machines) {
+    const MachineType* type = tables_.type(machine->type);
+    if (type == nullptr || !usable(*machine)) continue;
+    for (const TaskAttempt& attempt : machine->attempts) {
+      if (!attempt.held || attempt.job == nullptr || attempt.job->spec().kind == JobKind::Service)
+        continue;
+      const double ratio =
+          kCountedFreedRoomRatio * type->boot_s / (type->boot_s + attempt.job->spec().estimate_s);
+      freed += scaled(attempt.need, ratio);
     }
   }
   return freed;
@@ -246,16 +249,16 @@
 // keeps the unused on-demand capacity within twice the headroom.
 Resources Controller::on_demand_allowance(const OnDemandCapacity& on_demand,
                                           const FleetSupply& supply) const {
-  const double most = 1 + 2 * options_.headroom_ratio;
-  Resources allowance{on_demand.used.cpus * most - on_demand.size.cpus,
-                      on_demand.used.gpus * most - on_demand.size.gpus, 0};
+  const double max_size_ratio = 1 + 2 * options_.headroom_ratio;
+  Resources allowance{on_demand.used.cpus * max_size_ratio - on_demand.size.cpus,
+                      on_demand.used.gpus * max_size_ratio - on_demand.size.gpus, 0};
   for (const auto& [kind, count] : supply.coming)
     if (const MachineType* type = tables_.type(kind.type); type != nullptr && !kind.spot) {
       allowance.cpus -= count * type->size.cpus;
       allowance.gpus -= count * type->size.gpus;
     }
-  for (const auto& [name, m] : tables_.machines)
-    if (!m->spot && m->draining && usable(*m)) allowance -= m->size;
+  for (const auto& [name, machine] : tables_.machines)
+    if (!machine->spot && machine->draining && usable(*machine)) allowance -= machine->size;
   return allowance;
 }
 
@@ -345,7 +348,7 @@
                                    FleetSupply& supply) {
   const MachineType* type = tables_.type(pool.kind.type);
   if (type == nullptr) return;
-  const double needed = std::ceil(machines_for(total, type->size) - kMachineSlack);
+  const double needed = std::ceil(machines_for(total, type->size) - kMinMachineFraction);
   double& coming = supply.coming_in_zone[pool];
   if (needed > coming && may_scale_out(pool.kind, pool.zone)) {
     const auto missing = static_cast<std::uint32_t>(needed - coming);
@@ -364,8 +367,8 @@
   const MachineType* type = tables_.type(kind.type);
   if (type == nullptr) return;
   const double machines = machines_for(total, type->size);
-  int missing =
-      static_cast<int>(std::ceil(machines - kMachineSlack)) - static_cast<int>(supply.coming[kind]);
+  int missing = static_cast<int>(std::ceil(machines - kMinMachineFraction)) -
+                static_cast<int>(supply.coming[kind]);
   std::map<std::string, std::uint32_t> split;
   auto& have = supply.by_zone[kind];
   for (; missing > 0; --missing) {
@@ -386,14 +389,14 @@
 // checkpoint.
 void Controller::scale_out(const MachineKind& kind, const std::string& zone, std::uint32_t count) {
   while (count > 0) {
-    const std::uint32_t n = std::min(count, kMaxScaleOut);
-    count -= n;
+    const std::uint32_t batch = std::min(count, kMaxMachinesPerScaleOut);
+    count -= batch;
     PendingScaleOut scale_out;
     // The epoch makes the name unique to this leader: no other controller ever uses the same name.
     const std::string name =
         "r-" + std::to_string(election_.epoch()) + "-" + std::to_string(next_scale_out_++);
-    scale_out.request = {name, kind.type, zone, kind.spot, n};
-    scale_out.since = clock_.now;
+    scale_out.request = {name, kind.type, zone, kind.spot, batch};
+    scale_out.decided_at = clock_.now;
     // If the checkpoint has no room for another pending request, a later run of the autoscaler
     // requests the remaining machines, once the cloud has answered some of the pending requests.
     if (!checkpoint_.scale_out_fits(scale_out.request)) return;
@@ -402,7 +405,7 @@
                  {"type", kind.type},
                  {"zone", zone},
                  {"spot", kind.spot ? 1 : 0},
-                 {"count", n}});
+                 {"count", batch}});
     scale_outs_[name] = std::move(scale_out);
     checkpoint_.mark_scale_outs_changed();
   }
@@ -411,40 +414,41 @@
 void Controller::send_scale_outs() {
   const std::uint64_t term = election_.term();
   for (auto& [name, scale_out] : scale_outs_) {
-    if (!scale_out.committed || scale_out.asking || clock_.now < scale_out.retry) continue;
+    if (!scale_out.committed || scale_out.call_in_flight || clock_.now < scale_out.retry_at)
+      continue;
     CloudRequest call;
     call.kind = CloudRequest::Kind::ScaleOut;
     call.scale_out = scale_out.request;
-    scale_out.asking = outbox_.call_cloud(
+    scale_out.call_in_flight = outbox_.call_cloud(
         call,
         [this, term, name = name](const CloudResponse& reply) {
           if (term == election_.term()) handle_scale_out_response(name, reply);
         },
         CloudBudget::Full);
-    if (!scale_out.asking) return;
+    if (!scale_out.call_in_flight) return;
   }
 }
 
 void Controller::handle_scale_out_response(const std::string& name, const CloudResponse& reply) {
   const auto it = scale_outs_.find(name);
   if (it == scale_outs_.end()) return;
-  PendingScaleOut& open = it->second;
-  open.asking = false;
-  const ScaleOutRequest& request = open.request;
+  PendingScaleOut& pending = it->second;
+  pending.call_in_flight = false;
+  const ScaleOutRequest& request = pending.request;
   if (reply.status == 200) add_launched(request, reply.names);
-  const bool partly = reply.status == 200 && reply.names.size() < request.count;
-  if (reply.no_capacity || partly) {
+  const bool partial = reply.status == 200 && reply.names.size() < request.count;
+  if (reply.no_capacity || partial) {
     outbox_.log(Log::Level::Info, LogEvent::NoCapacity,
                 {{"request", name}, {"got", reply.names.size()}, {"of", request.count}});
     no_capacity_until_[{{request.type, request.spot}, request.zone}] =
-        clock_.now + std::max<Time>(ms(settings_.cloud_limits.list_lag_s), kLeastNoCapacity);
+        clock_.now + std::max<Time>(ms(settings_.cloud_limits.list_lag_s), kMinNoCapacityDelayMs);
   }
   if (reply.status == 200 || reply.status == 400 || reply.no_capacity) {
     scale_outs_.erase(it);
     checkpoint_.mark_scale_outs_changed();
   } else {
     // The cloud may have carried out the request, so the same one is sent again under its name.
-    open.retry = clock_.now + kScaleOutRetry;
+    pending.retry_at = clock_.now + kScaleOutRetryDelayMs;
   }
 }
 
@@ -461,76 +465,79 @@
   }
 }
 
-void Controller::cordon(Machine& m, CordonCause cause) {
-  if (m.cordoned) return;
-  m.cordoned = true;
-  m.cordon_cause = cause;
-  outbox_.log(Log::Level::Info, LogEvent::MachineCordoned, {{"machine", m.name}, {"cause", cause}});
-  drop_unsent(m);
+void Controller::cordon(Machine& machine, CordonCause cause) {
+  if (machine.cordoned) return;
+  machine.cordoned = true;
+  machine.cordon_cause = cause;
+  outbox_.log(Log::Level::Info, LogEvent::MachineCordoned,
+              {{"machine", machine.name}, {"cause", cause}});
+  drop_unsent(machine);
   if (cause == CordonCause::Faulty)
-    for (TaskAttempt& p : m.attempts)
-      if (p.held && p.job != nullptr) stop_with_gang(p, grace_for(*p.job));
+    for (TaskAttempt& attempt : machine.attempts)
+      if (attempt.held && attempt.job != nullptr) stop_with_gang(attempt, grace_for(*attempt.job));
 }
 
-void Controller::terminate_instance(Machine& m, TerminationCause cause) {
-  if (m.terminating) return;
-  m.terminating = m.cordoned = true;
-  termination_queue_.insert(m.name);
+void Controller::terminate_instance(Machine& machine, TerminationCause cause) {
+  if (machine.terminating) return;
+  machine.terminating = machine.cordoned = true;
+  termination_queue_.insert(machine.name);
   outbox_.log(Log::Level::Info, LogEvent::MachineTerminating,
-              {{"machine", m.name}, {"cause", cause}});
+              {{"machine", machine.name}, {"cause", cause}});
 }
 
 void Controller::scale_in_idle() {
   const Time now = clock_.now;
   OnDemandCapacity on_demand = on_demand_capacity();
-  for (auto& [name, ptr] : tables_.machines) {
-    Machine& m = *ptr;
-    if (m.terminating) continue;
-    const MachineType* t = tables_.type(m.type);
-    if (t == nullptr) continue;
-    if (!m.heard_in_epoch) {
-      if (!m.recorded || !reconciling_)
-        if (now - m.launched > ms(t->boot_s * kDeadBoot) && now >= expiry(m))
-          terminate_instance(m, TerminationCause::NeverCameUp);
+  for (auto& [name, pointer] : tables_.machines) {
+    Machine& machine = *pointer;
+    if (machine.terminating) continue;
+    const MachineType* type = tables_.type(machine.type);
+    if (type == nullptr) continue;
+    if (!machine.heard_in_epoch) {
+      if (!machine.recorded || !reconciling_)
+        if (now - machine.launched > ms(type->boot_s * kFailedBootRatio) && now >= expiry(machine))
+          terminate_instance(machine, TerminationCause::NeverCameUp);
       continue;
     }
-    if (!m.empty()) continue;
-    if (m.cordoned || m.draining) {
-      terminate_instance(
-          m, m.draining ? TerminationCause::Drained : termination_cause(m.cordon_cause));
+    if (!machine.empty()) continue;
+    if (machine.cordoned || machine.draining) {
+      terminate_instance(machine, machine.draining ? TerminationCause::Drained
+                                                   : termination_cause(machine.cordon_cause));
       continue;
     }
-    if (reconciling_ || m.idle_since == 0 ||
-        now - m.idle_since < ms(t->boot_s * options_.idle_ratio))
+    if (reconciling_ || machine.idle_since == 0 ||
+        now - machine.idle_since < ms(type->boot_s * options_.idle_ratio))
       continue;
-    if (!m.spot) {
-      if (!spare(on_demand, m)) continue;
-      on_demand.size -= m.size;
+    if (!machine.spot) {
+      if (!spare(on_demand, machine)) continue;
+      on_demand.size -= machine.size;
     }
-    terminate_instance(m, TerminationCause::Idle);
+    terminate_instance(machine, TerminationCause::Idle);
   }
   drain_surplus(on_demand);
 }
 
 // Returns whether the other on-demand machines still provide the headroom that has to remain.
-bool Controller::spare(const OnDemandCapacity& on_demand, const Machine& m) const {
+bool Controller::spare(const OnDemandCapacity& on_demand, const Machine& machine) const {
   const auto& [size, used] = on_demand;
-  const double keep = 1 + kReturnHeadroom * options_.headroom_ratio;
-  return size.gpus - m.size.gpus >= used.gpus * keep && size.cpus - m.size.cpus >= used.cpus * keep;
+  const double required_ratio = 1 + kScaleInHeadroomRatio * options_.headroom_ratio;
+  return size.gpus - machine.size.gpus >= used.gpus * required_ratio &&
+         size.cpus - machine.size.cpus >= used.cpus * required_ratio;
 }
 
 // Returns the total size of the on-demand machines that accept work, and what work that requires
 // on-demand machines uses on them. The room of tasks that may run on spot instances counts as free,
 // since these tasks can be preempted.
 Controller::OnDemandCapacity Controller::on_demand_capacity() const {
-  OnDemandCapacity room;
-  for (const auto& [name, m] : tables_.machines) {
-    if (!usable(*m) || m->spot) continue;
-    if (!m->draining) room.size += m->size;
-    for (const TaskAttempt& p : m->attempts)
-      if (p.held && (p.job == nullptr || !p.job->spec().spot)) room.used += p.need;
+  OnDemandCapacity capacity;
+  for (const auto& [name, machine] : tables_.machines) {
+    if (!usable(*machine) || machine->spot) continue;
+    if (!machine->draining) capacity.size += machine->size;
+    for (const TaskAttempt& attempt : machine->attempts)
+      if (attempt.held && (attempt.job == nullptr || !attempt.job->spec().spot))
+        capacity.used += attempt.need;
   }
-  return room;
+  return capacity;
 }
 
 // Drains the on-demand machines with the fewest tasks while there is more capacity than needed:
@@ -539,33 +546,36 @@
 void Controller::drain_surplus(OnDemandCapacity on_demand) {
   // Draining starts only after a time without such demand: when demand came and went within
   // seconds, one machine was drained 17 times in a day, and its replicas migrated each time.
-  const bool wanted = on_demand_awaited_ || std::any_of(unmet_demand_.begin(), unmet_demand_.end(),
-                                                        [](auto& u) { return !u.want.spot; });
+  const bool wanted =
+      on_demand_awaited_ || std::any_of(unmet_demand_.begin(), unmet_demand_.end(),
+                                        [](auto& unmet) { return !unmet.want.spot; });
   if (wanted) {
-    drain_not_before_ = clock_.now + kRetireLeases * worker_lease();
+    drain_not_before_ = clock_.now + kDrainDelayLeases * worker_lease();
     // Usable machines stop draining: if they continued while work waits for on-demand capacity, a
     // new machine would be launched for each of them.
-    for (auto& [name, m] : tables_.machines) m->draining = m->draining && !usable(*m);
+    for (auto& [name, machine] : tables_.machines)
+      machine->draining = machine->draining && !usable(*machine);
   }
   if (reconciling_ || clock_.now < drain_not_before_) return;
-  std::size_t up = 0, draining = 0;
-  for (const auto& [name, m] : tables_.machines) {
-    if (m->spot || !usable(*m)) continue;
-    ++up;
-    draining += m->draining ? 1 : 0;
+  std::size_t usable_machines = 0, draining_machines = 0;
+  for (const auto& [name, machine] : tables_.machines) {
+    if (machine->spot || !usable(*machine)) continue;
+    ++usable_machines;
+    draining_machines += machine->draining ? 1 : 0;
   }
   Reservations under_way;
-  for (const auto& [task, move] : migrations_)
-    if (const Machine* to = tables_.machine(move.to)) under_way[to] += move.need;
+  for (const auto& [task, migration] : migrations_)
+    if (const Machine* target = tables_.machine(migration.to)) under_way[target] += migration.need;
   std::vector<FailedMigration> failed_migrations;
   image_holders_.clear();
   // Starts to drain as many machines in one run as the fleet's size allows. One machine per run was
   // too slow when demand fell and hundreds of machines had to be drained.
-  for (Machine* m : machines_to_drain()) {
-    if (draining > up / kRetiringShare) break;
-    if (!spare(on_demand, *m) || !drain_machine(*m, under_way, failed_migrations)) continue;
-    on_demand.size -= m->size;
-    ++draining;
+  for (Machine* machine : machines_to_drain()) {
+    if (draining_machines > usable_machines / kUsableMachinesPerDraining) break;
+    if (!spare(on_demand, *machine) || !drain_machine(*machine, under_way, failed_migrations))
+      continue;
+    on_demand.size -= machine->size;
+    ++draining_machines;
   }
   image_holders_.clear();
 }
@@ -578,21 +588,21 @@
     Machine* machine;
   };
   std::vector<Candidate> candidates;
-  for (const auto& [name, m] : tables_.machines) {
-    if (m->spot || !usable(*m) || m->draining || m->empty()) continue;
+  for (const auto& [name, machine] : tables_.machines) {
+    if (machine->spot || !usable(*machine) || machine->draining || machine->empty()) continue;
     Resources moved;
     std::size_t tasks = 0;
     bool possible = true;
-    for (const TaskAttempt& p : m->attempts) {
-      if (!p.held) continue;
+    for (const TaskAttempt& attempt : machine->attempts) {
+      if (!attempt.held) continue;
       ++tasks;
       // Tasks of arrays and gangs aren't migrated; draining waits until they end.
-      if (p.job != nullptr && p.job->spec().kind != JobKind::Service) continue;
-      moved += p.need;
-      possible = possible && migratable(p);
+      if (attempt.job != nullptr && attempt.job->spec().kind != JobKind::Service) continue;
+      moved += attempt.need;
+      possible = possible && migratable(attempt);
     }
-    if (possible && moved.gpus <= m->size.gpus / 2 && moved.cpus <= m->size.cpus / 2)
-      candidates.push_back({tasks, m.get()});
+    if (possible && moved.gpus <= machine->size.gpus / 2 && moved.cpus <= machine->size.cpus / 2)
+      candidates.push_back({tasks, machine.get()});
   }
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const auto& a, const auto& b) { return a.tasks < b.tasks; });
@@ -607,38 +617,38 @@
 // Adds replicas without a target to `failed_migrations`, so that no target is searched for similar
 // replicas again: the cost of examining all machines for each replica of each machine grew with the
 // square of the fleet's size.
-bool Controller::drain_machine(Machine& m, Reservations& under_way,
+bool Controller::drain_machine(Machine& machine, Reservations& under_way,
                                std::vector<FailedMigration>& failed_migrations) {
   // A machine that is the target of migrations isn't drained.
-  if (under_way.contains(&m)) return false;
+  if (under_way.contains(&machine)) return false;
   std::vector<PlannedMigration> plan;
-  for (TaskAttempt& p : m.attempts) {
-    if (!p.held || p.job->spec().kind != JobKind::Service) continue;
-    const JobSpec& spec = p.job->spec();
+  for (TaskAttempt& attempt : machine.attempts) {
+    if (!attempt.held || attempt.job->spec().kind != JobKind::Service) continue;
+    const JobSpec& spec = attempt.job->spec();
     const ResourceRequest want = resource_request_of(spec);
     if (std::any_of(failed_migrations.begin(), failed_migrations.end(),
                     [&](const FailedMigration& failed) {
                       return failed.image == spec.image && want.as_much_as(failed.want);
                     }))
       return false;
-    Machine* to = warm_room(p, m, under_way, plan);
-    if (to == nullptr) {
+    Machine* target = warm_room(attempt, machine, under_way, plan);
+    if (target == nullptr) {
       // Similar replicas on other machines have no target either, with these exceptions: this
       // machine has room for them, or the migrations planned above take the room, or constraints on
       // the job's zones exclude targets that other jobs may use.
-      const bool room_here = spec.need.fits_in(room_beside(under_way, m));
+      const bool room_here = spec.need.fits_in(room_beside(under_way, machine));
       if (plan.empty() && !room_here && !spec.spread && !spec.one_zone)
         failed_migrations.push_back({want, spec.image});
       return false;
     }
-    plan.push_back({&p, to});
+    plan.push_back({&attempt, target});
   }
-  m.draining = true;
+  machine.draining = true;
   outbox_.log(Log::Level::Info, LogEvent::MachineDraining,
-              {{"machine", m.name}, {"migrations", plan.size()}});
+              {{"machine", machine.name}, {"migrations", plan.size()}});
   for (const PlannedMigration& step : plan) {
     under_way[step.to] += step.attempt_record->need;
-    migrate_replica(*step.attempt_record, m, *step.to);
+    migrate_replica(*step.attempt_record, machine, *step.to);
   }
   return true;
 }
@@ -648,24 +658,24 @@
   CloudRequest call;
   call.kind = CloudRequest::Kind::Terminate;
   for (const std::string& name : termination_queue_) {
-    if (call.names.size() >= kMaxRelease) break;
+    if (call.names.size() >= kMaxMachinesPerTermination) break;
     call.names.push_back(name);
   }
   const std::uint64_t term = election_.term();
   const auto names = call.names;
   terminating_ = outbox_.call_cloud(
       std::move(call),
-      [this, term, names](const CloudResponse& r) {
+      [this, term, names](const CloudResponse& reply) {
         if (term != election_.term()) return;
         terminating_ = false;
-        if (r.status != 200) return;
+        if (reply.status != 200) return;
         for (const std::string& name : names) {
           termination_queue_.erase(name);
           terminated_[name] = clock_.now;
           // The cloud has confirmed the termination. This proves that none of the machine's tasks
           // runs any more.
-          if (Machine* m = tables_.machine(name))
-            machine_gone(*m, IncarnationLossCause::Terminated);
+          if (Machine* machine = tables_.machine(name))
+            machine_gone(*machine, IncarnationLossCause::Terminated);
         }
       },
       CloudBudget::Full);
--- a/src/controller/pending_scale_out.hpp
+++ b/src/controller/pending_scale_out.hpp
@@ -15,10 +15,10 @@
   /// The request is recorded in the checkpoint, so it may be sent to the cloud.
   bool committed = false;
   /// A call to the cloud with this request is in flight.
-  bool asking = false;
-  /// Times in ms of the controller's clock: the request is not sent again before `retry`, and it
-  /// was decided at `since`.
-  Time retry = 0, since = 0;
+  bool call_in_flight = false;
+  /// Times in ms of the controller's clock: the request is not sent again before `retry_at`, and
+  /// it was decided at `decided_at`.
+  Time retry_at = 0, decided_at = 0;
 };
 
 /// Scale-out requests by name. A request's name is never used by another controller.
--- a/src/controller/regional_quotas.cpp
+++ b/src/controller/regional_quotas.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 Amounts amounts_of(const Resources& resources) {
-  return {federation::thousandths_at_least(resources.cpus),
-          federation::thousandths_at_least(resources.gpus)};
+  return {federation::thousandths_rounded_up(resources.cpus),
+          federation::thousandths_rounded_up(resources.gpus)};
 }
 
 }  // namespace
@@ -43,15 +43,16 @@
 }
 
 std::vector<federation::ShareAction> RegionalQuotas::observe(Time now, bool complete,
-                                                             bool all_share) {
+                                                             bool all_support_shares) {
   if (!shares_) return {};
-  if (all_share) shares_->activate();
+  if (all_support_shares) shares_->activate();
   auto actions = shares_->step(now, federation::LoadObserved{loads(), complete});
   apply_caps();
   return actions;
 }
 
-std::vector<federation::ShareAction> RegionalQuotas::take(Time now, const RegionMessage& message) {
+std::vector<federation::ShareAction> RegionalQuotas::handle_message(Time now,
+                                                                    const RegionMessage& message) {
   if (!shares_) return {};
   auto actions = shares_->step(now, federation::MessageArrived{message});
   apply_caps();
@@ -66,22 +67,23 @@
 }
 
 std::vector<federation::TeamLoad> RegionalQuotas::loads() const {
-  std::vector<federation::TeamLoad> out;
+  std::vector<federation::TeamLoad> team_loads;
   for (const TeamQuota& team : tables_.teams) {
     federation::TeamLoad load;
     load.team = team.limits.name;
     load.used = amounts_of(team.used);
-    out.push_back(std::move(load));
+    team_loads.push_back(std::move(load));
   }
   for (const auto& [order, job] : tables_.in_order) {
     if (job->team == nullptr) continue;
-    federation::TeamLoad& load = out[static_cast<std::size_t>(job->team - tables_.teams.data())];
+    federation::TeamLoad& load =
+        team_loads[static_cast<std::size_t>(job->team - tables_.teams.data())];
     const auto priority = static_cast<std::size_t>(job->spec().priority);
     load.running[priority] += amounts_of(job->spec().need.times(job->placed));
     if (job->active() && !job->suspect())
       load.waiting[priority] += amounts_of(job->spec().need.times(job->queued));
   }
-  return out;
+  return team_loads;
 }
 
 void RegionalQuotas::apply_caps() {
@@ -93,7 +95,7 @@
 
 void RegionalQuotas::set_caps(TeamQuota& team, std::optional<double> cpus,
                               std::optional<double> gpus) {
-  raised_ = raised_ || cpus > team.cpus_cap || gpus > team.gpus_cap;
+  cap_raised_ = cap_raised_ || cpus > team.cpus_cap || gpus > team.gpus_cap;
   team.cpus_cap = cpus;
   team.gpus_cap = gpus;
 }
--- a/src/controller/regional_quotas.hpp
+++ b/src/controller/regional_quotas.hpp
@@ -33,24 +33,26 @@
 
   /// To be called periodically while this controller leads. Passes the teams' load to the share
   /// manager; returns what has to be sent, stopped or logged. `now` is in ms. `complete` tells that
-  /// all tasks that may run are counted, `all_share` that every controller of the region is known
-  /// to support quota shares.
-  std::vector<federation::ShareAction> observe(Time now, bool complete, bool all_share);
+  /// all tasks that may run are counted, `all_support_shares` that every controller of the region
+  /// is known to support quota shares.
+  std::vector<federation::ShareAction> observe(Time now, bool complete, bool all_support_shares);
   /// Processes a message from another region; returns what has to be sent or logged for it. `now`
   /// is in ms.
-  std::vector<federation::ShareAction> take(Time now, const RegionMessage& message);
+  std::vector<federation::ShareAction> handle_message(Time now, const RegionMessage& message);
   /// To be called when the checkpoint commit with the last result of `writes` has succeeded. `now`
   /// is in ms.
   std::vector<federation::ShareAction> committed(Time now);
 
   /// Whether share records have to be written.
   [[nodiscard]] bool wants_commit() const { return shares_ && shares_->wants_commit(); }
-  /// Returns at most `most` writes of share records for the next checkpoint commit. Only valid if
-  /// limits span regions.
-  std::vector<federation::ShareWrite> writes(std::size_t most) { return shares_->writes(most); }
+  /// Returns at most `max_writes` writes of share records for the next checkpoint commit. Only
+  /// valid if limits span regions.
+  std::vector<federation::ShareWrite> writes(std::size_t max_writes) {
+    return shares_->writes(max_writes);
+  }
 
   /// Returns whether a cap was raised since the last call.
-  bool take_raised() { return std::exchange(raised_, false); }
+  bool take_cap_raised() { return std::exchange(cap_raised_, false); }
   /// The share manager, which this object owns; null if limits don't span regions.
   [[nodiscard]] const federation::ShareManager* shares() const { return shares_.get(); }
 
@@ -61,7 +63,7 @@
 
   Tables& tables_;
   std::unique_ptr<federation::ShareManager> shares_;
-  bool raised_ = false;
+  bool cap_raised_ = false;
 };
 
 }  // namespace sailreel
--- a/src/controller/share_moves.cpp
+++ b/src/controller/share_moves.cpp
@@ -4,12 +4,12 @@
 namespace sailreel {
 namespace {
 /// The share manager gets the teams' load this many times per heartbeat interval.
-constexpr Time kLooksPerHeartbeat = 10;
+constexpr Time kLoadReportsPerHeartbeat = 10;
 }  // namespace
 
 void Controller::share_tick() {
   if (!quotas_.shared() || clock_.now < next_share_look_) return;
-  next_share_look_ = clock_.now + heartbeat_interval() / kLooksPerHeartbeat;
+  next_share_look_ = clock_.now + heartbeat_interval() / kLoadReportsPerHeartbeat;
   // Tasks that are not known to this leader may run and count against the share. Until they can be
   // ruled out, no share may be given to another region.
   const bool complete = !reconciling_ && !unknown_jobs_ && !unknown_machines_;
@@ -18,7 +18,7 @@
 
 void Controller::region_input(const RegionMessageReceived& input) {
   if (!holds_valid_lease(clock_.now)) return;
-  perform_share_actions(quotas_.take(clock_.now, input.message));
+  perform_share_actions(quotas_.handle_message(clock_.now, input.message));
   if (input.message.kind != RegionMessage::Kind::Demand) return;
   next_share_look_ = clock_.now;
   share_tick();
@@ -28,12 +28,12 @@
   for (federation::ShareAction& action : actions) {
     if (auto* send = std::get_if<federation::SendToRegion>(&action))
       outbox_.send_to_region(send->region, std::move(send->message));
-    else if (const auto* stop = std::get_if<federation::StopBeyondCap>(&action))
+    else if (const auto* stop = std::get_if<federation::PreemptBeyondCap>(&action))
       stop_beyond_cap(stop->team, stop->below);
     else if (const auto* event = std::get_if<federation::ShareEvent>(&action))
       outbox_.log_text(event->is_error ? Log::Level::Error : Log::Level::Info, event->text);
   }
-  if (quotas_.take_raised()) scheduling_needed_ = true;
+  if (quotas_.take_cap_raised()) scheduling_needed_ = true;
 }
 
 // Preempts the team's tasks that have a lower priority than `below`, those of the lowest priority
@@ -42,22 +42,22 @@
   TeamQuota* team = tables_.team(name);
   if (team == nullptr) return;
   std::vector<TaskAttempt*> candidates;
-  Resources left = team->used;
-  for (auto& [machine, m] : tables_.machines)
-    for (TaskAttempt& p : m->attempts) {
-      if (p.team != team || !p.held || p.job == nullptr) continue;
-      if (p.stop)
-        left -= p.need;
-      else if (p.job->spec().priority > below)
-        candidates.push_back(&p);
+  Resources remaining = team->used;
+  for (auto& [machine_name, machine] : tables_.machines)
+    for (TaskAttempt& attempt : machine->attempts) {
+      if (attempt.team != team || !attempt.held || attempt.job == nullptr) continue;
+      if (attempt.stop)
+        remaining -= attempt.need;
+      else if (attempt.job->spec().priority > below)
+        candidates.push_back(&attempt);
     }
   std::sort(candidates.begin(), candidates.end(), preempted_before);
-  for (TaskAttempt* p : candidates) {
-    if (team->within_cap(left)) return;
-    if (p->stop) continue;  // was stopped above, with another task of its gang
-    outbox_.log(Log::Level::Info, LogEvent::PreemptedForQuota, {{"task", p->key}});
-    left -= is_gang(*p->job) ? p->need.times(p->job->placed) : p->need;
-    stop_with_gang(*p, grace_for(*p->job));
+  for (TaskAttempt* attempt : candidates) {
+    if (team->within_cap(remaining)) return;
+    if (attempt->stop) continue;  // was stopped above, with another task of its gang
+    outbox_.log(Log::Level::Info, LogEvent::PreemptedForQuota, {{"task", attempt->key}});
+    remaining -= is_gang(*attempt->job) ? attempt->need.times(attempt->job->placed) : attempt->need;
+    stop_with_gang(*attempt, grace_for(*attempt->job));
   }
 }
 
--- a/src/federation/ledger.cpp
+++ b/src/federation/ledger.cpp
@@ -4,8 +4,8 @@
 
 bool give(ShareLedger& ledger, const std::string& region, const std::vector<TeamAmounts>& amounts) {
   for (const TeamAmounts& entry : amounts) {
-    const auto held = ledger.teams.find(entry.team);
-    if (held == ledger.teams.end() || !entry.amounts.fits_in(held->second.share)) return false;
+    const auto record = ledger.teams.find(entry.team);
+    if (record == ledger.teams.end() || !entry.amounts.fits_in(record->second.share)) return false;
   }
   for (const TeamAmounts& entry : amounts) ledger.teams[entry.team].share -= entry.amounts;
   TransferRecord& transfers = ledger.regions[region];
@@ -31,12 +31,12 @@
 
 void set_limit(ShareLedger& ledger, const std::string& team, const Amounts& limit) {
   ShareRecord& record = ledger.teams[team];
-  const Amounts more = (limit - record.limit).positive();
-  const Amounts less = (record.limit - limit).positive();
-  const Amounts paid = more.at_most(record.excess);
+  const Amounts increase = (limit - record.limit).positive();
+  const Amounts decrease = (record.limit - limit).positive();
+  const Amounts paid = increase.at_most(record.excess);
   record.limit = limit;
-  record.excess = record.excess - paid + less;
-  record.share += more - paid;
+  record.excess = record.excess - paid + decrease;
+  record.share += increase - paid;
 }
 
 void pay_excess(ShareLedger& ledger, const std::string& team, const Amounts& amounts) {
--- a/src/federation/share_manager.cpp
+++ b/src/federation/share_manager.cpp
@@ -8,7 +8,7 @@
 
 ShareManager::ShareManager(const FederationOptions& options, const std::vector<Team>& teams,
                            Time heartbeat_ms)
-    : options_(options), interval_(std::max<Time>(1, heartbeat_ms)) {
+    : options_(options), heartbeat_interval_(std::max<Time>(1, heartbeat_ms)) {
   for (const std::string& name : other_regions(options_)) {
     RegionView view;
     view.name = name;
@@ -20,7 +20,7 @@
     managed.gpus = team.gpus_max > 0;
     if (!managed.cpus && !managed.gpus) continue;
     managed.limit = {thousandths(team.cpus_max), thousandths(team.gpus_max)};
-    managed_[team.name] = managed;
+    managed_teams_[team.name] = managed;
   }
 }
 
@@ -31,7 +31,7 @@
 // Returns the share of a team's limit that this region starts with. The options fix the shares of
 // all regions except the first, since the limit may have changed by the time that those regions are
 // switched on. The first region gets the rest, and it alone follows changes of the limit.
-ShareRecord ShareManager::first_record(const std::string& team) const {
+ShareRecord ShareManager::initial_record(const std::string& team) const {
   ShareRecord record;
   Amounts others;
   for (const ShareOption& share : options_.shares) {
@@ -41,7 +41,7 @@
     if (share.region != options_.regions.front().name) others += amounts;
   }
   if (!administers_limits()) return record;
-  record.limit = managed_.at(team).limit;
+  record.limit = managed_teams_.at(team).limit;
   record.share = (record.limit - others).positive();
   record.excess = (others - record.limit).positive();
   return record;
@@ -62,13 +62,13 @@
     else
       unreadable_ = true;
   active_ = !values.empty();
-  unwritten_.clear();
-  if (unreadable_) event("event=shares_unreadable", true);
-  for (const auto& [team, managed] : managed_) {
+  teams_without_record_.clear();
+  if (unreadable_) log_event("event=shares_unreadable", true);
+  for (const auto& [team, managed] : managed_teams_) {
     teams_[team];
     if (committed_.teams.contains(team)) continue;
-    committed_.teams[team] = first_record(team);
-    unwritten_.insert(team);
+    committed_.teams[team] = initial_record(team);
+    teams_without_record_.insert(team);
   }
   for (RegionView& region : regions_) {
     committed_.regions[region.name];
@@ -77,13 +77,13 @@
   }
   // A value that can't be decoded is not overwritten: by now, the region may hold a different share
   // than the one that it started with.
-  if (active_ && !unreadable_) write_first_shares();
+  if (active_ && !unreadable_) write_initial_shares();
 }
 
 void ShareManager::stop() {
-  leading_ = complete_ = false;
-  pending_.clear();
-  in_flight_.clear();
+  leading_ = load_complete_ = false;
+  pending_changes_.clear();
+  in_flight_changes_.clear();
   teams_.clear();
   for (RegionView& region : regions_) {
     const std::string name = std::move(region.name);
@@ -95,11 +95,12 @@
 void ShareManager::activate() {
   if (active_ || unreadable_) return;
   active_ = true;
-  write_first_shares();
+  write_initial_shares();
 }
 
-void ShareManager::write_first_shares() {
-  for (const std::string& team : unwritten_) pending_.emplace_back(WriteFirstShare{team});
+void ShareManager::write_initial_shares() {
+  for (const std::string& team : teams_without_record_)
+    pending_changes_.emplace_back(WriteInitialShare{team});
 }
 
 std::vector<ShareAction> ShareManager::step(Time now, ShareInput input) {
@@ -115,9 +116,9 @@
   return std::move(actions_);
 }
 
-Amounts ShareManager::limited(const std::string& team, Amounts amounts) const {
-  const auto managed = managed_.find(team);
-  if (managed == managed_.end()) return {};
+Amounts ShareManager::limited_dimensions_only(const std::string& team, Amounts amounts) const {
+  const auto managed = managed_teams_.find(team);
+  if (managed == managed_teams_.end()) return {};
   if (!managed->second.cpus) amounts.cpus = 0;
   if (!managed->second.gpus) amounts.gpus = 0;
   return amounts;
@@ -138,22 +139,23 @@
 }
 
 ShareManager::Cap ShareManager::cap(const std::string& team) const {
-  const auto managed = managed_.find(team);
-  if (managed == managed_.end()) return {};
+  const auto managed = managed_teams_.find(team);
+  if (managed == managed_teams_.end()) return {};
   Amounts may_use;
   const auto view = teams_.find(team);
   if (!unreadable_ && view != teams_.end()) may_use = available(team, view->second).positive();
   // After the limit was lowered, the share may exceed it until the excess is paid off.
   may_use = may_use.at_most(managed->second.limit);
-  Cap out;
-  if (managed->second.cpus) out.cpus = units(may_use.cpus);
-  if (managed->second.gpus) out.gpus = units(may_use.gpus);
-  return out;
+  Cap result;
+  if (managed->second.cpus) result.cpus = units(may_use.cpus);
+  if (managed->second.gpus) result.gpus = units(may_use.gpus);
+  return result;
 }
 
 // Returns the part of the available share that is neither used nor waited for.
 Amounts ShareManager::unused(const std::string& team, const TeamView& view) const {
-  return limited(team, available(team, view) - view.load.used - sum_of(view.load.waiting))
+  return limited_dimensions_only(team,
+                                 available(team, view) - view.load.used - sum_of(view.load.waiting))
       .positive();
 }
 
@@ -163,10 +165,10 @@
 }
 
 void ShareManager::observe(const LoadObserved& input) {
-  complete_ = input.complete;
+  load_complete_ = input.complete;
   for (const TeamLoad& load : input.teams)
     if (const auto view = teams_.find(load.team); view != teams_.end()) view->second.load = load;
-  if (!active_ || !complete_ || !unwritten_.empty()) return;
+  if (!active_ || !load_complete_ || !teams_without_record_.empty()) return;
   adjust_limits();
   serve_demands();
   send_demands();
@@ -177,21 +179,21 @@
 // Follows changes of the limits, and pays off excess. Only the first region creates and destroys
 // shares: if several regions did, the sum of the shares could deviate from the limit.
 void ShareManager::adjust_limits() {
-  if (!administers_limits() || !pending_.empty() || !in_flight_.empty()) return;
+  if (!administers_limits() || !pending_changes_.empty() || !in_flight_changes_.empty()) return;
   for (auto& [team, view] : teams_) {
     const ShareRecord& record = committed_.teams[team];
-    Amounts wanted = managed_.at(team).limit;
+    Amounts wanted = managed_teams_.at(team).limit;
     for (const ShareOption& adopted : options_.adopted)
       if (adopted.team == team)
         wanted += Amounts{thousandths(adopted.cpus), thousandths(adopted.gpus)};
     if (record.limit != wanted) {
-      pending_.emplace_back(ChangeLimit{team, wanted});
+      pending_changes_.emplace_back(ChangeLimit{team, wanted});
       continue;
     }
     const Amounts paid = unused(team, view).at_most(record.excess);
     if (paid.none()) continue;
     view.promised += paid;
-    pending_.emplace_back(PayExcess{team, paid});
+    pending_changes_.emplace_back(PayExcess{team, paid});
   }
 }
 
--- a/src/federation/share_manager.hpp
+++ b/src/federation/share_manager.hpp
@@ -51,7 +51,7 @@
 };
 /// The team's tasks that have a lower priority than `below` have to be preempted until the team's
 /// use is within its cap.
-struct StopBeyondCap {
+struct PreemptBeyondCap {
   std::string team;
   Priority below = Priority::High;
 };
@@ -60,7 +60,7 @@
   bool is_error = false;
   std::string text;
 };
-using ShareAction = std::variant<SendToRegion, StopBeyondCap, ShareEvent>;
+using ShareAction = std::variant<SendToRegion, PreemptBeyondCap, ShareEvent>;
 
 /// A value of the ledger that the checkpoint commit has to write.
 struct ShareWrite {
@@ -90,9 +90,9 @@
   /// first commit stores this, and it is permanent from then on.
   void activate();
   [[nodiscard]] bool active() const { return active_; }
-  /// Returns at most `most` writes for the next commit, none if there is nothing to commit. The
-  /// changes that they store take effect with `CheckpointCommitted`.
-  std::vector<ShareWrite> writes(std::size_t most);
+  /// Returns at most `max_writes` writes for the next commit, none if there is nothing to commit.
+  /// The changes that they store take effect with `CheckpointCommitted`.
+  std::vector<ShareWrite> writes(std::size_t max_writes);
 
   /// What the team's tasks may use in this region now; empty in a dimension without a quota limit.
   struct Cap {
@@ -110,7 +110,7 @@
     Amounts limit;
   };
   /// Starts a transfer to another region.
-  struct Give {
+  struct StartTransfer {
     std::size_t region = 0;
     std::vector<TeamAmounts> amounts;
   };
@@ -129,10 +129,11 @@
   };
   /// Stores the share that the region starts with. From then on, the options no longer determine
   /// it.
-  struct WriteFirstShare {
+  struct WriteInitialShare {
     std::string team;
   };
-  using Change = std::variant<Give, CreditTransfer, ChangeLimit, PayExcess, WriteFirstShare>;
+  using Change =
+      std::variant<StartTransfer, CreditTransfer, ChangeLimit, PayExcess, WriteInitialShare>;
   /// Orders the messages of a region. A later leader has a higher epoch, so its messages are newer
   /// than all messages of its predecessors.
   struct MessageNumber {
@@ -145,14 +146,14 @@
     std::string name;
     bool acknowledged = true;  // it has acknowledged the last transfer to it
     Time resend_at = 0;
-    bool giving = false;  // a transfer to it is being written
+    bool transfer_pending = false;  // a transfer to it is being written
     MessageNumber last_demand, last_surplus;
     std::map<std::string, DemandEntry> demands;  // its last demand by team, until it expires
     Time demands_until = 0;
     std::map<std::string, SurplusEntry> surplus;       // what it last offered, by team
     std::map<std::string, SurplusEntry> surplus_sent;  // what was last offered to it, by team
     Time surplus_resend_at = 0;
-    std::map<std::string, DemandEntry> asked;  // the last demand sent to it, by team
+    std::map<std::string, DemandEntry> demand_sent;  // the last demand sent to it, by team
     Time demand_resend_at = 0;
   };
   /// Share that another region needs for urgent work. It is given once enough tasks of lower
@@ -186,13 +187,13 @@
   void send_surplus();
   void resend_transfers();
   void send(std::size_t region, RegionMessage message);
-  void event(std::string text, bool is_error = false);
+  void log_event(std::string text, bool is_error = false);
   bool apply(ShareLedger& ledger, const Change& change) const;
   [[nodiscard]] std::set<std::string> keys_of(const Change& change) const;
-  void complete(const Change& change);
-  void write_first_shares();
+  void handle_committed_change(const Change& change);
+  void write_initial_shares();
   [[nodiscard]] bool administers_limits() const;
-  [[nodiscard]] ShareRecord first_record(const std::string& team) const;
+  [[nodiscard]] ShareRecord initial_record(const std::string& team) const;
   [[nodiscard]] Amounts held(const std::string& team) const;
   [[nodiscard]] Amounts available(const std::string& team, const TeamView& view) const;
   [[nodiscard]] Amounts unused(const std::string& team, const TeamView& view) const;
@@ -200,21 +201,21 @@
   [[nodiscard]] std::optional<std::size_t> region_index(const std::string& name) const;
   void send_transfer(std::size_t region);
   /// Returns the amounts, with 0 in the dimensions in which the team has no limit.
-  [[nodiscard]] Amounts limited(const std::string& team, Amounts amounts) const;
+  [[nodiscard]] Amounts limited_dimensions_only(const std::string& team, Amounts amounts) const;
 
   const FederationOptions options_;
-  const Time interval_;
-  std::map<std::string, ManagedTeam> managed_;
-  std::set<std::string> unwritten_;  // teams whose first share is not in the checkpoint
+  const Time heartbeat_interval_;
+  std::map<std::string, ManagedTeam> managed_teams_;
+  std::set<std::string> teams_without_record_;  // teams whose first share is not in the checkpoint
   std::vector<RegionView> regions_;
   std::map<std::string, TeamView> teams_;
-  bool leading_ = false, active_ = false, unreadable_ = false, complete_ = false;
+  bool leading_ = false, active_ = false, unreadable_ = false, load_complete_ = false;
   std::uint64_t epoch_ = 0, sequence_ = 0;
   Time now_ = 0;
   /// The ledger as stored in the checkpoint, and as the commit in flight will store it.
   ShareLedger committed_, staged_;
   /// Changes that wait for a commit, and those in the commit that is in flight.
-  std::vector<Change> pending_, in_flight_;
+  std::vector<Change> pending_changes_, in_flight_changes_;
   std::vector<ShareAction> actions_;
 };
 
--- a/src/federation/share_messages.cpp
+++ b/src/federation/share_messages.cpp
@@ -9,19 +9,19 @@
 /// A transfer is sent this many times per heartbeat interval until it is acknowledged.
 constexpr Time kResendsPerHeartbeat = 2;
 /// Heartbeat intervals after which a demand that is not repeated no longer counts.
-constexpr Time kDemandHeartbeats = 4;
+constexpr Time kDemandExpiryHeartbeats = 4;
 
 }  // namespace
 
 std::optional<std::size_t> ShareManager::region_index(const std::string& name) const {
-  for (std::size_t n = 0; n < regions_.size(); ++n)
-    if (regions_[n].name == name) return n;
+  for (std::size_t index = 0; index < regions_.size(); ++index)
+    if (regions_[index].name == name) return index;
   return {};
 }
 
 void ShareManager::handle_message(const MessageArrived& input) {
   const auto region = region_index(input.message.from);
-  if (!region || !active_ || !unwritten_.empty()) return;
+  if (!region || !active_ || !teams_without_record_.empty()) return;
   switch (input.message.kind) {
     case RegionMessage::Kind::Transfer:
       return handle_transfer(*region, input.message);
@@ -47,18 +47,18 @@
     return send(region, std::move(response));
   }
   if (message.transfer.number != transfers.credited + 1)
-    return event("event=share_refused region=" + from +
-                     " number=" + std::to_string(message.transfer.number) +
-                     " credited=" + std::to_string(transfers.credited),
-                 true);
-  const auto same = [&](const Change& change) {
+    return log_event("event=share_refused region=" + from +
+                         " number=" + std::to_string(message.transfer.number) +
+                         " credited=" + std::to_string(transfers.credited),
+                     true);
+  const auto credits_from_region = [&](const Change& change) {
     const auto* other = std::get_if<CreditTransfer>(&change);
     return other != nullptr && other->region == region;
   };
-  if (std::any_of(pending_.begin(), pending_.end(), same) ||
-      std::any_of(in_flight_.begin(), in_flight_.end(), same))
+  if (std::any_of(pending_changes_.begin(), pending_changes_.end(), credits_from_region) ||
+      std::any_of(in_flight_changes_.begin(), in_flight_changes_.end(), credits_from_region))
     return;
-  pending_.emplace_back(CreditTransfer{region, message.transfer});
+  pending_changes_.emplace_back(CreditTransfer{region, message.transfer});
 }
 
 void ShareManager::handle_acknowledgement(std::size_t region, const RegionMessage& message) {
@@ -76,7 +76,7 @@
   if (message.demand.credited != committed_.regions[from.name].sent) return;
   from.demands.clear();
   for (const DemandEntry& entry : message.demand.entries) from.demands[entry.team] = entry;
-  from.demands_until = now_ + kDemandHeartbeats * interval_;
+  from.demands_until = now_ + kDemandExpiryHeartbeats * heartbeat_interval_;
   // The demand is served when the load is observed next: more may be in use by now than at the last
   // observation.
 }
@@ -96,21 +96,21 @@
   actions_.emplace_back(SendToRegion{region, std::move(message)});
 }
 
-void ShareManager::event(std::string text, bool is_error) {
+void ShareManager::log_event(std::string text, bool is_error) {
   actions_.emplace_back(ShareEvent{is_error, std::move(text)});
 }
 
 void ShareManager::resend_transfers() {
-  for (std::size_t n = 0; n < regions_.size(); ++n) {
-    if (regions_[n].acknowledged || now_ < regions_[n].resend_at) continue;
-    send_transfer(n);
+  for (std::size_t index = 0; index < regions_.size(); ++index) {
+    if (regions_[index].acknowledged || now_ < regions_[index].resend_at) continue;
+    send_transfer(index);
   }
 }
 
 void ShareManager::send_transfer(std::size_t region) {
-  RegionView& to = regions_[region];
-  const TransferRecord& transfers = committed_.regions[to.name];
-  to.resend_at = now_ + interval_ / kResendsPerHeartbeat;
+  RegionView& receiver = regions_[region];
+  const TransferRecord& transfers = committed_.regions[receiver.name];
+  receiver.resend_at = now_ + heartbeat_interval_ / kResendsPerHeartbeat;
   RegionMessage message;
   message.kind = RegionMessage::Kind::Transfer;
   message.transfer.number = transfers.sent;
--- a/src/federation/units.hpp
+++ b/src/federation/units.hpp
@@ -16,7 +16,7 @@
 
 /// The number of thousandths, rounded up so that usage is never counted as less than it is. An
 /// excess as small as the rounding error of a sum of decimals is not rounded up.
-inline std::int64_t thousandths_at_least(double units) {
+inline std::int64_t thousandths_rounded_up(double units) {
   constexpr double kRoundingError = 1e-3;
   return static_cast<std::int64_t>(std::ceil(units * kThousandthsPerUnit - kRoundingError));
 }
--- a/tests/federation_upgrade_test.cpp
+++ b/tests/federation_upgrade_test.cpp
@@ -9,32 +9,32 @@
 namespace sailreel::sim {
 namespace {
 
-TEST(FederationUpgrade, SharesAreInForceOnceAllControllersKnowOfThem) {
+TEST(FederationUpgrade, SharesTakeEffectOnceAllControllersSupportThem) {
   FederationPlan plan;
   plan.first_gpus = {{"red", 15}, {"blue", 6}};
-  plan.adjust = [](std::size_t n, SimulationPlan& day) {
+  plan.adjust = [](std::size_t n, SimulationPlan& region_plan) {
     if (n == 1)
-      day.production = [](const Settings& settings, std::uint64_t seed) {
+      region_plan.production = [](const Settings& settings, std::uint64_t seed) {
         return make_production_controller(settings, seed);
       };
   };
-  SimulatedFederation day(plan);
-  SimulatedRegion& upgraded = day.region(1);
-  day.run_until(15'000);
-  EXPECT_TRUE(day.ledger(0).teams.contains("red"));
-  EXPECT_FALSE(day.ledger(1).teams.contains("red"));
+  SimulatedFederation federation(plan);
+  SimulatedRegion& upgraded = federation.region(1);
+  federation.run_until(15'000);
+  EXPECT_TRUE(federation.ledger(0).teams.contains("red"));
+  EXPECT_FALSE(federation.ledger(1).teams.contains("red"));
   upgraded.submit(service("job-1", 4));
   for (std::size_t node = 0; node < 2; ++node) {
     upgraded.upgrade(node, 1'000);
-    day.run_until(day.now() + 15'000);
-    EXPECT_FALSE(day.ledger(1).teams.contains("red")) << node;
+    federation.run_until(federation.now() + 15'000);
+    EXPECT_FALSE(federation.ledger(1).teams.contains("red")) << node;
   }
   upgraded.upgrade(2, 1'000);
-  day.run_until(day.now() + 20'000);
-  EXPECT_TRUE(day.ledger(1).teams.contains("red"));
-  EXPECT_EQ(day.held("red").gpus, 30'000);
+  federation.run_until(federation.now() + 20'000);
+  EXPECT_TRUE(federation.ledger(1).teams.contains("red"));
+  EXPECT_EQ(federation.held("red").gpus, 30'000);
   EXPECT_EQ(upgraded.checker().used_by("red").gpus, 4);
-  EXPECT_EQ(day.broken(), "");
+  EXPECT_EQ(federation.broken(), "");
 }
 
 }  // namespace
--- a/tests/share_manager_test.cpp
+++ b/tests/share_manager_test.cpp
@@ -6,10 +6,10 @@
 namespace sailreel::federation {
 namespace {
 
-constexpr Time kHeartbeat = 1'000;
+constexpr Time kHeartbeatMs = 1'000;
 const std::string kTeam = "red";
 
-FederationOptions options_of(const std::string& region) {
+FederationOptions federation_options(const std::string& region) {
   FederationOptions out;
   out.region = region;
   out.regions = {{"north", {"10.0.0.1:1"}}, {"south", {"10.0.0.2:1"}}};
@@ -22,15 +22,15 @@
 class Region {
  public:
   explicit Region(const std::string& name)
-      : manager_(options_of(name), {{kTeam, 0, 0, 0, 10}}, kHeartbeat) {
+      : manager_(federation_options(name), {{kTeam, 0, 0, 0, 10}}, kHeartbeatMs) {
     manager_.load({}, 1, now_);
     manager_.activate();
     commit();
   }
 
-  std::vector<ShareAction> observe(std::int64_t used_gpus, std::int64_t urgent_waiting = 0,
-                                   std::int64_t low_running = 0) {
-    now_ += kHeartbeat / 10;
+  std::vector<ShareAction> observe_load(std::int64_t used_gpus, std::int64_t urgent_waiting = 0,
+                                        std::int64_t low_running = 0) {
+    now_ += kHeartbeatMs / 10;
     TeamLoad load;
     load.team = kTeam;
     load.used = {0, used_gpus * 1000};
@@ -38,7 +38,7 @@
     load.running[static_cast<std::size_t>(Priority::Low)] = {0, low_running * 1000};
     return manager_.step(now_, LoadObserved{{load}, true});
   }
-  std::vector<ShareAction> arrive(const RegionMessage& message) {
+  std::vector<ShareAction> deliver(const RegionMessage& message) {
     return manager_.step(now_, MessageArrived{message});
   }
   std::vector<ShareAction> commit() {
@@ -46,8 +46,8 @@
     return manager_.step(now_, CheckpointCommitted{});
   }
   /// Simulates a failover within the region: the next leader starts from what was committed.
-  void next_leader() { manager_.load(stored_, ++epoch_, now_); }
-  void wait(Time span) { now_ += span; }
+  void fail_over() { manager_.load(stored_, ++epoch_, now_); }
+  void advance_time(Time span) { now_ += span; }
 
   ShareManager& manager() { return manager_; }
   [[nodiscard]] double cap() const { return manager_.cap(kTeam).gpus.value(); }
@@ -90,7 +90,7 @@
   return out;
 }
 
-TEST(ShareManager, ARegionBeginsWithItsPartOfTheDivision) {
+TEST(ShareManager, ARegionStartsWithItsShareFromTheOptions) {
   EXPECT_EQ(Region("north").cap(), 6);
   EXPECT_EQ(Region("south").cap(), 4);
 }
@@ -98,22 +98,22 @@
 // Guards against giving away share that is in use: demands were served according to the last
 // observed load, which is up to a tenth of a heartbeat interval old, while more may be in use by
 // now.
-TEST(ShareManager, ADemandIsServedByAFreshViewOfTheLoadOnly) {
+TEST(ShareManager, ADemandIsServedOnlyAtTheNextLoadObservation) {
   Region north("north");
-  north.observe(0);
-  north.arrive(demand(4, 0, 0, 1));
+  north.observe_load(0);
+  north.deliver(demand(4, 0, 0, 1));
   EXPECT_FALSE(north.manager().wants_commit());
-  north.observe(6);
+  north.observe_load(6);
   EXPECT_FALSE(north.manager().wants_commit());
-  north.observe(3);
+  north.observe_load(3);
   EXPECT_TRUE(north.manager().wants_commit());
   EXPECT_EQ(north.cap(), 3);
 }
 
-TEST(ShareManager, TheCapFallsBeforeADebitIsWrittenAndTheTransferLeavesAfter) {
+TEST(ShareManager, TheCapFallsBeforeADebitIsCommittedAndTheTransferIsSentAfter) {
   Region north("north");
-  north.arrive(demand(2, 0, 0, 1));
-  const auto before = north.observe(0);
+  north.deliver(demand(2, 0, 0, 1));
+  const auto before = north.observe_load(0);
   EXPECT_EQ(north.cap(), 4);
   EXPECT_TRUE(sent(before, RegionMessage::Kind::Transfer).empty());
   const auto after = sent(north.commit(), RegionMessage::Kind::Transfer);
@@ -124,42 +124,42 @@
 
 TEST(ShareManager, ATransferIsSentAgainAlsoByTheNextLeaderUntilItIsAcknowledged) {
   Region north("north");
-  north.arrive(demand(2, 0, 0, 1));
-  north.observe(0);
+  north.deliver(demand(2, 0, 0, 1));
+  north.observe_load(0);
   north.commit();
-  north.wait(kHeartbeat);
-  EXPECT_EQ(sent(north.observe(0), RegionMessage::Kind::Transfer).size(), 1U);
-  north.next_leader();
+  north.advance_time(kHeartbeatMs);
+  EXPECT_EQ(sent(north.observe_load(0), RegionMessage::Kind::Transfer).size(), 1U);
+  north.fail_over();
   EXPECT_EQ(north.cap(), 4);
-  EXPECT_EQ(sent(north.observe(0), RegionMessage::Kind::Transfer).size(), 1U);
-  RegionMessage late = message_from("south", RegionMessage::Kind::Acknowledgement, 9);
-  late.acknowledgement.number = 7;
-  north.arrive(late);
-  north.wait(kHeartbeat);
-  EXPECT_EQ(sent(north.observe(0), RegionMessage::Kind::Transfer).size(), 1U);
-  late.acknowledgement.number = 1;
-  north.arrive(late);
-  north.wait(kHeartbeat);
-  EXPECT_TRUE(sent(north.observe(0), RegionMessage::Kind::Transfer).empty());
+  EXPECT_EQ(sent(north.observe_load(0), RegionMessage::Kind::Transfer).size(), 1U);
+  RegionMessage acknowledgement = message_from("south", RegionMessage::Kind::Acknowledgement, 9);
+  acknowledgement.acknowledgement.number = 7;
+  north.deliver(acknowledgement);
+  north.advance_time(kHeartbeatMs);
+  EXPECT_EQ(sent(north.observe_load(0), RegionMessage::Kind::Transfer).size(), 1U);
+  acknowledgement.acknowledgement.number = 1;
+  north.deliver(acknowledgement);
+  north.advance_time(kHeartbeatMs);
+  EXPECT_TRUE(sent(north.observe_load(0), RegionMessage::Kind::Transfer).empty());
 }
 
-TEST(ShareManager, ACreditCountsOnceItIsWrittenAndOnlyOnce) {
+TEST(ShareManager, ACreditCountsOnceItIsCommittedAndOnlyOnce) {
   Region south("south");
-  EXPECT_TRUE(south.arrive(transfer(1, 3)).empty());
-  EXPECT_TRUE(south.arrive(transfer(1, 3)).empty());
+  EXPECT_TRUE(south.deliver(transfer(1, 3)).empty());
+  EXPECT_TRUE(south.deliver(transfer(1, 3)).empty());
   EXPECT_EQ(south.cap(), 4);
   EXPECT_EQ(sent(south.commit(), RegionMessage::Kind::Acknowledgement).size(), 1U);
   EXPECT_EQ(south.cap(), 7);
-  EXPECT_EQ(sent(south.arrive(transfer(1, 3)), RegionMessage::Kind::Acknowledgement).size(), 1U);
+  EXPECT_EQ(sent(south.deliver(transfer(1, 3)), RegionMessage::Kind::Acknowledgement).size(), 1U);
   EXPECT_FALSE(south.manager().wants_commit());
-  south.next_leader();
-  EXPECT_EQ(sent(south.arrive(transfer(1, 3)), RegionMessage::Kind::Acknowledgement).size(), 1U);
+  south.fail_over();
+  EXPECT_EQ(sent(south.deliver(transfer(1, 3)), RegionMessage::Kind::Acknowledgement).size(), 1U);
   EXPECT_EQ(south.cap(), 7);
 }
 
-TEST(ShareManager, AGapInTheNumbersIsAnErrorAndCreditsNothing) {
+TEST(ShareManager, AGapInTheTransferNumbersIsAnErrorAndCreditsNothing) {
   Region south("south");
-  const auto actions = south.arrive(transfer(2, 3));
+  const auto actions = south.deliver(transfer(2, 3));
   ASSERT_EQ(actions.size(), 1U);
   EXPECT_TRUE(std::get<ShareEvent>(actions[0]).is_error);
   EXPECT_FALSE(south.manager().wants_commit());
@@ -167,45 +167,45 @@
 
 TEST(ShareManager, ADemandThatCrossedATransferOrIsOldIsNotServed) {
   Region north("north");
-  north.arrive(demand(2, 0, 0, 5));
-  north.observe(0);
+  north.deliver(demand(2, 0, 0, 5));
+  north.observe_load(0);
   north.commit();
   RegionMessage acknowledgement = message_from("south", RegionMessage::Kind::Acknowledgement, 6);
   acknowledgement.acknowledgement.number = 1;
-  north.arrive(acknowledgement);
-  north.arrive(demand(2, 0, 0, 7));  // sent before the transfer was credited
-  north.observe(0);
+  north.deliver(acknowledgement);
+  north.deliver(demand(2, 0, 0, 7));  // sent before the transfer was credited
+  north.observe_load(0);
   EXPECT_FALSE(north.manager().wants_commit());
-  north.arrive(demand(2, 0, 1, 4));  // older than one that was served
-  north.observe(0);
+  north.deliver(demand(2, 0, 1, 4));  // older than one that was served
+  north.observe_load(0);
   EXPECT_FALSE(north.manager().wants_commit());
-  north.arrive(demand(2, 0, 1, 8));
-  north.observe(0);
+  north.deliver(demand(2, 0, 1, 8));
+  north.observe_load(0);
   EXPECT_TRUE(north.manager().wants_commit());
 }
 
-TEST(ShareManager, WhatTasksOfLowerPriorityUseIsGivenOnceTheyHaveExited) {
+TEST(ShareManager, ShareOfPreemptedTasksIsGivenOnceTheyHaveExited) {
   Region north("north");
-  north.arrive(demand(2, 2, 0, 1));
-  const auto actions = north.observe(6, 0, 6);
-  const auto stops = std::count_if(actions.begin(), actions.end(), [](const ShareAction& action) {
-    return std::holds_alternative<StopBeyondCap>(action);
-  });
-  EXPECT_EQ(stops, 1);
+  north.deliver(demand(2, 2, 0, 1));
+  const auto actions = north.observe_load(6, 0, 6);
+  const auto preemptions = std::count_if(
+      actions.begin(), actions.end(),
+      [](const ShareAction& action) { return std::holds_alternative<PreemptBeyondCap>(action); });
+  EXPECT_EQ(preemptions, 1);
   EXPECT_EQ(north.cap(), 4);
-  north.observe(5, 0, 5);
+  north.observe_load(5, 0, 5);
   EXPECT_FALSE(north.manager().wants_commit());
-  north.observe(4, 0, 4);
+  north.observe_load(4, 0, 4);
   EXPECT_TRUE(north.manager().wants_commit());
 }
 
-TEST(ShareManager, ARegionWhoseTasksDoNotLeaveKeepsItsShare) {
+TEST(ShareManager, ShareIsKeptIfPreemptedTasksDoNotExitInTime) {
   Region north("north");
-  north.arrive(demand(2, 2, 0, 1));
-  north.observe(6, 0, 6);
+  north.deliver(demand(2, 2, 0, 1));
+  north.observe_load(6, 0, 6);
   EXPECT_EQ(north.cap(), 4);
-  north.wait(10 * kHeartbeat);
-  north.observe(6, 0, 6);
+  north.advance_time(10 * kHeartbeatMs);
+  north.observe_load(6, 0, 6);
   EXPECT_EQ(north.cap(), 6);
   EXPECT_FALSE(north.manager().wants_commit());
 }
@@ -214,7 +214,7 @@
   Region south("south");
   RegionMessage foreign = transfer(1, 3);
   foreign.from = "west";
-  EXPECT_TRUE(south.arrive(foreign).empty());
+  EXPECT_TRUE(south.deliver(foreign).empty());
   EXPECT_FALSE(south.manager().wants_commit());
 }
 
