--- a/src/federation/share_manager.cpp
+++ b/src/federation/share_manager.cpp
@@ -8,7 +8,7 @@
 
 ShareManager::ShareManager(const FederationOptions& options, const std::vector<Team>& teams,
                            Time heartbeat_ms)
-    : options_(options), interval_(std::max<Time>(1, heartbeat_ms)) {
+    : options_(options), heartbeat_interval_(std::max<Time>(1, heartbeat_ms)) {
   for (const std::string& name : other_regions(options_)) {
     RegionView view;
     view.name = name;
@@ -20,7 +20,7 @@
     managed.gpus = team.gpus_max > 0;
     if (!managed.cpus && !managed.gpus) continue;
     managed.limit = {thousandths(team.cpus_max), thousandths(team.gpus_max)};
-    managed_[team.name] = managed;
+    managed_teams_[team.name] = managed;
   }
 }
 
@@ -28,10 +28,10 @@
   return options_.regions.front().name == options_.region;
 }
 
-// The shares that regions start with. Those of the other regions are fixed by the options, since
-// the limit may have changed by the time they are switched on; the first region gets the rest, and
-// alone follows changes of the limit.
-ShareRecord ShareManager::first_record(const std::string& team) const {
+// Returns the share of a team's limit that this region starts with. The options fix the shares of
+// all regions except the first, since the limit may have changed by the time that those regions are
+// switched on. The first region gets the rest, and it alone follows changes of the limit.
+ShareRecord ShareManager::initial_record(const std::string& team) const {
   ShareRecord record;
   Amounts others;
   for (const ShareOption& share : options_.shares) {
@@ -41,7 +41,7 @@
     if (share.region != options_.regions.front().name) others += amounts;
   }
   if (!administers_limits()) return record;
-  record.limit = managed_.at(team).limit;
+  record.limit = managed_teams_.at(team).limit;
   record.share = (record.limit - others).positive();
   record.excess = (others - record.limit).positive();
   return record;
@@ -62,28 +62,28 @@
     else
       unreadable_ = true;
   active_ = !values.empty();
-  unwritten_.clear();
-  if (unreadable_) event("event=shares_unreadable", true);
-  for (const auto& [team, managed] : managed_) {
+  teams_without_record_.clear();
+  if (unreadable_) log_event("event=shares_unreadable", true);
+  for (const auto& [team, managed] : managed_teams_) {
     teams_[team];
     if (committed_.teams.contains(team)) continue;
-    committed_.teams[team] = first_record(team);
-    unwritten_.insert(team);
+    committed_.teams[team] = initial_record(team);
+    teams_without_record_.insert(team);
   }
   for (RegionView& region : regions_) {
     committed_.regions[region.name];
     region.acknowledged = committed_.regions[region.name].in_transit.empty();
     region.resend_at = now;
   }
-  // A value that can't be decoded is not overwritten: the region may hold another share by now than
-  // the one it started with.
-  if (active_ && !unreadable_) write_first_shares();
+  // A value that can't be decoded is not overwritten: by now, the region may hold a different share
+  // than the one that it started with.
+  if (active_ && !unreadable_) write_initial_shares();
 }
 
 void ShareManager::stop() {
-  leading_ = complete_ = false;
-  pending_.clear();
-  in_flight_.clear();
+  leading_ = load_complete_ = false;
+  pending_changes_.clear();
+  in_flight_changes_.clear();
   teams_.clear();
   for (RegionView& region : regions_) {
     const std::string name = std::move(region.name);
@@ -95,11 +95,12 @@
 void ShareManager::activate() {
   if (active_ || unreadable_) return;
   active_ = true;
-  write_first_shares();
+  write_initial_shares();
 }
 
-void ShareManager::write_first_shares() {
-  for (const std::string& team : unwritten_) pending_.emplace_back(WriteFirstShare{team});
+void ShareManager::write_initial_shares() {
+  for (const std::string& team : teams_without_record_)
+    pending_changes_.emplace_back(WriteInitialShare{team});
 }
 
 std::vector<ShareAction> ShareManager::step(Time now, ShareInput input) {
@@ -115,16 +116,17 @@
   return std::move(actions_);
 }
 
-Amounts ShareManager::limited(const std::string& team, Amounts amounts) const {
-  const auto managed = managed_.find(team);
-  if (managed == managed_.end()) return {};
+Amounts ShareManager::limited_dimensions_only(const std::string& team, Amounts amounts) const {
+  const auto managed = managed_teams_.find(team);
+  if (managed == managed_teams_.end()) return {};
   if (!managed->second.cpus) amounts.cpus = 0;
   if (!managed->second.gpus) amounts.gpus = 0;
   return amounts;
 }
 
-// A credit counts once it is committed, a debit (`promised`) as soon as it is decided: so the
-// regions together never use more than the limit.
+// Returns the committed share. A credit counts once it is committed, whereas a debit (`promised`,
+// see `available`) counts as soon as it is decided. Therefore all regions together never use more
+// than the limit.
 Amounts ShareManager::held(const std::string& team) const {
   const auto record = committed_.teams.find(team);
   return record == committed_.teams.end() ? Amounts{} : record->second.share;
@@ -137,34 +139,36 @@
 }
 
 ShareManager::Cap ShareManager::cap(const std::string& team) const {
-  const auto managed = managed_.find(team);
-  if (managed == managed_.end()) return {};
+  const auto managed = managed_teams_.find(team);
+  if (managed == managed_teams_.end()) return {};
   Amounts may_use;
   const auto view = teams_.find(team);
   if (!unreadable_ && view != teams_.end()) may_use = available(team, view->second).positive();
-  // The share may still be above a limit that was lowered.
+  // After the limit was lowered, the share may exceed it until the excess is paid off.
   may_use = may_use.at_most(managed->second.limit);
-  Cap out;
-  if (managed->second.cpus) out.cpus = units(may_use.cpus);
-  if (managed->second.gpus) out.gpus = units(may_use.gpus);
-  return out;
+  Cap result;
+  if (managed->second.cpus) result.cpus = units(may_use.cpus);
+  if (managed->second.gpus) result.gpus = units(may_use.gpus);
+  return result;
 }
 
-// Neither used nor waited for.
+// Returns the part of the available share that is neither used nor waited for.
 Amounts ShareManager::unused(const std::string& team, const TeamView& view) const {
-  return limited(team, available(team, view) - view.load.used - sum_of(view.load.waiting))
+  return limited_dimensions_only(team,
+                                 available(team, view) - view.load.used - sum_of(view.load.waiting))
       .positive();
 }
 
+// Returns what is kept beyond the present use, for work that may arrive next.
 Amounts ShareManager::reserve(const TeamView& view) const {
   return view.load.used.times(options_.reserve_ratio);
 }
 
 void ShareManager::observe(const LoadObserved& input) {
-  complete_ = input.complete;
+  load_complete_ = input.complete;
   for (const TeamLoad& load : input.teams)
     if (const auto view = teams_.find(load.team); view != teams_.end()) view->second.load = load;
-  if (!active_ || !complete_ || !unwritten_.empty()) return;
+  if (!active_ || !load_complete_ || !teams_without_record_.empty()) return;
   adjust_limits();
   serve_demands();
   send_demands();
@@ -172,23 +176,24 @@
   resend_transfers();
 }
 
-// Only one region creates and destroys shares: if several did, their sum could leave the limit.
+// Follows changes of the limits, and pays off excess. Only the first region creates and destroys
+// shares: if several regions did, the sum of the shares could deviate from the limit.
 void ShareManager::adjust_limits() {
-  if (!administers_limits() || !pending_.empty() || !in_flight_.empty()) return;
+  if (!administers_limits() || !pending_changes_.empty() || !in_flight_changes_.empty()) return;
   for (auto& [team, view] : teams_) {
     const ShareRecord& record = committed_.teams[team];
-    Amounts wanted = managed_.at(team).limit;
+    Amounts wanted = managed_teams_.at(team).limit;
     for (const ShareOption& adopted : options_.adopted)
       if (adopted.team == team)
         wanted += Amounts{thousandths(adopted.cpus), thousandths(adopted.gpus)};
     if (record.limit != wanted) {
-      pending_.emplace_back(ChangeLimit{team, wanted});
+      pending_changes_.emplace_back(ChangeLimit{team, wanted});
       continue;
     }
     const Amounts paid = unused(team, view).at_most(record.excess);
     if (paid.none()) continue;
     view.promised += paid;
-    pending_.emplace_back(PayExcess{team, paid});
+    pending_changes_.emplace_back(PayExcess{team, paid});
   }
 }
 
