--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -5,11 +5,13 @@
 
 namespace sailreel {
 namespace {
-/// Ticks are a twentieth of a worker's report interval apart, but never finer than timers are.
+/// The time between ticks: a twentieth of a worker's heartbeat interval, but at least 40 ms, as
+/// timers aren't more precise, and at most 200 ms.
 Time tick_ms(const Settings& s) {
   return std::clamp<Time>(ms(s.workers.heartbeat_interval_s) / 20, 40, 200);
 }
-/// A tick is late from this share of a report's interval on: users and workers wait as long.
+/// A tick counts as late if it is delayed by one kLateTickShare-th of a heartbeat interval or more:
+/// users and workers wait that much longer for responses.
 constexpr Time kLateTickShare = 10;
 }  // namespace
 
@@ -27,7 +29,7 @@
       checkpoint_({settings_, clock_, outbox_, tables_, quotas_, peers_, scale_outs_, *this}) {}
 
 std::vector<Action> Controller::step(Clock clock, Input input) {
-  // A clock that stood still or went back would stretch leases; it never runs backwards here.
+  // A clock that went backwards would extend leases, so time never decreases here.
   clock_.now = std::max(clock_.now, clock.now);
   clock_.wall_ms = clock.wall_ms;
   std::visit([this](const auto& received) { handle(received); }, input);
@@ -43,7 +45,7 @@
     handle_peer_response(input.peer, input.message.response);
 }
 
-// What was forwarded over the link gets no response any more.
+// Requests that were forwarded over the lost link get no response, so they time out at once.
 void Controller::handle(const PeerDisconnected& input) {
   peers_.lost(input.peer);
   for (auto& [call, forwarded] : forwarded_)
@@ -51,8 +53,8 @@
   intake_tick();
 }
 
-// The order is part of the behaviour: leadership first, then what is known of machines, and what
-// gives commands last, only under a valid lease.
+// The order matters: leadership is updated first, then the state of machines. Whatever sends
+// commands comes last, and only under a valid lease.
 void Controller::tick() {
   watch_event_loop_lag();
   leadership_tick();
@@ -86,7 +88,8 @@
 
 void Controller::campaign_begun() { restart_lookups(); }
 
-// Responses to what was asked under the former term are dropped, so its lookups start again.
+// Responses to requests made under an earlier term are dropped, so lookups that wait for one are
+// queued again.
 void Controller::restart_lookups() {
   refreshing_ = false;
   lookups_.insert(lookups_.end(), lookups_served_.begin(), lookups_served_.end());
@@ -100,7 +103,7 @@
   snapshot_loaded_ = false;
   restart_lookups();
   if (!led) return;
-  // Workers that know no other leader are kept alive for as long as if we still led.
+  // Workers that know no other leader are kept alive for as long as if this controller still led.
   keep_alive_permit_.allow(election_.epoch(), election_.lease_expiry() + keep_alive_span());
   checkpoint_.reset();
   for (const auto& [id, waits] : cancel_waits_)
@@ -127,8 +130,8 @@
   send_heartbeats();
 }
 
-// Says so, once for each worker's lease, if most ticks come late: the processor can't carry what
-// the settings describe.
+// Logs a warning, at most once per worker lease, if most ticks are late: the processor is too slow
+// for the load that the settings describe.
 void Controller::watch_event_loop_lag() {
   const auto late = event_loop_lag_.fired(clock_.now);
   if (!late) return;
@@ -137,10 +140,10 @@
 }
 
 bool Controller::healthy(Time now) const {
-  // Short gaps, such as a take-over, aren't worth being taken off the balancer's list for.
+  // A short gap, such as a failover, doesn't justify removal from the load balancer's list.
   if (now - last_path_ < worker_lease() / 2) return true;
-  // Where the others are no better off, as in an outage of the state service, being taken off the
-  // list only delays what comes after: users found no node for seconds after it was over.
+  // If no peer is better connected, as in an outage of the key-value store, removal from the list
+  // helps nobody: it only leaves users without any controller for seconds after the outage ends.
   bool heard = false;
   for (std::size_t i = 0; i < peers_.size(); ++i) {
     if (peers_.reaches_leader(i, clock_.now)) return false;
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,6 +1,6 @@
-// A controller as a deterministic state machine: it takes inputs and returns what to send, write
-// and answer. It performs no I/O and reads no clock; its random numbers follow from the
-// constructor's seed.
+// The controller as a deterministic state machine: each step takes one input and returns the
+// messages, storage writes and responses to carry out. It performs no I/O and reads no clock; its
+// random numbers are determined by the constructor's seed.
 #pragma once
 
 #include <algorithm>
@@ -35,6 +35,9 @@
 
 namespace sailreel {
 
+/// Schedules jobs on machines while it leads; as a follower, forwards requests to the leader,
+/// answers queries from the checkpoint and keeps workers' tasks alive. Times are in ms unless
+/// stated otherwise.
 class Controller final : private LeaderElection::Listener, private CheckpointListener {
  public:
   Controller(Settings settings, Options options, std::uint64_t seed);
@@ -42,21 +45,24 @@
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
-  /// Handles one input and returns the actions that the caller has to carry out. Times of `clock`
-  /// in ms.
+  /// Handles one input and returns the actions that the caller has to carry out, in order. The
+  /// times in `clock` are in ms.
   std::vector<Action> step(Clock clock, Input input);
 
-  /// Whether users should be sent to this controller.
+  /// Whether the load balancer should send users to this controller.
   [[nodiscard]] bool healthy(Time now) const;
+  /// Whether this controller is the leader; its lease may have expired nevertheless.
   [[nodiscard]] bool leading() const { return election_.is_leader(); }
   [[nodiscard]] std::uint64_t epoch() const { return election_.epoch(); }
   [[nodiscard]] bool holds_valid_lease(Time now) const { return election_.holds_valid_lease(now); }
   [[nodiscard]] const Tables& tables() const { return tables_; }
   [[nodiscard]] const RegionalQuotas& quotas() const { return quotas_; }
+  /// Whether a new leader still waits for machines that may run tasks started under an earlier
+  /// leader.
   [[nodiscard]] bool reconciling() const { return reconciling_; }
-  /// How many jobs and machines were examined, apart from the regular scans of the whole fleet (a
-  /// fixed number per heartbeat interval). A measure of work that, unlike time, is the same on
-  /// every run.
+  /// The number of jobs and machines examined so far, without the periodic scans of the whole fleet
+  /// (a fixed number per heartbeat interval). Unlike elapsed time, this measure of work is the same
+  /// on every run.
   [[nodiscard]] std::uint64_t examined() const { return examined_ + checkpoint_.examined(); }
 
  private:
@@ -72,6 +78,7 @@
   void handle(const RegionMessageReceived& input) { region_input(input); }
   void tick();
   void watch_event_loop_lag();
+  /// Responses that carry commands or job states must not be sent at or after this time.
   [[nodiscard]] Time command_until() const { return election_.lease_expiry(); }
   [[nodiscard]] Time heartbeat_interval() const {
     return ms(settings_.workers.heartbeat_interval_s);
@@ -152,11 +159,12 @@
   /// The result of processing a heartbeat.
   enum class HeartbeatOutcome : std::uint8_t {
     Taken,
-    Late,                // a newer one was received before it
-    IncarnationExpired,  // it is of an incarnation that is proved to have ended
-    UnknownMachine       // it shows tasks on a machine that can't have any
+    Late,                // a newer heartbeat of the machine was processed before it
+    IncarnationExpired,  // it belongs to an incarnation that is proven to have ended
+    UnknownMachine       // it reports tasks on an unknown machine, which cannot have any
   };
-  /// Processes a heartbeat, or the response to a direct command that was sent at `asked` (ms).
+  /// Processes a heartbeat, or the status in the response to a direct request that was sent at
+  /// `asked` (ms); `asked` is empty for a heartbeat.
   HeartbeatOutcome apply_heartbeat(const Heartbeat& heartbeat, std::optional<Time> asked);
   [[nodiscard]] static bool is_late(const Machine& m, const Heartbeat& r);
   void reject_heartbeat(const HeartbeatReceived& in, Machine& m);
@@ -192,8 +200,8 @@
   [[nodiscard]] std::size_t fetch_limit() const;
 
   // failure_detection.cpp
-  /// Of the machines that have sent heartbeats: how many are up, silent, and heard recently enough
-  /// for their leases to last.
+  /// Counts the machines that have sent a heartbeat in this epoch: all of them, those that are
+  /// silent, and those heard recently enough that their leases are not at risk.
   struct FleetContact {
     std::size_t up = 0, silent = 0, heard = 0;
   };
@@ -220,35 +228,39 @@
   [[nodiscard]] std::size_t node_before() const;
 
   // placement.cpp
-  /// What a machine must provide to take a task, whatever runs elsewhere.
+  /// What a machine must provide to run a task, independent of where the job's other tasks run.
   struct ResourceRequest {
-    Resources each;
+    Resources each;  // per task
     bool spot = false;
     std::string zone;
     bool any_type = true;
     std::vector<std::string> types;
-    /// Where the other finds no room, this finds none either.
+    /// True if this request needs at least as much as the other under the same constraints: no
+    /// machine that lacks room for the other has room for this one.
     [[nodiscard]] bool as_much_as(const ResourceRequest& o) const;
     bool operator==(const ResourceRequest&) const = default;
   };
   static ResourceRequest resource_request_of(const JobSpec& s) {
     return {s.need, s.spot, s.zone, s.any_type, s.types};
   }
+  /// Demand of waiting tasks of one kind that found no room in the latest scheduling pass.
   struct UnmetDemand {
     ResourceRequest want;
     Resources total;
     std::uint32_t tasks = 0;
     bool guaranteed = false;
   };
-  /// Work for which the current pass has found nothing to preempt.
+  /// A kind of work for which the current pass has found nothing to preempt; it is not searched
+  /// for again.
   struct FailedPreemption {
     ResourceRequest want;
     Priority priority = Priority::Low;
     const TeamQuota* team = nullptr;
     bool guaranteed = false;
-    std::string image;  // that the machine had to hold; empty: any machine
+    std::string image;  // image that the machine had to hold; empty: any machine
   };
-  /// Work for which no replicas can be migrated, or replicas that can't be.
+  /// A kind of work for which no replicas can be migrated away, or a kind of replica that cannot
+  /// migrate.
   struct FailedMigration {
     ResourceRequest want;
     std::string image;
@@ -264,7 +276,8 @@
                            const std::string& zone);
   [[nodiscard]] bool late_if_cold(const Job& job, const Machine& m, const char* slo) const;
   std::uint64_t attempt_number();
-  /// How good a choice a machine is, less being better; the most important criterion first.
+  /// How well a machine suits a task: compared lexicographically, most important criterion first;
+  /// lower is better.
   using BinPackingScore = std::array<double, 6>;
   static constexpr std::size_t kScoreFailed = 0, kScoreTogether = 4;
   [[nodiscard]] MachineRating<BinPackingScore> bin_packing_score(const JobSpec& spec,
@@ -272,8 +285,8 @@
                                                                  bool may_queue_fetch) const;
   [[nodiscard]] static BinPackingScore score_for_job(const Job& job, const Machine& m,
                                                      BinPackingScore of_kind);
-  /// Jobs for which the machines of a pass rank alike, apart from the influence of the jobs' own
-  /// tasks.
+  /// Identifies the jobs for which a pass ranks machines in the same order, except for the effect
+  /// of a job's own tasks.
   struct RankingKey {
     std::string image;
     Priority priority = Priority::Low;
@@ -281,6 +294,7 @@
     ResourceRequest want;
     bool operator==(const RankingKey&) const = default;
   };
+  /// Identifies the jobs for which a pass ranks machines by preemption cost in the same order.
   struct PreemptionKey {
     std::string image;
     Priority priority = Priority::Low;
@@ -293,32 +307,37 @@
   [[nodiscard]] std::size_t most_rankings() const;
   void begin_rankings(const std::optional<Resources>& least_need);
   void end_rankings();
-  /// Within a pass: the machine's room, or what runs there, has changed.
+  /// Records that a machine's free room or its tasks have changed during the current pass, so that
+  /// rankings rate it again.
   void machine_changed(Machine& m) { machines_changed_.push_back(&m); }
   void reserve(Machine& m, const Resources& room);
   void unreserve(Machine& m, const Resources& room);
-  /// The best machine for one more task of the job at present; null if there is none.
+  /// Returns the best machine for one more task of the job, or null if none has room.
   Machine* best_machine(const Job& job, bool may_queue_fetch);
   Machine* migration_target(const Job& job, std::uint32_t index);
   [[nodiscard]] bool usable(const Machine& m) const;
-  /// Usable, and not draining.
+  /// Whether the machine is usable and not draining, so that any work may be placed on it.
   [[nodiscard]] bool open(const Machine& m) const { return usable(m) && !m.draining; }
   using Reservations = std::unordered_map<const Machine*, Resources>;
-  /// A machine's free room beside what is reserved there.
+  /// Returns a machine's free room minus the room that `promised` reserves on it.
   [[nodiscard]] static Resources room_beside(const Reservations& promised, const Machine& m);
-  /// The same for this pass's reservations, once the tasks being stopped there are gone.
+  /// Returns the room that a machine will have once the tasks being stopped or migrated away are
+  /// gone, minus the current pass's reservations.
   [[nodiscard]] Resources room_to_come(const Machine& m) const;
-  /// Room has grown: what failed earlier in this pass may succeed now.
+  /// Clears the failures recorded in this pass. Called when room has grown, as requests that failed
+  /// earlier may succeed now.
   void forget_failures();
   using Queues = std::array<std::vector<Job*>, kPriorities>;
   [[nodiscard]] Queues note_guarantees();
   void queue_order(std::vector<Job*>& jobs) const;
   [[nodiscard]] bool never_all_at_once(const JobSpec& spec) const;
-  /// Why no task of the job, or not all of a gang, could ever run; empty if they could.
+  /// Returns why no task of the job, or not all tasks of a gang at once, could ever run; empty if
+  /// they could.
   [[nodiscard]] std::optional<Infeasibility> infeasibility(const JobSpec& spec) const;
 
   // gang_scheduling.cpp
-  /// A gang whose tasks have changed; it is reviewed with the next tick.
+  /// Schedules a review of the job's gang because its tasks have changed; does nothing for other
+  /// jobs.
   void review_gang(const Job& job);
   void review_gangs();
   Gang& gang_of(const Job& job);
@@ -336,7 +355,7 @@
   void make_room_for_gang(Job& job, const GangPlan& plan, const std::vector<Machine*>& machines);
   [[nodiscard]] Time starved_after() const;
   bool hold_machines(const Job& job, std::uint32_t missing, const std::string& zone);
-  /// A machine that takes this many times its type's boot time isn't waited for any more.
+  /// After this multiple of its type's boot time, a booting machine no longer counts as supply.
   static constexpr double kLateBoot = 1.3;
   [[nodiscard]] std::string zone_to_scale_out_in(const Job& job, const std::string& best) const;
   /// Stops a task and, if it belongs to a gang, all other tasks of the gang.
@@ -344,10 +363,12 @@
   void stop_gang(Job& job, double grace_s);
 
   // preemption.cpp
-  /// Only on machines that hold the job's image, or of a zone, if so requested.
+  /// Reserves room for one more task of the job, preempting others if needed. `warm_only` restricts
+  /// this to machines that hold the job's image, `zone` to machines of that zone. False if no
+  /// machine qualifies.
   bool preempt_for(const Job& job, bool warm_only = false, const std::string& zone = {});
   bool preempt_on_best_machine(const Job& job, bool warm_only, const std::string& zone);
-  /// The tasks to be preempted on a machine, and the cost of that.
+  /// The tasks to preempt on a machine, and the total cost of preempting them.
   struct PreemptionPlan {
     std::vector<TaskAttempt*> victims;
     double cost = 0;
@@ -359,6 +380,7 @@
   [[nodiscard]] double preemption_cost(const TaskAttempt& p) const;
   bool migrate_for(const Job& job);
   [[nodiscard]] bool migratable(const TaskAttempt& p) const;
+  /// A replica to be migrated, and the machine that takes it.
   struct PlannedMigration {
     TaskAttempt* attempt_record = nullptr;
     Machine* to = nullptr;
@@ -380,31 +402,34 @@
   void check_capacity();
   void handle_machine_list(const CloudResponse& reply);
   void autoscale();
-  /// A kind of machine: its type, and whether it is a spot or an on-demand instance.
+  /// A machine type as a spot or as an on-demand instance.
   struct MachineKind {
     std::string type;
     bool spot = false;
-    // NOLINTNEXTLINE(modernize-use-nullptr): as above
+    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads the generated comparison
     auto operator<=>(const MachineKind&) const = default;
   };
-  /// Where machines of a kind are launched.
+  /// A kind of machine in one zone.
   struct InstancePool {
     MachineKind kind;
     std::string zone;
-    // NOLINTNEXTLINE(modernize-use-nullptr): as above
+    // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads the generated comparison
     auto operator<=>(const InstancePool&) const = default;
   };
+  /// Machines that are up or on their way: `coming` counts those that are requested or booting,
+  /// `by_zone` includes those that are up.
   struct FleetSupply {
     std::map<MachineKind, double> coming;
     std::map<InstancePool, double> coming_in_zone;
     std::map<MachineKind, std::map<std::string, int>> by_zone;
   };
-  /// Room that is to be added: in any zone, and for work that needs it in a certain one.
+  /// Room that is to be added: for work that runs in any zone, and for work bound to one zone.
   struct Demand {
     std::map<MachineKind, Resources> anywhere;
     std::map<InstancePool, Resources> in_zone;
   };
-  /// The size of the on-demand machines that accept work, and what work that needs them uses.
+  /// The total size of the on-demand machines that accept work, and the resources used by work that
+  /// may not run on spot instances.
   struct OnDemandCapacity {
     Resources size, used;
   };
@@ -431,7 +456,7 @@
   bool drain_machine(Machine& m, Reservations& under_way,
                      std::vector<FailedMigration>& failed_migrations);
   [[nodiscard]] bool spare(const OnDemandCapacity& on_demand, const Machine& m) const;
-  /// Machines by an image that they hold, in the order of their names.
+  /// Maps each image to the machines that hold it, ordered by machine name.
   using ImageHolders = std::unordered_map<std::string, std::vector<Machine*>>;
   const ImageHolders& image_holders();
   [[nodiscard]] Machine* warm_room(const TaskAttempt& p, const Machine& from,
@@ -448,48 +473,53 @@
   Outbox outbox_;
   Tables tables_;
   RegionalQuotas quotas_;
-  Time next_share_look_ = 0;
-  EventLoopLag event_loop_lag_;  // of our ticks
+  Time next_share_look_ = 0;     // next time the quota share manager is updated with the load
+  EventLoopLag event_loop_lag_;  // of this controller's ticks
 
   // leadership
   Time next_heartbeat_ = 0;
-  Time last_path_ = 0;
-  const std::uint64_t incarnation_;  // of this process
+  Time last_path_ = 0;  // last time this controller led, knew a leader or read the checkpoint
+  const std::uint64_t incarnation_;  // random number that identifies this process
   PeerTable peers_;
   LeaderElection election_;
 
-  // keeping workers' tasks alive without a leader: under which fencing token, until when, and when
-  // last
+  // keeping workers' tasks alive without a leader
   KeepAlivePermit keep_alive_permit_;
-  Time next_redirect_tidy_ = 0;
-  Time kept_alive_at_ = -kNever;
-  Time last_worker_heartbeat_ = -kNever;  // at this controller itself
+  Time next_redirect_tidy_ = 0;   // next time old entries of `redirected_at_` are removed
+  Time kept_alive_at_ = -kNever;  // last time this controller renewed a worker's lease by itself
+  Time last_worker_heartbeat_ = -kNever;  // last one that a worker sent directly to this controller
+  /// When each machine's worker was last redirected, by machine name.
   std::unordered_map<std::string, Time> redirected_at_;
 
-  // followers' part in handling users' requests
+  // handling users' requests as a follower
+  /// A request that was forwarded to a peer and has not been answered yet.
   struct Forwarded {
     RequestSource source;
     UserOp op = UserOp::Query;
-    std::string id;  // of the job, or of the machine that sent the heartbeat
+    std::string id;  // of the job, or the name of the machine that sent the heartbeat
     std::size_t peer = 0;
     Time sent = 0, until = 0;
-    std::uint64_t fencing_token = 0;  // that a heartbeat showed
+    std::uint64_t fencing_token = 0;  // as shown by a forwarded heartbeat
   };
-  /// The leader hasn't responded in time, or its response is no longer valid.
+  /// Handles a forwarded request that the peer has not answered in time, or whose response is no
+  /// longer valid.
   void time_out(const Forwarded& f);
   std::map<std::uint64_t, Forwarded> forwarded_;
   std::uint64_t next_forward_ = 1;
+  /// The checkpoint as a follower reads it for queries, and as a new leader is loading it.
   Snapshot snapshot_, loading_;
   bool snapshot_loaded_ = false;
   std::uint64_t snapshot_revision_ = 0;
   Time snapshot_read_at_ = 0;
+  /// A query that a follower answers from the checkpoint.
   struct Lookup {
     RequestSource source;
     std::string id;
     Time since = 0;
   };
+  /// Queries that wait for the next read of the checkpoint, and those that the current one answers.
   std::vector<Lookup> lookups_, lookups_served_;
-  /// A user who waits for a job's tasks to be gone, to be told that it is cancelled.
+  /// A cancel request whose response waits until all of the job's tasks are gone.
   struct CancelWait {
     RequestSource source;
     Time until = 0;
@@ -502,10 +532,10 @@
 
   // reconciliation
   bool reconciling_ = false;
-  Time fence_at_ = 0;  // by then whatever a former leader kept alive has ended
+  Time fence_at_ = 0;  // by then, every task that a former leader kept alive has ended
   std::uint64_t next_attempt_ = 1;
-  /// Checkpoint values that could not be read: jobs or machines that are not in the tables may
-  /// exist all the same.
+  /// Whether checkpoint values that hold jobs or machines could not be read: jobs or machines that
+  /// are not in the tables may exist nevertheless.
   bool unknown_jobs_ = false, unknown_machines_ = false;
 
   // machines
@@ -517,48 +547,52 @@
   bool terminating_ = false;
   Time next_types_ = 0, next_list_ = 0, next_sizing_ = 0;
   bool listing_ = false, capacity_checked_ = false;
-  std::string listed_up_to_;  // by the list that is being read; empty: none is
+  std::string listed_up_to_;  // last machine of the list read so far; empty: no list is being read
 
-  /// When a machine of the zone last answered a direct command.
+  /// When a machine of each zone last answered a probe.
   std::unordered_map<std::string, Time> zone_reached_;
-  /// When all machines of a zone were last found silent.
+  /// When all machines of each zone were last found silent.
   std::unordered_map<std::string, Time> zone_unreachable_at_;
 
   // placement
   std::unordered_map<std::string, Gang> gangs_;
   std::set<std::string> gangs_to_review_;
-  const Machine* heartbeat_sender_ = nullptr;  // whose heartbeat is being answered
+  const Machine* heartbeat_sender_ = nullptr;  // the machine whose heartbeat is being answered
   bool scheduling_needed_ = false;
   Time next_scheduling_ = 0;
-  std::vector<UnmetDemand> unmet_demand_;  // by kind, in the order of their first jobs
+  std::vector<UnmetDemand> unmet_demand_;  // one entry per kind, ordered by the kind's first job
   std::unordered_map<const TeamQuota*, Resources> unmet_of_team_;
-  /// Work beyond any guaranteed quota waits, and may use the on-demand machines that are up.
+  /// True if work without a guaranteed quota waits and may use on-demand machines that are up, so
+  /// none of them should be drained.
   bool on_demand_awaited_ = false;
   Time drain_not_before_ = 0;
-  int fetch_votes_ = 0;  // above 0: images fetched at the same time share the rate
-  /// Replicas migrating to another machine, and the room that is reserved for them there.
+  /// Observations of concurrent image fetches. Above 0: the fetches share a machine's rate; below
+  /// 0: they don't.
+  int fetch_votes_ = 0;
+  /// A replica that migrates to another machine, and the room that is reserved for it there.
   struct Migration {
     std::string from, to;
     Resources need;
     Time until = 0;
     TaskKey key;
     std::uint64_t attempt = 0;
-    bool begun = false;  // the replica was told to stop
+    bool begun = false;  // the replica has been told to stop
   };
   std::unordered_map<std::string, Migration> migrations_;
-  std::set<std::string> stops_due_;  // machines with stops that haven't been sent yet
-  /// Room on machines that the current pass has reserved for tasks of higher priority.
+  std::set<std::string> stops_due_;  // machines with stop commands that haven't been sent yet
+  /// Room that the current pass has reserved on machines for migrating replicas and for tasks that
+  /// will be placed there later.
   Reservations reservations_;
-  /// Requests for which the current pass has found no room, and nothing to preempt. Room only
-  /// shrinks within a pass; where it grows, these are cleared.
+  /// Requests for which the current pass has found no room. Room only shrinks within a pass; where
+  /// it grows, the lists of failures are cleared.
   std::vector<ResourceRequest> no_room_for_;
   std::vector<FailedMigration> no_migration_for_;
-  /// Rankings of the machines with room for the smallest waiting request, and of all that accept
-  /// work, when the pass began.
+  /// Rankings of the machines that had room for the smallest waiting request when the pass began,
+  /// and of all machines that accepted work then.
   RankingsByKind<RankingKey, BinPackingScore> rankings_{&Machine::room_index};
   RankingsByKind<PreemptionKey, double> preemption_rankings_{&Machine::open_index};
-  std::vector<Machine*> machines_changed_;
-  /// Empty if it has to be rebuilt.
+  std::vector<Machine*> machines_changed_;  // during the current pass, in order
+  /// Cache for `image_holders()`; empty if it has to be rebuilt.
   ImageHolders image_holders_;
   mutable std::uint64_t examined_ = 0;
   std::vector<FailedPreemption> no_preemption_for_;
--- a/src/controller/controller_heartbeats.cpp
+++ b/src/controller/controller_heartbeats.cpp
@@ -1,5 +1,5 @@
-// Heartbeats between controllers: who leads, who hears the leader, and how long a follower may keep
-// tasks alive by itself.
+// Heartbeats between controllers: they tell who leads, who hears the leader, and for how long a
+// follower may keep workers' tasks alive by itself.
 #include <algorithm>
 
 #include "controller/controller.hpp"
--- a/src/controller/event_loop_lag.hpp
+++ b/src/controller/event_loop_lag.hpp
@@ -1,5 +1,5 @@
-// Measures event-loop lag: detects a process that gets too little processor time by how late its
-// timer fires.
+// Measures event-loop lag: how late a timer fires shows whether the process gets too little
+// processor time.
 #pragma once
 
 #include <algorithm>
@@ -9,21 +9,25 @@
 
 namespace sailreel {
 
-/// Watches a timer that is armed again whenever it has fired. A process that was busy or paused for
-/// a moment is late once; one whose processor can't keep up is late most of the time. Times in ms.
+/// Measures the lateness of a timer that is armed again each time it has fired. A process that was
+/// busy or paused for a moment is late once; a process whose processor is too slow is late most of
+/// the time. Times are in ms.
 class EventLoopLag {
  public:
-  /// Lag of the late firings in a window in which most firings were late, in ms.
+  /// The mean and the maximum lag (ms) of the late firings in a window.
   struct LagSummary {
     Time mean = 0, most = 0;
   };
 
-  /// A firing counts as late from `limit` after it was due; windows are at least `window` long.
+  /// A firing counts as late if it comes `limit` or more after it was due. Each window lasts at
+  /// least `window`.
   EventLoopLag(Time limit, Time window) : limit_(limit), window_(window) {}
 
+  /// Records that the timer has been armed to fire at `due`.
   void armed(Time due) { due_ = due; }
 
-  /// The timer has fired. Returns a summary if a window ends with this and was mostly late.
+  /// Records that the timer has fired. Returns a summary if this ends a window in which more than
+  /// one firing, and more than half of them, were late.
   std::optional<LagSummary> fired(Time now) {
     if (!due_) return {};
     count(std::max<Time>(0, now - *due_));
@@ -43,7 +47,7 @@
   }
 
   std::optional<LagSummary> end_window(Time now) {
-    // A single firing is one pause, however long it was.
+    // A single late firing may be one long pause, so it isn't reported.
     std::optional<LagSummary> summary;
     if (late_firings_ > 1 && late_firings_ * 2 > firings_)
       summary = LagSummary{sum_ / static_cast<Time>(late_firings_), most_};
@@ -57,7 +61,7 @@
   std::optional<Time> due_;
   Time window_end_ = 0;
   std::size_t firings_ = 0, late_firings_ = 0;
-  Time sum_ = 0, most_ = 0;  // of the late firings
+  Time sum_ = 0, most_ = 0;  // lag of the late firings
 };
 
 }  // namespace sailreel
--- a/src/controller/keepalive.cpp
+++ b/src/controller/keepalive.cpp
@@ -1,34 +1,35 @@
-// Keeps workers' tasks alive while no leader can be reached, and computes how long a leader has to
-// assume that other controllers did so.
+// Keeps workers' tasks alive while no leader can be reached, and computes for how long a leader has
+// to assume that other controllers have kept them alive.
 #include "controller/controller.hpp"
 #include "protocol/worker_codec.hpp"
 
 namespace sailreel {
 namespace {
-/// Tasks are kept alive without a leader for this many worker leases. It bridges a zone's partition
-/// or an outage of less than three leases; a zone that has truly failed is replaced that much
-/// later.
+/// Tasks are kept alive without a leader for this many worker leases. Tasks thereby survive a
+/// zone's partition or an outage of less than three leases; in return, the tasks of a zone that has
+/// really failed are replaced that much later.
 constexpr int kKeepLeases = 2;
-/// A worker isn't redirected again before this many leases have passed.
+/// A worker isn't redirected to its own zone again until this many worker leases have passed, and a
+/// peer that hears no worker isn't tried again before.
 constexpr int kRedirectLeases = 4;
 }  // namespace
 
 Time Controller::keep_alive_span() const { return kKeepLeases * worker_lease(); }
 
-// The time by which the tasks on a machine have certainly ended, unless one of its heartbeats is
-// answered again. What peers say holds as of the contact span ago: a lease has to have expired by
-// then.
+// Returns the time by which the tasks on a machine have certainly ended, unless another of its
+// heartbeats is answered before. A peer's report of its latest answer to a worker may be as old as
+// the contact span, so that span is added to the worker's lease.
 Time Controller::expiry(const Machine& m) const {
   const Time last = std::max(m.answered, peers_.latest_answer(clock_.now));
   const Time ours = last + with_drift(worker_lease()) + peers_.contact_span();
-  // Until the worker has seen our fencing token, a former leader's responses may still renew its
-  // lease, and so may those of controllers that heard that leader.
+  // Until the worker has seen this leader's fencing token, responses of a former leader, or of
+  // controllers that heard that leader, may still renew its lease.
   return m.heard_in_epoch ? ours : std::max(ours, fence_at_);
 }
 
-// A heartbeat at a controller that doesn't lead. It is forwarded rather than redirected: workers
-// that couldn't reach the leader themselves, as when two zones are partitioned, lost their tasks
-// while they were redirected back and forth.
+// Handles a heartbeat at a controller that doesn't lead. The heartbeat is forwarded rather than
+// redirected: a worker that can't reach the leader itself, as when two zones are partitioned, would
+// be redirected back and forth until it lost its tasks.
 void Controller::forward_heartbeat(const HeartbeatReceived& in) {
   if (in.source.kind == RequestSource::Kind::Peer)
     return outbox_.respond(in.source, 503, encode_error("no leader"));
@@ -41,9 +42,9 @@
             in.heartbeat.fencing_token);
 }
 
-// Redirects a worker to a controller of its own zone. When a zone was partitioned, workers that
-// sent heartbeats to controllers outside tried one after another, 5 s each, until their leases had
-// expired.
+// Redirects a worker to a controller in its own zone; returns whether it did. Workers that use a
+// controller outside their zone lose their tasks when the zone is partitioned: they try the
+// unreachable controllers one after another, 5 s each, until their leases have expired.
 bool Controller::redirect_to_own_zone(const HeartbeatReceived& in) {
   const std::string& zone = in.heartbeat.zone;
   if (in.source.kind != RequestSource::Kind::Local || zone == settings_.zone) return false;
@@ -53,10 +54,11 @@
   return near.has_value();
 }
 
-// A peer of the zone that hears the leader and workers. Failing that, now and then, one that hears
-// no worker: it may be partitioned from them, or none may send heartbeats to it yet. One machine
-// shows which, and the others follow. Without that, a controller that by chance no worker used
-// never got one, and a partition of its zone ended all tasks there.
+// Returns a peer in the zone that hears both the leader and workers. If there is none, returns,
+// once in kRedirectLeases leases, a peer that hears no worker: either it is partitioned from the
+// workers, or no worker uses it yet. Redirecting one worker there shows which it is; if it
+// succeeds, others follow. Without this, a controller that no worker happened to use would never
+// get one, and a partition of its zone would end all tasks there.
 std::optional<std::size_t> Controller::peer_in_zone(const std::string& zone) {
   std::vector<std::size_t> hearing;
   std::optional<std::size_t> untried;
@@ -81,7 +83,8 @@
 void Controller::redirect_worker(const RequestSource& source, const std::string& machine,
                                  std::size_t peer) {
   const Time span = kRedirectLeases * worker_lease();
-  // Once per span, so that each worker is looked at twice at most, however many there are.
+  // Old entries are removed only once per span: each entry is examined at most twice, however many
+  // workers there are.
   if (clock_.now >= next_redirect_tidy_) {
     next_redirect_tidy_ = clock_.now + span;
     std::erase_if(redirected_at_, [&](const auto& s) { return clock_.now - s.second >= span; });
@@ -90,10 +93,11 @@
   outbox_.respond(source, 421, encode_redirect(settings_.peers[peer].name));
 }
 
-// No leader can be reached. If that is so for the whole zone, its workers' tasks survive only if
-// this controller responds; if it is so for this controller alone, the worker had better go
-// elsewhere. Each worker is redirected once to the preceding controller: if that can't be reached,
-// the worker comes back here next.
+// Handles a heartbeat while this controller can reach no leader. If the whole zone is cut off, its
+// workers' tasks survive only if this controller responds; if only this controller is cut off, the
+// worker is better served elsewhere. So each worker is first redirected, once per lease: to a peer
+// that reaches the leader if one is known, else to the preceding controller. If that can't be
+// reached either, the worker tries this controller next.
 void Controller::keep_alive(const RequestSource& source, const std::string& machine,
                             std::uint64_t fencing_token, bool may_redirect) {
   if (!keep_alive_permit_.valid(fencing_token, clock_.now))
@@ -111,8 +115,9 @@
                   keep_alive_permit_.until());
 }
 
-// The peer that workers try just before this controller: they go by the controllers' numbers, and
-// the first follows the last.
+// Returns the peer that workers try just before this controller. Workers try controllers in the
+// order of the numbers in their names, and the first again after the last. Shorter names come
+// first, so that node-10 follows node-9.
 std::size_t Controller::node_before() const {
   const auto less = [](const std::string& a, const std::string& b) {
     return a.size() != b.size() ? a.size() < b.size() : a < b;
--- a/src/controller/peer_table.cpp
+++ b/src/controller/peer_table.cpp
@@ -7,14 +7,15 @@
 bool PeerTable::take(std::size_t peer, const ControllerHeartbeat& heartbeat, Time now) {
   PeerView& v = views_[peer];
   if (heartbeat.incarnation != v.incarnation) {
-    // What its former incarnation may have kept alive until it ended isn't in the new one's
-    // heartbeats.
+    // The new incarnation's heartbeats don't report when the former one kept tasks alive, so the
+    // former one is assumed to have done so until the keep-alive span after its latest heartbeat,
+    // but not beyond now.
     if (v.incarnation != 0)
       v.kept_alive_at =
           std::max(v.kept_alive_at, std::min(now, v.last_heartbeat + keep_alive_span_));
     v.incarnation = heartbeat.incarnation;
   } else if (heartbeat.clock < v.clock) {
-    return false;  // over another connection
+    return false;  // delayed on another connection
   }
   v.clock = heartbeat.clock;
   v.last_heartbeat = now;
@@ -73,8 +74,9 @@
                      [](const PeerView& v) { return v.understands_gangs; });
 }
 
-// As far as it matters: a peer that had our heartbeat within the contact span reported when it last
-// did; one that we have lost may go on for as long as our last response to its heartbeats allowed.
+// A peer that acknowledged a heartbeat of this controller within the contact span has reported when
+// it last answered a worker by itself. A peer that has lost contact may do so until the keep-alive
+// span after its latest heartbeat has passed.
 Time PeerTable::latest_answer(Time now) const {
   Time latest = -kNever;
   for (const PeerView& v : views_) {
--- a/src/controller/peer_table.hpp
+++ b/src/controller/peer_table.hpp
@@ -1,5 +1,5 @@
-// What this controller knows of its peers from their heartbeats, and its permit to keep tasks alive
-// without a leader.
+// What a controller knows about its peers from their heartbeats, and its permission to keep
+// workers' tasks alive without a leader.
 #pragma once
 
 #include <cstddef>
@@ -12,28 +12,33 @@
 
 namespace sailreel {
 
-/// The longest time (ms) that a span on another machine's clock may last on ours, with a margin.
+/// Returns the longest time (ms) that may pass on this machine's clock while `span` (ms) passes on
+/// another machine's: clocks may differ in rate by 1 in 500, and 50 ms are added as a margin.
 constexpr Time with_drift(Time span) { return span + span / 500 + 50; }
 
-/// One of the other controllers, as of its latest heartbeat. Times in ms, on our clock unless
-/// stated otherwise.
+/// The state of one of the other controllers, as of its latest heartbeat. Times are in ms, on this
+/// controller's clock unless stated otherwise.
 struct PeerView {
-  Time last_heartbeat = -kNever;
+  Time last_heartbeat = -kNever;  // when it was received
+  // The flags have the same meaning as in ControllerHeartbeat.
   bool leading = false, hears_leader = false, holding = false, hears_workers = false;
   bool understands_gangs = false, shares_limits = false;
   std::uint64_t epoch = 0;
-  std::uint64_t incarnation = 0;  // 0: never heard
-  Time clock = 0;                 // its own, at its latest heartbeat
-  Time echo_at = -kNever;  // send time of the latest of our heartbeats that it had received by then
-  Time kept_alive_at = -kNever;  // when it last kept tasks alive by itself, at the latest
-  Time tried_at = -kNever;       // when a worker was last redirected there although it hears none
+  std::uint64_t incarnation = 0;  // 0: no heartbeat received yet
+  Time clock = 0;                 // the peer's own clock when it sent its latest heartbeat
+  /// When this controller sent the latest of its own heartbeats that the peer has acknowledged.
+  Time echo_at = -kNever;
+  /// The latest time at which the peer kept tasks alive by itself, as it reported or, for a former
+  /// process of the peer, as it may have done.
+  Time kept_alive_at = -kNever;
+  Time tried_at = -kNever;  // when a worker was last redirected to the peer although it heard none
 };
 
-/// All other controllers, in the order of the settings. Owned by the controller.
+/// The other controllers, indexed by their position in the settings. Owned by the controller.
 class PeerTable {
  public:
-  /// `keep_alive_span`: how long (ms) a controller that has lost the leader keeps tasks alive by
-  /// itself.
+  /// `worker_lease`: the length (ms) of a worker's lease. `keep_alive_span`: how long (ms) a
+  /// controller that has lost the leader keeps tasks alive by itself.
   PeerTable(std::size_t count, std::uint64_t own_incarnation, Time worker_lease,
             Time keep_alive_span)
       : views_(count),
@@ -41,11 +46,11 @@
         worker_lease_(worker_lease),
         keep_alive_span_(keep_alive_span) {}
 
-  /// Processes a heartbeat; false if it is older than one received before.
+  /// Processes a heartbeat. Returns false, and ignores it, if it is older than one received before.
   bool take(std::size_t peer, const ControllerHeartbeat& heartbeat, Time now);
-  /// The link to the peer broke: as far as we know it doesn't lead.
+  /// Records that the link to the peer is lost: the peer is no longer assumed to lead.
   void lost(std::size_t peer) { views_[peer].leading = false; }
-  /// A worker was redirected to the peer although it hears none yet.
+  /// Records that a worker was redirected to the peer although the peer hears no worker.
   void tried(std::size_t peer, Time now) { views_[peer].tried_at = now; }
 
   [[nodiscard]] std::size_t size() const { return views_.size(); }
@@ -53,23 +58,29 @@
   [[nodiscard]] auto begin() const { return views_.begin(); }
   [[nodiscard]] auto end() const { return views_.end(); }
 
-  /// In ms. Heartbeats come a thirtieth of a lease apart; a peer whose echo of ours is older than
-  /// this may have lost us.
+  /// In ms. Controllers send heartbeats a thirtieth of a worker's lease apart. A peer whose latest
+  /// acknowledged heartbeat is older than this span may have lost contact with this controller.
   [[nodiscard]] Time contact_span() const { return worker_lease_ / 10; }
+  /// Whether a heartbeat of the peer was received within the last eighth of a worker's lease.
   [[nodiscard]] bool in_contact(std::size_t peer, Time now) const;
-  /// The peer leads or hears the leader, and we hear it.
+  /// Whether the peer is in contact, and leads or hears the leader.
   [[nodiscard]] bool reaches_leader(std::size_t peer, Time now) const;
-  /// The peer that leads under the highest epoch; empty: unknown, or ourselves.
+  /// Returns the peer in contact that leads under the highest epoch; empty if none is known to
+  /// lead, as when this controller leads itself.
   [[nodiscard]] std::optional<std::size_t> leader(Time now) const;
-  /// A leader whose lease may have expired, and that still answers heartbeats.
+  /// Returns a peer in contact that is the leader, although its lease may have expired, and that
+  /// still answers workers' heartbeats; empty if there is none.
   [[nodiscard]] std::optional<std::size_t> holding(Time now) const;
-  /// Peers that can forward a request to the leader for us.
+  /// Returns the peers in contact that can forward a request to the leader: they hear the leader,
+  /// and their version supports such requests.
   [[nodiscard]] std::vector<std::size_t> relays(Time now) const;
-  /// Every controller that the settings name has said so. One that ended since comes back with the
-  /// same version or a later one.
+  /// Whether the latest heartbeat of every peer says that it supports gangs. A peer that has ended
+  /// since is assumed to come back with the same version or a later one.
   [[nodiscard]] bool all_understand_gangs() const;
+  /// The same for quota shares between regions.
   [[nodiscard]] bool all_share_limits() const;
-  /// The latest time at which a peer may have answered a worker's heartbeat by itself.
+  /// Returns the latest time (ms) at which any peer may have answered a worker's heartbeat by
+  /// itself.
   [[nodiscard]] Time latest_answer(Time now) const;
 
  private:
@@ -78,11 +89,12 @@
   Time worker_lease_, keep_alive_span_;
 };
 
-/// Under which fencing token, and until when, this controller may keep workers' tasks alive by
-/// itself.
+/// Permission to keep workers' tasks alive without a leader: under which fencing token, which is a
+/// leader's epoch, and until when.
 class KeepAlivePermit {
  public:
-  /// Extends the permit until that time (ms); a permit of an older epoch is ignored.
+  /// Extends the permit until `until` (ms), never shortening it. A later epoch replaces the permit
+  /// of an earlier one; an earlier epoch than the present one is ignored.
   void allow(std::uint64_t epoch, Time until);
   [[nodiscard]] bool valid(std::uint64_t fencing_token, Time now) const {
     return now < until_ && fencing_token == epoch_;
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -1,4 +1,5 @@
-// What a new leader does before it places anything that may already run.
+// What a new leader does before it places any task that may already be running: it loads the
+// checkpoint and asks the machines for the tasks that they run.
 #include <utility>
 
 #include "controller/controller.hpp"
@@ -6,6 +7,7 @@
 
 namespace sailreel {
 namespace {
+/// Merges separately stored pieces of the bitmaps of completed tasks into the jobs' records.
 void merge_pieces(Snapshot& image, const Snapshot::Pieces& pieces, std::size_t piece_bits) {
   for (const auto& [key, digits] : pieces) {
     const auto it = image.jobs.find(key.first);
@@ -22,8 +24,8 @@
   load("", 0);
 }
 
-// Reads the whole checkpoint. Nobody else can change it any more: every write is conditional
-// on the epoch, which is ours.
+// Reads the whole checkpoint page by page. No other controller can change it: every write is
+// conditional on the epoch, which belongs to this leader now.
 void Controller::load(const std::string& from, std::uint64_t revision) {
   const std::uint64_t term = election_.term();
   KvRequest list;
@@ -56,7 +58,8 @@
   Snapshot image = std::exchange(loading_, Snapshot{});
   note_unreadable(image);
   if (image.unreadable.contains(kManifestKey) || image.unreadable.contains(kEpochKey)) {
-    // Workers that know no other leader are kept alive for as long as the lease would have lasted.
+    // The lease isn't expired early: workers that know no other leader are kept alive as if this
+    // controller had led until its lease expired.
     return election_.resign(StepDownCause::ManifestUnreadable, {.expire_now = false});
   }
   tables_.clear();
@@ -81,8 +84,8 @@
   inquire_tick();
 }
 
-// What an unreadable value held is unknown, and never considered missing: jobs that may be in it
-// get 503, and it is not overwritten.
+// The content of an unreadable value is unknown, which is not the same as missing: requests for
+// jobs that may be in it get 503, and the value is not overwritten.
 void Controller::note_unreadable(const Snapshot& image) {
   unknown_jobs_ = false;
   unknown_machines_ = false;
@@ -93,8 +96,8 @@
   }
 }
 
-// Scale-out requests beyond what the manifest may hold, as after a time with higher limits, are
-// left out: their machines are found in the cloud's list and by their heartbeats.
+// Scale-out requests that exceed what the manifest may hold, as after the limits were lowered, are
+// dropped: their machines are found by the cloud's list and by their heartbeats.
 void Controller::load_scale_outs(const Snapshot& image) {
   for (const ScaleOutRequest& scale_out : image.manifest.scale_outs)
     if (checkpoint_.scale_out_fits(scale_out))
@@ -104,7 +107,7 @@
 void Controller::load_jobs(Snapshot& image) {
   merge_pieces(image, image.pieces, kPieceBits);
   merge_pieces(image, image.small_pieces, kSmallPieceBits);
-  // Sorted by submission: that is their order in their team's queue.
+  // Jobs are added in the order of submission, which is their order in their team's queue.
   std::vector<JobRecord*> records;
   for (auto& [id, record] : image.jobs) {
     if (record.final)
@@ -130,9 +133,11 @@
   job.committed = true;
   job.committed_phase = job.record.phase;
   job.started = job.record.started;
-  // The time since submission where it is known; the wall clock may be off a little.
+  // The age comes from the stored wall-clock time of submission. Controllers' wall clocks may
+  // differ a little, so a negative age counts as 0.
   job.accepted = clock_.now - std::max<Time>(0, clock_.wall_ms - job.record.submitted_wall_ms);
-  // Tasks that were never started run nowhere, and need no wait.
+  // Tasks at or above `started` were never sent to a machine and stay queued. Tasks below it that
+  // aren't done may be running, so they are unknown until reconciliation ends.
   for (std::uint32_t i = 0; i < std::min(job.started, job.spec().tasks); ++i) {
     Task& task = job.tasks[i];
     if (task.state != TaskState::Queued) continue;
@@ -155,9 +160,9 @@
     }
 }
 
-// Reconciliation is over once every machine that may hold tasks has been heard under our fencing
-// token, or can't hold any more. Inquiries take milliseconds; the wait for lease expiry remains as
-// the bound for machines that don't respond.
+// Ends reconciliation once every machine that may run tasks has been heard under this leader's
+// fencing token or can't run any of them any more. Probes take milliseconds; for machines that
+// don't respond, the expiry of their leases is the upper bound.
 void Controller::reconcile() {
   if (!reconciling_ || !holds_valid_lease(clock_.now)) return;
   const Time now = clock_.now;
@@ -167,20 +172,21 @@
     recorded += m->recorded ? 1 : 0;
     if (awaits_reconciliation(*m)) missing.push_back(m.get());
   }
-  // A machine that died with the former leader would hold up everything for its lease and more
-  // (recorded incident: 22 s). Terminating it proves it gone.
+  // A machine that died together with the former leader would delay reconciliation for longer than
+  // its lease (22 s in one incident). Terminating it proves that its tasks are gone.
   if (!missing.empty()) detect_dead_machines();
-  // So would a machine that the former leader had terminated without recording it; the cloud
-  // doesn't list it, and so its zone is unknown.
+  // A machine that the former leader terminated without recording it would cause the same delay.
+  // The cloud no longer lists it, so its zone is unknown.
   if (now - election_.elected_at() > silent_after() && few_silent(missing.size(), recorded))
     for (Machine* m : missing)
       if (m->zone.empty() && m->probe_failures >= 2)
         terminate_instance(*m, TerminationCause::SilentSinceFailover);
   if (!missing.empty()) return;
-  // Machines that an unreadable value named can't be asked, but their leases expire.
+  // Machines recorded in an unreadable value can't be probed, but their leases expire by then.
   if (unknown_machines_ && now < fence_at_) return;
   reconciling_ = false;
-  // Tasks of machines that weren't heard are rescheduled from now on: their leases have expired.
+  // Tasks of machines that weren't heard can be rescheduled from now on, as these machines' leases
+  // have expired.
   std::size_t unheard = 0;
   for (auto& [name, m] : tables_.machines) {
     if (!m->recorded || m->heard_in_epoch) continue;
@@ -197,14 +203,15 @@
               {{"after_ms", now - election_.elected_at()}, {"unheard", unheard}});
 }
 
-// The machine may hold tasks, and hasn't been heard under our fencing token.
+// Returns whether the machine may run tasks of a former leader and hasn't been heard under this
+// leader's fencing token.
 bool Controller::awaits_reconciliation(const Machine& m) const {
   return m.recorded && !m.heard_in_epoch && !m.lease_passed && clock_.now < expiry(m);
 }
 
-// Sends inquiries to machines that aren't heard. Those that were never asked, or longest ago, come
-// first: there may be fewer sockets than machines that don't respond, and in the order of their
-// names, or with those of reconciliation before the others, the last were never asked at all.
+// Probes machines that aren't heard, in the order in which they became due: there may be fewer
+// sockets than machines that don't respond. In the order of their names, or with those awaited by
+// reconciliation before the others, the last ones would never be probed.
 void Controller::inquire_tick() {
   if (!holds_valid_lease(clock_.now)) return;
   std::vector<Machine*> unheard;
@@ -223,11 +230,11 @@
   if (!m.probing && clock_.now >= m.probe_at) inquire(m);
 }
 
-// Fences a worker and fetches its status. As it carries no commands, it is harmless however late it
-// arrives.
+// Sends a probe: a direct request that tells the worker this leader's fencing token and fetches its
+// status. It carries no commands, so it is harmless however late it arrives.
 void Controller::inquire(Machine& m) {
-  // The others wait for the next tick. With more machines than sockets, those that got none once
-  // counted as failed, and a failover took a second longer.
+  // Without a free socket, the probe waits for a later tick. It must not count as failed: with more
+  // machines than sockets, that made a failover a second longer.
   if (m.address.empty() || outbox_.worker_calls_full()) return;
   m.probing = true;
   const std::string name = m.name;
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -1,5 +1,5 @@
-// Situations that a simulated day hardly reaches, set up by hand: a checkpoint left by a former
-// leader, and hand-made heartbeats.
+// Tests a single controller with a hand-written checkpoint of a former leader and hand-written
+// heartbeats, for situations that simulations rarely reach.
 #include <gtest/gtest.h>
 
 #include "support/controller_driver.hpp"
@@ -24,8 +24,9 @@
   return {{job, index}, 1, RunState::Exited, ExitCause::Done, false};
 }
 
-// Two machines report the same task after a failover, and the settings no longer name its team: the
-// second is told to stop it. Counting it against its team once ended the process.
+// After a failover, two machines report the same task, and the settings no longer name the task's
+// team. The second machine is told to stop its attempt. Guards against a crash when that attempt is
+// counted against the missing team.
 TEST(Controller, AnOrphanedAttemptOfATeamThatIsNoLongerNamedIsStopped) {
   ControllerDriver driver(settings_without_peers());
   JobRecord record = started_job("job-1", 2);
@@ -40,22 +41,22 @@
   const std::string commands = driver.heartbeat(heartbeat_of("m-2", 1, {running("job-1", 0)}));
   EXPECT_NE(commands.find("\"kill\""), std::string::npos) << commands;
   EXPECT_NE(commands.find("job-1/0"), std::string::npos) << commands;
-  // Its own copy goes on, and is done in the end.
+  // The attempt on m-1 continues and completes.
   driver.heartbeat(heartbeat_of("m-1", 2, {completed("job-1", 0), running("job-1", 1)}));
   driver.heartbeat(heartbeat_of("m-1", 3, {completed("job-1", 0), completed("job-1", 1)}));
   driver.run_for(1'000);
   EXPECT_EQ(driver.checkpoint().jobs.at("job-1").phase, Phase::Done);
 }
 
-// A job whose bitmap doesn't fit into a checkpoint commit waits for the next, while the commit
-// moves other jobs of its shard there. The shard has to hold it as committed: written from memory,
-// other controllers would read that it is done before that is so.
+// A job whose bitmap doesn't fit into a checkpoint commit is postponed to the next one, while the
+// commit rewrites its shard with other jobs. Guards against writing the postponed job's state from
+// memory: other controllers would then read that the job is done before that is committed.
 TEST(Controller, AShardHoldsAPostponedJobAsCommitted) {
   constexpr std::uint32_t kLarge = 100'000;
   constexpr std::uint32_t kPieces = (kLarge + kPieceBits - 1) / kPieceBits;
   constexpr std::size_t kOthers = 80;
   ControllerDriver driver(settings_without_peers());
-  // All tasks of the large job are done but one in each piece of its bitmap.
+  // All tasks of the large job are done, except for one in each piece of its bitmap.
   JobRecord large = started_job("job-1", kLarge);
   std::vector<TaskStatus> at_first, at_last;
   for (std::uint32_t i = 0; i < kLarge; ++i) {
@@ -88,11 +89,11 @@
 
   driver.heartbeat(heartbeat_of("m-1", 2, at_last));
   const auto& job = *driver.controller().tables().jobs.at("job-1");
-  ASSERT_EQ(job.record.phase, Phase::Done) << "in memory";
-  ASSERT_TRUE(job.dirty) << "the round took it all";
+  ASSERT_EQ(job.record.phase, Phase::Done) << "the job is not done in memory";
+  ASSERT_TRUE(job.dirty) << "one commit included the whole bitmap of job-1";
   Snapshot shard;
   shard.apply({shard_key(0), driver.kv_store().value_of(shard_key(0)), 1, false});
-  ASSERT_TRUE(shard.jobs.at("job-100").done.test(0)) << "the shard was not written";
+  ASSERT_TRUE(shard.jobs.at("job-100").done.test(0)) << "the commit did not write shard 0";
   EXPECT_EQ(shard.jobs.at("job-1").phase, Phase::Active);
   driver.run_for(3'000);
   EXPECT_EQ(driver.checkpoint().jobs.at("job-1").phase, Phase::Done);
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -1,6 +1,7 @@
-// Failovers that coincide with a second fault. Each scenario is named after its combination in
-// docs/fault-combinations.md, and runs with several seeds among the same mix of jobs, whose users
-// poll closely all the time. Afterwards nothing may be left waiting or unanswered.
+// Failovers that coincide with a second fault. Each scenario has the name by which
+// docs/fault-combinations.md lists it, and runs with several seeds and a mix of jobs whose users
+// poll closely all the time. Afterwards no rule may be broken, and nothing may be left waiting or
+// unanswered.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -49,7 +50,8 @@
     {"AReportIsHeldUntilANewLeaderHasActed",
      [](SimulatedRegion& w, std::uint64_t) {
        for (int round = 0; round < 3; ++round) {
-         // What the machines send to the leader arrives there long after its successor was elected.
+         // The machines' messages are held and reach the leader long after its successor is
+         // elected.
          const std::size_t old_leader = leader_of(w);
          for (const auto& m : busy_machines(w)) w.cut(node_name(old_leader), m, 15'000, true);
          w.cut(node_name(old_leader), kKvStoreHost, 15'000, true);
@@ -105,7 +107,7 @@
      [](SimulatedRegion& w, std::uint64_t) {
        w.delay_heartbeats(0.4, 60'000);
        for (int round = 0; round < 3; ++round) {
-         // Incarnations change as leases expire, attempts as tasks move.
+         // Incarnations change as leases expire, and attempts change as tasks are rescheduled.
          for (const auto& m : busy_machines(w))
            if (m.back() % 2 == 0) cut_off(w, m, 13'000, true);
          w.run_until(w.now() + 10'000);
--- a/tests/peer_table_test.cpp
+++ b/tests/peer_table_test.cpp
@@ -1,4 +1,4 @@
-// Unit tests of what a controller knows of its peers.
+// Unit tests of PeerTable and KeepAlivePermit.
 #include "controller/peer_table.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   EXPECT_TRUE(peers.take(0, newer, 1'000));
   EXPECT_FALSE(peers.take(0, heartbeat(1, 400), 1'010));
   EXPECT_EQ(peers.leader(1'020), 0U);
-  // Its successor's clock may well be behind.
+  // A new process may have a lower clock; its heartbeats are accepted nevertheless.
   EXPECT_TRUE(peers.take(0, heartbeat(2, 5), 1'030));
   EXPECT_FALSE(peers.leader(1'040).has_value());
 }
@@ -52,7 +52,7 @@
   EXPECT_FALSE(peers.all_understand_gangs());
   peers.take(1, said, 10);
   EXPECT_TRUE(peers.all_understand_gangs());
-  peers.take(1, heartbeat(9, 1), 20);  // it came back as it was before
+  peers.take(1, heartbeat(9, 1), 20);  // restarted with a version that doesn't support gangs
   EXPECT_FALSE(peers.all_understand_gangs());
 }
 
@@ -66,7 +66,8 @@
   EXPECT_EQ(peers.relays(20), std::vector<std::size_t>{2});
 }
 
-// A process that ended may have kept tasks alive until then, and for as long as it was allowed to.
+// After a peer's restart, its former process may have kept tasks alive until the restart without
+// having reported it. Guards against assuming too early that the workers' leases have expired.
 TEST(Peers, WhatAFormerProcessMayHaveKeptAliveIsReckonedWith) {
   PeerTable peers = table(1);
   ControllerHeartbeat first = heartbeat(1, 100);
@@ -79,7 +80,8 @@
   second.acknowledged_clock = 3'990;
   peers.take(0, second, 4'000);
   EXPECT_EQ(peers.latest_answer(4'010), 4'000);
-  // Lost since: it may go on for as long as its latest heartbeat allows.
+  // The peer is lost since then: it may keep tasks alive for as long as its latest heartbeat
+  // allows.
   EXPECT_EQ(peers.latest_answer(4'000 + kLease), 4'000 + with_drift(kKeepAlive));
 }
 
@@ -87,7 +89,7 @@
   KeepAlivePermit permit;
   EXPECT_FALSE(permit.valid(0, 0));
   permit.allow(3, 1'000);
-  permit.allow(3, 500);  // never shortened
+  permit.allow(3, 500);  // doesn't shorten the permit
   EXPECT_TRUE(permit.valid(3, 999));
   EXPECT_FALSE(permit.valid(3, 1'000));
   permit.allow(4, 800);
