--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -7,12 +7,12 @@
 namespace {
 /// The time between ticks: a twentieth of a worker's heartbeat interval, but at least 40 ms, as
 /// timers aren't more precise, and at most 200 ms.
-Time tick_ms(const Settings& s) {
-  return std::clamp<Time>(ms(s.workers.heartbeat_interval_s) / 20, 40, 200);
+Time tick_interval(const Settings& settings) {
+  return std::clamp<Time>(ms(settings.workers.heartbeat_interval_s) / 20, 40, 200);
 }
-/// A tick counts as late if it is delayed by one kLateTickShare-th of a heartbeat interval or more:
-/// users and workers wait that much longer for responses.
-constexpr Time kLateTickShare = 10;
+/// A tick counts as late if it is delayed by one kLateTickDivisor-th of a heartbeat interval or
+/// more: users and workers wait that much longer for responses.
+constexpr Time kLateTickDivisor = 10;
 }  // namespace
 
 Controller::Controller(Settings settings, Options options, std::uint64_t seed)
@@ -22,7 +22,7 @@
       outbox_(settings_, options_, clock_),
       tables_(settings_),
       quotas_(settings_, options_.federation, tables_),
-      event_loop_lag_(heartbeat_interval() / kLateTickShare, worker_lease()),
+      event_loop_lag_(heartbeat_interval() / kLateTickDivisor, worker_lease()),
       incarnation_((std::uint64_t{random_()} << 32) | random_() | 1),
       peers_(settings_.peers.size(), incarnation_, worker_lease(), keep_alive_span()),
       election_(settings_, options_, clock_, outbox_, peers_, random_, *this),
@@ -40,14 +40,14 @@
 
 void Controller::handle(const PeerMessageReceived& input) {
   if (input.message.kind == PeerMessage::Kind::Heartbeat)
-    peer_heartbeat(input.peer, input.message.heartbeat);
+    handle_peer_heartbeat(input.peer, input.message.heartbeat);
   else if (input.message.kind == PeerMessage::Kind::Response)
     handle_peer_response(input.peer, input.message.response);
 }
 
 // Requests that were forwarded over the lost link get no response, so they time out at once.
 void Controller::handle(const PeerDisconnected& input) {
-  peers_.lost(input.peer);
+  peers_.mark_disconnected(input.peer);
   for (auto& [call, forwarded] : forwarded_)
     if (forwarded.peer == input.peer) forwarded.until = clock_.now;
   intake_tick();
@@ -56,13 +56,13 @@
 // The order matters: leadership is updated first, then the state of machines. Whatever sends
 // commands comes last, and only under a valid lease.
 void Controller::tick() {
-  watch_event_loop_lag();
+  check_event_loop_lag();
   leadership_tick();
   intake_tick();
   if (election_.is_leader()) {
     reconcile();
     machine_tick();
-    inquire_tick();
+    probe_tick();
     if (holds_valid_lease(clock_.now)) {
       share_tick();
       review_gangs();
@@ -71,9 +71,9 @@
       migration_tick();
     }
   }
-  const Time next_tick = tick_ms(settings_);
-  event_loop_lag_.armed(clock_.now + next_tick);
-  outbox_.arm_timer(next_tick);
+  const Time interval = tick_interval(settings_);
+  event_loop_lag_.armed(clock_.now + interval);
+  outbox_.arm_timer(interval);
 }
 
 void Controller::leadership_tick() {
@@ -86,11 +86,11 @@
   election_.tick();
 }
 
-void Controller::campaign_begun() { restart_lookups(); }
+void Controller::campaign_begun() { requeue_lookups(); }
 
 // Responses to requests made under an earlier term are dropped, so lookups that wait for one are
 // queued again.
-void Controller::restart_lookups() {
+void Controller::requeue_lookups() {
   refreshing_ = false;
   lookups_.insert(lookups_.end(), lookups_served_.begin(), lookups_served_.end());
   lookups_served_.clear();
@@ -101,13 +101,13 @@
 void Controller::stepped_down(StepDownCause /*cause*/, bool led) {
   snapshot_ = Snapshot{};
   snapshot_loaded_ = false;
-  restart_lookups();
+  requeue_lookups();
   if (!led) return;
   // Workers that know no other leader are kept alive for as long as if this controller still led.
-  keep_alive_permit_.allow(election_.epoch(), election_.lease_expiry() + keep_alive_span());
+  keep_alive_permit_.extend(election_.epoch(), election_.lease_expiry() + keep_alive_span());
   checkpoint_.reset();
   for (const auto& [id, waits] : cancel_waits_)
-    for (const CancelWait& w : waits) outbox_.reject(w.source, RejectReason::LeadershipLost);
+    for (const CancelWait& wait : waits) outbox_.reject(wait.source, RejectReason::LeadershipLost);
   cancel_waits_.clear();
   scale_outs_.clear();
   termination_queue_.clear();
@@ -132,11 +132,11 @@
 
 // Logs a warning, at most once per worker lease, if most ticks are late: the processor is too slow
 // for the load that the settings describe.
-void Controller::watch_event_loop_lag() {
-  const auto late = event_loop_lag_.fired(clock_.now);
-  if (!late) return;
+void Controller::check_event_loop_lag() {
+  const auto summary = event_loop_lag_.fired(clock_.now);
+  if (!summary) return;
   outbox_.log(Log::Level::Warning, LogEvent::ProcessorLimit,
-              {{"limit", "cpu"}, {"late_ms", late->mean}, {"most_ms", late->most}});
+              {{"limit", "cpu"}, {"late_ms", summary->mean}, {"most_ms", summary->most}});
 }
 
 bool Controller::healthy(Time now) const {
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -77,7 +77,7 @@
   void handle(const PeerDisconnected& input);
   void handle(const RegionMessageReceived& input) { region_input(input); }
   void tick();
-  void watch_event_loop_lag();
+  void check_event_loop_lag();
   /// Responses that carry commands or job states must not be sent at or after this time.
   [[nodiscard]] Time command_until() const { return election_.lease_expiry(); }
   [[nodiscard]] Time heartbeat_interval() const {
@@ -89,10 +89,10 @@
   void campaign_begun() override;
   void stepped_down(StepDownCause cause, bool led) override;
   void lease_regained() override;
-  void restart_lookups();
+  void requeue_lookups();
 
   // controller_heartbeats.cpp
-  void peer_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat);
+  void handle_peer_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat);
   void send_heartbeats();
 
   // intake.cpp
@@ -139,18 +139,18 @@
 
   // reconciliation.cpp
   void elected() override;
-  void load(const std::string& from, std::uint64_t revision);
+  void load_checkpoint(const std::string& start_key, std::uint64_t revision);
   void begin_reconciliation();
-  void note_unreadable(const Snapshot& image);
-  void load_scale_outs(const Snapshot& image);
-  void load_jobs(Snapshot& image);
+  void record_unreadable_values(const Snapshot& checkpoint);
+  void load_scale_outs(const Snapshot& checkpoint);
+  void load_jobs(Snapshot& checkpoint);
   void load_job(JobRecord record);
-  void load_machines(const Snapshot& image);
+  void load_machines(const Snapshot& checkpoint);
   void reconcile();
-  void inquire(Machine& m);
-  void inquire_if_due(Machine& m);
-  [[nodiscard]] bool awaits_reconciliation(const Machine& m) const;
-  void inquire_tick();
+  void probe_machine(Machine& target);
+  void inquire_if_due(Machine& machine);
+  [[nodiscard]] bool awaits_reconciliation(const Machine& machine) const;
+  void probe_tick();
 
   // heartbeat_handler.cpp
   void handle_heartbeat(const HeartbeatReceived& input);
@@ -217,15 +217,15 @@
 
   // keepalive.cpp
   [[nodiscard]] Time keep_alive_span() const;
-  [[nodiscard]] Time expiry(const Machine& m) const;
-  void forward_heartbeat(const HeartbeatReceived& in);
-  bool redirect_to_own_zone(const HeartbeatReceived& in);
+  [[nodiscard]] Time expiry(const Machine& machine) const;
+  void forward_heartbeat(const HeartbeatReceived& input);
+  bool redirect_to_own_zone(const HeartbeatReceived& input);
   [[nodiscard]] std::optional<std::size_t> peer_in_zone(const std::string& zone);
   [[nodiscard]] bool was_redirected(const std::string& machine, Time within) const;
   void redirect_worker(const RequestSource& source, const std::string& machine, std::size_t peer);
   void keep_alive(const RequestSource& source, const std::string& machine,
                   std::uint64_t fencing_token, bool may_redirect);
-  [[nodiscard]] std::size_t node_before() const;
+  [[nodiscard]] std::size_t preceding_peer() const;
 
   // placement.cpp
   /// What a machine must provide to run a task, independent of where the job's other tasks run.
@@ -485,8 +485,8 @@
 
   // keeping workers' tasks alive without a leader
   KeepAlivePermit keep_alive_permit_;
-  Time next_redirect_tidy_ = 0;   // next time old entries of `redirected_at_` are removed
-  Time kept_alive_at_ = -kNever;  // last time this controller renewed a worker's lease by itself
+  Time next_redirect_cleanup_ = 0;  // next time old entries of `redirected_at_` are removed
+  Time kept_alive_at_ = -kNever;    // last time this controller renewed a worker's lease by itself
   Time last_worker_heartbeat_ = -kNever;  // last one that a worker sent directly to this controller
   /// When each machine's worker was last redirected, by machine name.
   std::unordered_map<std::string, Time> redirected_at_;
@@ -507,7 +507,7 @@
   std::map<std::uint64_t, Forwarded> forwarded_;
   std::uint64_t next_forward_ = 1;
   /// The checkpoint as a follower reads it for queries, and as a new leader is loading it.
-  Snapshot snapshot_, loading_;
+  Snapshot snapshot_, loading_snapshot_;
   bool snapshot_loaded_ = false;
   std::uint64_t snapshot_revision_ = 0;
   Time snapshot_read_at_ = 0;
@@ -532,7 +532,8 @@
 
   // reconciliation
   bool reconciling_ = false;
-  Time fence_at_ = 0;  // by then, every task that a former leader kept alive has ended
+  /// By then, every task that a former leader kept alive has ended.
+  Time former_leases_expire_at_ = 0;
   std::uint64_t next_attempt_ = 1;
   /// Whether checkpoint values that hold jobs or machines could not be read: jobs or machines that
   /// are not in the tables may exist nevertheless.
--- a/src/controller/controller_heartbeats.cpp
+++ b/src/controller/controller_heartbeats.cpp
@@ -6,38 +6,41 @@
 
 namespace sailreel {
 
-void Controller::peer_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat) {
-  if (!peers_.take(peer, heartbeat, clock_.now)) return;
+void Controller::handle_peer_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat) {
+  if (!peers_.process_heartbeat(peer, heartbeat, clock_.now)) return;
   if (heartbeat.leading && heartbeat.acknowledged_incarnation == incarnation_)
-    keep_alive_permit_.allow(heartbeat.epoch,
-                             heartbeat.acknowledged_clock + Time{heartbeat.keep_ms});
+    keep_alive_permit_.extend(heartbeat.epoch,
+                              heartbeat.acknowledged_clock + Time{heartbeat.keep_ms});
   election_.note_epoch(heartbeat.epoch, heartbeat.leading);
 }
 
 void Controller::send_heartbeats() {
   const Time now = clock_.now;
   next_heartbeat_ = now + worker_lease() / 30;
-  PeerMessage m;
-  m.kind = PeerMessage::Kind::Heartbeat;
-  ControllerHeartbeat& b = m.heartbeat;
-  b.node = settings_.name;
-  b.epoch = election_.epoch();
-  b.leading = holds_valid_lease(now);
-  b.hears_leader = peers_.leader(now).has_value();
-  b.holding = election_.is_leader() && now < election_.lease_expiry() + keep_alive_span();
-  b.hears_workers = now - last_worker_heartbeat_ < silent_after();
-  b.understands_gangs = true;
-  b.shares_limits = quotas_.shared();
-  b.incarnation = incarnation_;
-  b.clock = now;
+  PeerMessage message;
+  message.kind = PeerMessage::Kind::Heartbeat;
+  ControllerHeartbeat& heartbeat = message.heartbeat;
+  heartbeat.node = settings_.name;
+  heartbeat.epoch = election_.epoch();
+  heartbeat.leading = holds_valid_lease(now);
+  heartbeat.hears_leader = peers_.leader(now).has_value();
+  heartbeat.holding = election_.is_leader() && now < election_.lease_expiry() + keep_alive_span();
+  heartbeat.hears_workers = now - last_worker_heartbeat_ < silent_after();
+  heartbeat.understands_gangs = true;
+  heartbeat.shares_limits = quotas_.shared();
+  heartbeat.incarnation = incarnation_;
+  heartbeat.clock = now;
   if (kept_alive_at_ >= 0)
-    b.kept_alive_ms = static_cast<std::uint32_t>(std::min<Time>(now - kept_alive_at_, UINT32_MAX));
-  for (std::size_t i = 0; i < settings_.peers.size(); ++i) {
-    const PeerView& v = peers_[i];
-    b.acknowledged_incarnation = v.incarnation;
-    b.acknowledged_clock = v.clock;
-    b.keep_ms = b.leading && v.incarnation != 0 ? static_cast<std::uint32_t>(keep_alive_span()) : 0;
-    outbox_.send_to_peer(i, m);
+    heartbeat.kept_alive_ms =
+        static_cast<std::uint32_t>(std::min<Time>(now - kept_alive_at_, UINT32_MAX));
+  for (std::size_t peer = 0; peer < settings_.peers.size(); ++peer) {
+    const PeerView& peer_view = peers_[peer];
+    heartbeat.acknowledged_incarnation = peer_view.incarnation;
+    heartbeat.acknowledged_clock = peer_view.clock;
+    heartbeat.keep_ms = heartbeat.leading && peer_view.incarnation != 0
+                            ? static_cast<std::uint32_t>(keep_alive_span())
+                            : 0;
+    outbox_.send_to_peer(peer, message);
   }
 }
 
--- a/src/controller/event_loop_lag.hpp
+++ b/src/controller/event_loop_lag.hpp
@@ -19,9 +19,10 @@
     Time mean = 0, most = 0;
   };
 
-  /// A firing counts as late if it comes `limit` or more after it was due. Each window lasts at
-  /// least `window`.
-  EventLoopLag(Time limit, Time window) : limit_(limit), window_(window) {}
+  /// A firing counts as late if it comes `late_limit` or more after it was due. Each window lasts
+  /// at least `window_length`.
+  EventLoopLag(Time late_limit, Time window_length)
+      : late_limit_(late_limit), window_length_(window_length) {}
 
   /// Records that the timer has been armed to fire at `due`.
   void armed(Time due) { due_ = due; }
@@ -30,38 +31,38 @@
   /// one firing, and more than half of them, were late.
   std::optional<LagSummary> fired(Time now) {
     if (!due_) return {};
-    count(std::max<Time>(0, now - *due_));
+    count_firing(std::max<Time>(0, now - *due_));
     due_.reset();
-    if (window_end_ == 0) window_end_ = now + window_;
+    if (window_end_ == 0) window_end_ = now + window_length_;
     if (now < window_end_) return {};
     return end_window(now);
   }
 
  private:
-  void count(Time late) {
+  void count_firing(Time lag) {
     ++firings_;
-    if (late < limit_) return;
+    if (lag < late_limit_) return;
     ++late_firings_;
-    sum_ += late;
-    most_ = std::max(most_, late);
+    total_lag_ += lag;
+    max_lag_ = std::max(max_lag_, lag);
   }
 
   std::optional<LagSummary> end_window(Time now) {
     // A single late firing may be one long pause, so it isn't reported.
     std::optional<LagSummary> summary;
     if (late_firings_ > 1 && late_firings_ * 2 > firings_)
-      summary = LagSummary{sum_ / static_cast<Time>(late_firings_), most_};
+      summary = LagSummary{total_lag_ / static_cast<Time>(late_firings_), max_lag_};
     firings_ = late_firings_ = 0;
-    sum_ = most_ = 0;
-    window_end_ = now + window_;
+    total_lag_ = max_lag_ = 0;
+    window_end_ = now + window_length_;
     return summary;
   }
 
-  Time limit_, window_;
+  Time late_limit_, window_length_;
   std::optional<Time> due_;
   Time window_end_ = 0;
   std::size_t firings_ = 0, late_firings_ = 0;
-  Time sum_ = 0, most_ = 0;  // lag of the late firings
+  Time total_lag_ = 0, max_lag_ = 0;  // lag of the late firings
 };
 
 }  // namespace sailreel
--- a/src/controller/peer_table.cpp
+++ b/src/controller/peer_table.cpp
@@ -4,32 +4,34 @@
 
 namespace sailreel {
 
-bool PeerTable::take(std::size_t peer, const ControllerHeartbeat& heartbeat, Time now) {
-  PeerView& v = views_[peer];
-  if (heartbeat.incarnation != v.incarnation) {
+bool PeerTable::process_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat,
+                                  Time now) {
+  PeerView& view = views_[peer];
+  if (heartbeat.incarnation != view.incarnation) {
     // The new incarnation's heartbeats don't report when the former one kept tasks alive, so the
     // former one is assumed to have done so until the keep-alive span after its latest heartbeat,
     // but not beyond now.
-    if (v.incarnation != 0)
-      v.kept_alive_at =
-          std::max(v.kept_alive_at, std::min(now, v.last_heartbeat + keep_alive_span_));
-    v.incarnation = heartbeat.incarnation;
-  } else if (heartbeat.clock < v.clock) {
+    if (view.incarnation != 0)
+      view.kept_alive_at =
+          std::max(view.kept_alive_at, std::min(now, view.last_heartbeat + keep_alive_span_));
+    view.incarnation = heartbeat.incarnation;
+  } else if (heartbeat.clock < view.clock) {
     return false;  // delayed on another connection
   }
-  v.clock = heartbeat.clock;
-  v.last_heartbeat = now;
-  v.leading = heartbeat.leading;
-  v.epoch = heartbeat.epoch;
-  v.hears_leader = heartbeat.hears_leader;
-  v.holding = heartbeat.holding;
-  v.hears_workers = heartbeat.hears_workers;
-  v.understands_gangs = heartbeat.understands_gangs;
-  v.shares_limits = heartbeat.shares_limits;
+  view.clock = heartbeat.clock;
+  view.last_heartbeat = now;
+  view.leading = heartbeat.leading;
+  view.epoch = heartbeat.epoch;
+  view.hears_leader = heartbeat.hears_leader;
+  view.holding = heartbeat.holding;
+  view.hears_workers = heartbeat.hears_workers;
+  view.understands_gangs = heartbeat.understands_gangs;
+  view.shares_limits = heartbeat.shares_limits;
   if (heartbeat.kept_alive_ms)
-    v.kept_alive_at = std::max(v.kept_alive_at, now - Time{*heartbeat.kept_alive_ms});
+    view.kept_alive_at = std::max(view.kept_alive_at, now - Time{*heartbeat.kept_alive_ms});
   if (heartbeat.acknowledged_incarnation == own_incarnation_)
-    v.echo_at = std::max(v.echo_at, Time{heartbeat.acknowledged_clock});
+    view.acknowledged_sent_at =
+        std::max(view.acknowledged_sent_at, Time{heartbeat.acknowledged_clock});
   return true;
 }
 
@@ -38,57 +40,58 @@
 }
 
 bool PeerTable::reaches_leader(std::size_t peer, Time now) const {
-  const PeerView& v = views_[peer];
-  return in_contact(peer, now) && (v.leading || v.hears_leader);
+  const PeerView& view = views_[peer];
+  return in_contact(peer, now) && (view.leading || view.hears_leader);
 }
 
 std::optional<std::size_t> PeerTable::leader(Time now) const {
   std::optional<std::size_t> best;
-  for (std::size_t i = 0; i < views_.size(); ++i)
-    if (views_[i].leading && in_contact(i, now) && (!best || views_[i].epoch > views_[*best].epoch))
-      best = i;
+  for (std::size_t peer = 0; peer < views_.size(); ++peer)
+    if (views_[peer].leading && in_contact(peer, now) &&
+        (!best || views_[peer].epoch > views_[*best].epoch))
+      best = peer;
   return best;
 }
 
-std::optional<std::size_t> PeerTable::holding(Time now) const {
-  for (std::size_t i = 0; i < views_.size(); ++i)
-    if (views_[i].holding && in_contact(i, now)) return i;
+std::optional<std::size_t> PeerTable::leader_answering_heartbeats(Time now) const {
+  for (std::size_t peer = 0; peer < views_.size(); ++peer)
+    if (views_[peer].holding && in_contact(peer, now)) return peer;
   return {};
 }
 
 std::vector<std::size_t> PeerTable::relays(Time now) const {
-  std::vector<std::size_t> out;
-  for (std::size_t i = 0; i < views_.size(); ++i)
-    if (in_contact(i, now) && views_[i].hears_leader && views_[i].understands_gangs)
-      out.push_back(i);
-  return out;
+  std::vector<std::size_t> relay_peers;
+  for (std::size_t peer = 0; peer < views_.size(); ++peer)
+    if (in_contact(peer, now) && views_[peer].hears_leader && views_[peer].understands_gangs)
+      relay_peers.push_back(peer);
+  return relay_peers;
 }
 
 bool PeerTable::all_share_limits() const {
   return std::all_of(views_.begin(), views_.end(),
-                     [](const PeerView& v) { return v.shares_limits; });
+                     [](const PeerView& view) { return view.shares_limits; });
 }
 
 bool PeerTable::all_understand_gangs() const {
   return std::all_of(views_.begin(), views_.end(),
-                     [](const PeerView& v) { return v.understands_gangs; });
+                     [](const PeerView& view) { return view.understands_gangs; });
 }
 
-// A peer that acknowledged a heartbeat of this controller within the contact span has reported when
-// it last answered a worker by itself. A peer that has lost contact may do so until the keep-alive
-// span after its latest heartbeat has passed.
-Time PeerTable::latest_answer(Time now) const {
+// A peer that acknowledged a heartbeat of this controller within the acknowledgement timeout has
+// reported when it last answered a worker by itself. A peer that has lost contact may do so until
+// the keep-alive span after its latest heartbeat has passed.
+Time PeerTable::latest_possible_keep_alive(Time now) const {
   Time latest = -kNever;
-  for (const PeerView& v : views_) {
-    if (v.incarnation == 0) continue;
-    latest = std::max(latest, v.kept_alive_at);
-    if (now - v.echo_at > contact_span())
-      latest = std::max(latest, v.last_heartbeat + with_drift(keep_alive_span_));
+  for (const PeerView& view : views_) {
+    if (view.incarnation == 0) continue;
+    latest = std::max(latest, view.kept_alive_at);
+    if (now - view.acknowledged_sent_at > acknowledgement_timeout())
+      latest = std::max(latest, view.last_heartbeat + with_clock_drift(keep_alive_span_));
   }
   return latest;
 }
 
-void KeepAlivePermit::allow(std::uint64_t epoch, Time until) {
+void KeepAlivePermit::extend(std::uint64_t epoch, Time until) {
   if (epoch < epoch_) return;
   if (epoch > epoch_) until_ = 0;
   epoch_ = epoch;
--- a/src/controller/peer_table.hpp
+++ b/src/controller/peer_table.hpp
@@ -14,7 +14,7 @@
 
 /// Returns the longest time (ms) that may pass on this machine's clock while `span` (ms) passes on
 /// another machine's: clocks may differ in rate by 1 in 500, and 50 ms are added as a margin.
-constexpr Time with_drift(Time span) { return span + span / 500 + 50; }
+constexpr Time with_clock_drift(Time span) { return span + span / 500 + 50; }
 
 /// The state of one of the other controllers, as of its latest heartbeat. Times are in ms, on this
 /// controller's clock unless stated otherwise.
@@ -27,7 +27,7 @@
   std::uint64_t incarnation = 0;  // 0: no heartbeat received yet
   Time clock = 0;                 // the peer's own clock when it sent its latest heartbeat
   /// When this controller sent the latest of its own heartbeats that the peer has acknowledged.
-  Time echo_at = -kNever;
+  Time acknowledged_sent_at = -kNever;
   /// The latest time at which the peer kept tasks alive by itself, as it reported or, for a former
   /// process of the peer, as it may have done.
   Time kept_alive_at = -kNever;
@@ -47,11 +47,11 @@
         keep_alive_span_(keep_alive_span) {}
 
   /// Processes a heartbeat. Returns false, and ignores it, if it is older than one received before.
-  bool take(std::size_t peer, const ControllerHeartbeat& heartbeat, Time now);
+  bool process_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat, Time now);
   /// Records that the link to the peer is lost: the peer is no longer assumed to lead.
-  void lost(std::size_t peer) { views_[peer].leading = false; }
+  void mark_disconnected(std::size_t peer) { views_[peer].leading = false; }
   /// Records that a worker was redirected to the peer although the peer hears no worker.
-  void tried(std::size_t peer, Time now) { views_[peer].tried_at = now; }
+  void mark_tried(std::size_t peer, Time now) { views_[peer].tried_at = now; }
 
   [[nodiscard]] std::size_t size() const { return views_.size(); }
   [[nodiscard]] const PeerView& operator[](std::size_t peer) const { return views_[peer]; }
@@ -60,7 +60,7 @@
 
   /// In ms. Controllers send heartbeats a thirtieth of a worker's lease apart. A peer whose latest
   /// acknowledged heartbeat is older than this span may have lost contact with this controller.
-  [[nodiscard]] Time contact_span() const { return worker_lease_ / 10; }
+  [[nodiscard]] Time acknowledgement_timeout() const { return worker_lease_ / 10; }
   /// Whether a heartbeat of the peer was received within the last eighth of a worker's lease.
   [[nodiscard]] bool in_contact(std::size_t peer, Time now) const;
   /// Whether the peer is in contact, and leads or hears the leader.
@@ -70,7 +70,7 @@
   [[nodiscard]] std::optional<std::size_t> leader(Time now) const;
   /// Returns a peer in contact that is the leader, although its lease may have expired, and that
   /// still answers workers' heartbeats; empty if there is none.
-  [[nodiscard]] std::optional<std::size_t> holding(Time now) const;
+  [[nodiscard]] std::optional<std::size_t> leader_answering_heartbeats(Time now) const;
   /// Returns the peers in contact that can forward a request to the leader: they hear the leader,
   /// and their version supports such requests.
   [[nodiscard]] std::vector<std::size_t> relays(Time now) const;
@@ -81,7 +81,7 @@
   [[nodiscard]] bool all_share_limits() const;
   /// Returns the latest time (ms) at which any peer may have answered a worker's heartbeat by
   /// itself.
-  [[nodiscard]] Time latest_answer(Time now) const;
+  [[nodiscard]] Time latest_possible_keep_alive(Time now) const;
 
  private:
   std::vector<PeerView> views_;
@@ -95,7 +95,7 @@
  public:
   /// Extends the permit until `until` (ms), never shortening it. A later epoch replaces the permit
   /// of an earlier one; an earlier epoch than the present one is ignored.
-  void allow(std::uint64_t epoch, Time until);
+  void extend(std::uint64_t epoch, Time until);
   [[nodiscard]] bool valid(std::uint64_t fencing_token, Time now) const {
     return now < until_ && fencing_token == epoch_;
   }
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -8,11 +8,11 @@
 namespace sailreel {
 namespace {
 /// Merges separately stored pieces of the bitmaps of completed tasks into the jobs' records.
-void merge_pieces(Snapshot& image, const Snapshot::Pieces& pieces, std::size_t piece_bits) {
-  for (const auto& [key, digits] : pieces) {
-    const auto it = image.jobs.find(key.first);
-    if (it == image.jobs.end() || it->second.done.size() == 0) continue;
-    it->second.done.merge_hex(key.second * piece_bits, digits);
+void merge_pieces(Snapshot& checkpoint, const Snapshot::Pieces& pieces, std::size_t piece_bits) {
+  for (const auto& [key, hex_digits] : pieces) {
+    const auto job = checkpoint.jobs.find(key.first);
+    if (job == checkpoint.jobs.end() || job->second.done.size() == 0) continue;
+    job->second.done.merge_hex(key.second * piece_bits, hex_digits);
   }
 }
 }  // namespace
@@ -20,29 +20,30 @@
 void Controller::elected() {
   snapshot_ = Snapshot{};
   snapshot_loaded_ = false;
-  loading_ = Snapshot{};
-  load("", 0);
+  loading_snapshot_ = Snapshot{};
+  load_checkpoint("", 0);
 }
 
 // Reads the whole checkpoint page by page. No other controller can change it: every write is
 // conditional on the epoch, which belongs to this leader now.
-void Controller::load(const std::string& from, std::uint64_t revision) {
+void Controller::load_checkpoint(const std::string& start_key, std::uint64_t revision) {
   const std::uint64_t term = election_.term();
   KvRequest list;
   list.kind = KvRequest::Kind::List;
   list.key = kPrefix;
-  list.from = from;
+  list.from = start_key;
   outbox_.call_kv_store(
       list,
-      [this, term, from, revision](const KvResponse& r) {
+      [this, term, start_key, revision](const KvResponse& response) {
         if (term != election_.term()) return;
-        if (r.status != 200) {
+        if (response.status != 200) {
           if (clock_.now >= election_.lease_expiry())
             return election_.step_down(StepDownCause::CheckpointTimeout);
-          return load(from, revision);
+          return load_checkpoint(start_key, revision);
         }
-        for (const KvItem& item : r.items) loading_.apply(item);
-        if (r.more && !r.items.empty()) return load(r.items.back().key, r.revision);
+        for (const KvItem& item : response.items) loading_snapshot_.apply(item);
+        if (response.more && !response.items.empty())
+          return load_checkpoint(response.items.back().key, response.revision);
         begin_reconciliation();
       },
       KvUrgency::Urgent);
@@ -51,23 +52,24 @@
 void Controller::begin_reconciliation() {
   election_.checkpoint_loaded();
   const Time now = clock_.now;
-  fence_at_ = election_.elected_at() + with_drift(keep_alive_span() + worker_lease());
+  former_leases_expire_at_ =
+      election_.elected_at() + with_clock_drift(keep_alive_span() + worker_lease());
   reconciling_ = true;
   next_attempt_ = 1;
   next_scale_out_ = 1;
-  Snapshot image = std::exchange(loading_, Snapshot{});
-  note_unreadable(image);
-  if (image.unreadable.contains(kManifestKey) || image.unreadable.contains(kEpochKey)) {
+  Snapshot checkpoint = std::exchange(loading_snapshot_, Snapshot{});
+  record_unreadable_values(checkpoint);
+  if (checkpoint.unreadable.contains(kManifestKey) || checkpoint.unreadable.contains(kEpochKey)) {
     // The lease isn't expired early: workers that know no other leader are kept alive as if this
     // controller had led until its lease expired.
     return election_.resign(StepDownCause::ManifestUnreadable, {.expire_now = false});
   }
   tables_.clear();
-  checkpoint_.load(image);
-  load_jobs(image);
-  load_scale_outs(image);
-  load_machines(image);
-  if (!quotas_.load(image, election_.epoch(), now))
+  checkpoint_.load(checkpoint);
+  load_jobs(checkpoint);
+  load_scale_outs(checkpoint);
+  load_machines(checkpoint);
+  if (!quotas_.load(checkpoint, election_.epoch(), now))
     outbox_.log(Log::Level::Error, LogEvent::SharesWithoutOptions);
   terminated_.clear();
   capacity_checked_ = false;
@@ -78,18 +80,18 @@
                {"machines", tables_.machines.size()},
                {"seq", checkpoint_.manifest_seq()},
                {"after_ms", now - election_.elected_at()},
-               {"fence_ms", fence_at_ - now}});
+               {"fence_ms", former_leases_expire_at_ - now}});
   send_heartbeats();
   reconcile();
-  inquire_tick();
+  probe_tick();
 }
 
 // The content of an unreadable value is unknown, which is not the same as missing: requests for
 // jobs that may be in it get 503, and the value is not overwritten.
-void Controller::note_unreadable(const Snapshot& image) {
+void Controller::record_unreadable_values(const Snapshot& checkpoint) {
   unknown_jobs_ = false;
   unknown_machines_ = false;
-  for (const std::string& key : image.unreadable) {
+  for (const std::string& key : checkpoint.unreadable) {
     outbox_.log(Log::Level::Error, LogEvent::CheckpointUnreadable, {{"key", key}});
     unknown_machines_ = unknown_machines_ || key.starts_with(kMachinesPrefix);
     unknown_jobs_ = unknown_jobs_ || key.starts_with(kShardPrefix);
@@ -98,18 +100,18 @@
 
 // Scale-out requests that exceed what the manifest may hold, as after the limits were lowered, are
 // dropped: their machines are found by the cloud's list and by their heartbeats.
-void Controller::load_scale_outs(const Snapshot& image) {
-  for (const ScaleOutRequest& scale_out : image.manifest.scale_outs)
+void Controller::load_scale_outs(const Snapshot& checkpoint) {
+  for (const ScaleOutRequest& scale_out : checkpoint.manifest.scale_outs)
     if (checkpoint_.scale_out_fits(scale_out))
       scale_outs_[scale_out.request] = {scale_out, true, false, clock_.now, clock_.now};
 }
 
-void Controller::load_jobs(Snapshot& image) {
-  merge_pieces(image, image.pieces, kPieceBits);
-  merge_pieces(image, image.small_pieces, kSmallPieceBits);
+void Controller::load_jobs(Snapshot& checkpoint) {
+  merge_pieces(checkpoint, checkpoint.pieces, kPieceBits);
+  merge_pieces(checkpoint, checkpoint.small_pieces, kSmallPieceBits);
   // Jobs are added in the order of submission, which is their order in their team's queue.
   std::vector<JobRecord*> records;
-  for (auto& [id, record] : image.jobs) {
+  for (auto& [id, record] : checkpoint.jobs) {
     if (record.final)
       tables_.finished[id] = {record.phase, record.spec.tasks, record.seq};
     else
@@ -120,9 +122,9 @@
            std::pair(b->submitted_wall_ms, b->spec.id);
   });
   for (JobRecord* record : records) load_job(std::move(*record));
-  for (const auto& [key, digits] : image.pieces)
+  for (const auto& [key, digits] : checkpoint.pieces)
     if (Job* job = tables_.job(key.first)) job->has_pieces = true;
-  for (const auto& [key, digits] : image.small_pieces)
+  for (const auto& [key, digits] : checkpoint.small_pieces)
     if (Job* job = tables_.job(key.first)) job->has_small_pieces = true;
 }
 
@@ -168,9 +170,9 @@
   const Time now = clock_.now;
   std::vector<Machine*> missing;
   std::size_t recorded = 0;
-  for (auto& [name, m] : tables_.machines) {
-    recorded += m->recorded ? 1 : 0;
-    if (awaits_reconciliation(*m)) missing.push_back(m.get());
+  for (auto& [name, machine] : tables_.machines) {
+    recorded += machine->recorded ? 1 : 0;
+    if (awaits_reconciliation(*machine)) missing.push_back(machine.get());
   }
   // A machine that died together with the former leader would delay reconciliation for longer than
   // its lease (22 s in one incident). Terminating it proves that its tasks are gone.
@@ -178,19 +180,19 @@
   // A machine that the former leader terminated without recording it would cause the same delay.
   // The cloud no longer lists it, so its zone is unknown.
   if (now - election_.elected_at() > silent_after() && few_silent(missing.size(), recorded))
-    for (Machine* m : missing)
-      if (m->zone.empty() && m->probe_failures >= 2)
-        terminate_instance(*m, TerminationCause::SilentSinceFailover);
+    for (Machine* machine : missing)
+      if (machine->zone.empty() && machine->probe_failures >= 2)
+        terminate_instance(*machine, TerminationCause::SilentSinceFailover);
   if (!missing.empty()) return;
   // Machines recorded in an unreadable value can't be probed, but their leases expire by then.
-  if (unknown_machines_ && now < fence_at_) return;
+  if (unknown_machines_ && now < former_leases_expire_at_) return;
   reconciling_ = false;
   // Tasks of machines that weren't heard can be rescheduled from now on, as these machines' leases
   // have expired.
   std::size_t unheard = 0;
-  for (auto& [name, m] : tables_.machines) {
-    if (!m->recorded || m->heard_in_epoch) continue;
-    m->incarnation_fence.close_unheard(now);
+  for (auto& [name, machine] : tables_.machines) {
+    if (!machine->recorded || machine->heard_in_epoch) continue;
+    machine->incarnation_fence.close_unheard(now);
     ++unheard;
   }
   for (auto& [id, job] : tables_.jobs) {
@@ -205,43 +207,44 @@
 
 // Returns whether the machine may run tasks of a former leader and hasn't been heard under this
 // leader's fencing token.
-bool Controller::awaits_reconciliation(const Machine& m) const {
-  return m.recorded && !m.heard_in_epoch && !m.lease_passed && clock_.now < expiry(m);
+bool Controller::awaits_reconciliation(const Machine& machine) const {
+  return machine.recorded && !machine.heard_in_epoch && !machine.lease_passed &&
+         clock_.now < expiry(machine);
 }
 
 // Probes machines that aren't heard, in the order in which they became due: there may be fewer
 // sockets than machines that don't respond. In the order of their names, or with those awaited by
 // reconciliation before the others, the last ones would never be probed.
-void Controller::inquire_tick() {
+void Controller::probe_tick() {
   if (!holds_valid_lease(clock_.now)) return;
   std::vector<Machine*> unheard;
-  for (auto& [name, m] : tables_.machines) {
-    const bool awaited = reconciling_ && awaits_reconciliation(*m);
-    const bool silent =
-        m->heard_in_epoch && m->silent && !m->terminating && clock_.now < expiry(*m);
-    if (awaited || silent) unheard.push_back(m.get());
+  for (auto& [name, machine] : tables_.machines) {
+    const bool awaited = reconciling_ && awaits_reconciliation(*machine);
+    const bool silent = machine->heard_in_epoch && machine->silent && !machine->terminating &&
+                        clock_.now < expiry(*machine);
+    if (awaited || silent) unheard.push_back(machine.get());
   }
   std::stable_sort(unheard.begin(), unheard.end(),
                    [](const Machine* a, const Machine* b) { return a->probe_at < b->probe_at; });
-  for (Machine* m : unheard) inquire_if_due(*m);
+  for (Machine* machine : unheard) inquire_if_due(*machine);
 }
 
-void Controller::inquire_if_due(Machine& m) {
-  if (!m.probing && clock_.now >= m.probe_at) inquire(m);
+void Controller::inquire_if_due(Machine& machine) {
+  if (!machine.probing && clock_.now >= machine.probe_at) probe_machine(machine);
 }
 
 // Sends a probe: a direct request that tells the worker this leader's fencing token and fetches its
 // status. It carries no commands, so it is harmless however late it arrives.
-void Controller::inquire(Machine& m) {
+void Controller::probe_machine(Machine& target) {
   // Without a free socket, the probe waits for a later tick. It must not count as failed: with more
   // machines than sockets, that made a failover a second longer.
-  if (m.address.empty() || outbox_.worker_calls_full()) return;
-  m.probing = true;
-  const std::string name = m.name;
+  if (target.address.empty() || outbox_.worker_calls_full()) return;
+  target.probing = true;
+  const std::string name = target.name;
   const Time sent = clock_.now;
   outbox_.call_worker(
-      m.address, encode_direct(election_.epoch(), m.probe_incarnation, {}), command_until(),
-      [this, name, sent](int status, const std::optional<Heartbeat>& heartbeat) {
+      target.address, encode_direct(election_.epoch(), target.probe_incarnation, {}),
+      command_until(), [this, name, sent](int status, const std::optional<Heartbeat>& heartbeat) {
         Machine* machine = tables_.machine(name);
         if (machine == nullptr) return;
         machine->probing = false;
@@ -260,7 +263,7 @@
           apply_heartbeat(*heartbeat, sent);
         } else if (status == 409 && machine->probe_incarnation != heartbeat->incarnation) {
           machine->probe_incarnation = heartbeat->incarnation;
-          inquire(*machine);
+          probe_machine(*machine);
         }
       });
 }
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -52,42 +52,42 @@
 // commit rewrites its shard with other jobs. Guards against writing the postponed job's state from
 // memory: other controllers would then read that the job is done before that is committed.
 TEST(Controller, AShardHoldsAPostponedJobAsCommitted) {
-  constexpr std::uint32_t kLarge = 100'000;
-  constexpr std::uint32_t kPieces = (kLarge + kPieceBits - 1) / kPieceBits;
-  constexpr std::size_t kOthers = 80;
+  constexpr std::uint32_t kLargeJobTasks = 100'000;
+  constexpr std::uint32_t kBitmapPieces = (kLargeJobTasks + kPieceBits - 1) / kPieceBits;
+  constexpr std::size_t kOtherJobs = 80;
   ControllerDriver driver(settings_without_peers());
   // All tasks of the large job are done, except for one in each piece of its bitmap.
-  JobRecord large = started_job("job-1", kLarge);
-  std::vector<TaskStatus> at_first, at_last;
-  for (std::uint32_t i = 0; i < kLarge; ++i) {
+  JobRecord large_job = started_job("job-1", kLargeJobTasks);
+  std::vector<TaskStatus> first_statuses, last_statuses;
+  for (std::uint32_t i = 0; i < kLargeJobTasks; ++i) {
     if (i % kPieceBits != 0) {
-      large.done.set(i);
+      large_job.done.set(i);
       continue;
     }
-    at_first.push_back(running("job-1", i));
-    at_last.push_back(completed("job-1", i));
+    first_statuses.push_back(running("job-1", i));
+    last_statuses.push_back(completed("job-1", i));
   }
-  ASSERT_EQ(at_first.size(), kPieces);
-  for (std::size_t piece = 0; piece < kPieces; ++piece)
+  ASSERT_EQ(first_statuses.size(), kBitmapPieces);
+  for (std::size_t piece = 0; piece < kBitmapPieces; ++piece)
     driver.write(bitmap_key("job-1", piece),
-                 "{\"h\":\"" + large.done.hex(piece * kPieceBits, kPieceBits) + "\"}");
+                 "{\"h\":\"" + large_job.done.hex(piece * kPieceBits, kPieceBits) + "\"}");
   std::map<std::size_t, std::vector<std::string>> shards;
-  shards[0].push_back(encode_record(large));
-  for (std::size_t n = 0; n < kOthers; ++n) {
+  shards[0].push_back(encode_record(large_job));
+  for (std::size_t n = 0; n < kOtherJobs; ++n) {
     const std::string id = job_id(100 + n);
     shards[n / 20].push_back(encode_record(started_job(id, 2)));
-    at_first.push_back(running(id, 0));
-    at_last.push_back(completed(id, 0));
+    first_statuses.push_back(running(id, 0));
+    last_statuses.push_back(completed(id, 0));
   }
   for (const auto& [shard, records] : shards) driver.write(shard_key(shard), encode_shard(records));
   driver.write(kManifestKey, encode_manifest({1, 0, {}}, {}));
   driver.write(machines_key(0), encode_machines({{"m-1", "10.1.0.1:9000", {}}}));
   driver.run_for(2'000);
   ASSERT_TRUE(driver.controller().leading());
-  driver.heartbeat(heartbeat_of("m-1", 1, at_first));
+  driver.heartbeat(heartbeat_of("m-1", 1, first_statuses));
   driver.run_for(2'000);
 
-  driver.heartbeat(heartbeat_of("m-1", 2, at_last));
+  driver.heartbeat(heartbeat_of("m-1", 2, last_statuses));
   const auto& job = *driver.controller().tables().jobs.at("job-1");
   ASSERT_EQ(job.record.phase, Phase::Done) << "the job is not done in memory";
   ASSERT_TRUE(job.dirty) << "one commit included the whole bitmap of job-1";
