--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -5,12 +5,14 @@
 
 namespace sailreel {
 namespace {
-/// Ticks are a twentieth of a worker's report interval apart, but never finer than timers are.
-Time tick_ms(const Settings& s) {
-  return std::clamp<Time>(ms(s.workers.heartbeat_interval_s) / 20, 40, 200);
+/// The time between ticks: a twentieth of a worker's heartbeat interval, but at least 40 ms, as
+/// timers aren't more precise, and at most 200 ms.
+Time tick_interval(const Settings& settings) {
+  return std::clamp<Time>(ms(settings.workers.heartbeat_interval_s) / 20, 40, 200);
 }
-/// A tick is late from this share of a report's interval on: users and workers wait as long.
-constexpr Time kLateTickShare = 10;
+/// A tick counts as late if it is delayed by one kLateTickDivisor-th of a heartbeat interval or
+/// more: users and workers wait that much longer for responses.
+constexpr Time kLateTickDivisor = 10;
 }  // namespace
 
 Controller::Controller(Settings settings, Options options, std::uint64_t seed)
@@ -20,14 +22,14 @@
       outbox_(settings_, options_, clock_),
       tables_(settings_),
       quotas_(settings_, options_.federation, tables_),
-      event_loop_lag_(heartbeat_interval() / kLateTickShare, worker_lease()),
+      event_loop_lag_(heartbeat_interval() / kLateTickDivisor, worker_lease()),
       incarnation_((std::uint64_t{random_()} << 32) | random_() | 1),
       peers_(settings_.peers.size(), incarnation_, worker_lease(), keep_alive_span()),
       election_(settings_, options_, clock_, outbox_, peers_, random_, *this),
       checkpoint_({settings_, clock_, outbox_, tables_, quotas_, peers_, scale_outs_, *this}) {}
 
 std::vector<Action> Controller::step(Clock clock, Input input) {
-  // A clock that stood still or went back would stretch leases; it never runs backwards here.
+  // A clock that went backwards would extend leases, so time never decreases here.
   clock_.now = std::max(clock_.now, clock.now);
   clock_.wall_ms = clock.wall_ms;
   std::visit([this](const auto& received) { handle(received); }, input);
@@ -38,29 +40,29 @@
 
 void Controller::handle(const PeerMessageReceived& input) {
   if (input.message.kind == PeerMessage::Kind::Heartbeat)
-    peer_heartbeat(input.peer, input.message.heartbeat);
+    handle_peer_heartbeat(input.peer, input.message.heartbeat);
   else if (input.message.kind == PeerMessage::Kind::Response)
     handle_peer_response(input.peer, input.message.response);
 }
 
-// What was forwarded over the link gets no response any more.
+// Requests that were forwarded over the lost link get no response, so they time out at once.
 void Controller::handle(const PeerDisconnected& input) {
-  peers_.lost(input.peer);
+  peers_.mark_disconnected(input.peer);
   for (auto& [call, forwarded] : forwarded_)
     if (forwarded.peer == input.peer) forwarded.until = clock_.now;
   intake_tick();
 }
 
-// The order is part of the behaviour: leadership first, then what is known of machines, and what
-// gives commands last, only under a valid lease.
+// The order matters: leadership is updated first, then the state of machines. Whatever sends
+// commands comes last, and only under a valid lease.
 void Controller::tick() {
-  watch_event_loop_lag();
+  check_event_loop_lag();
   leadership_tick();
   intake_tick();
   if (election_.is_leader()) {
     reconcile();
     machine_tick();
-    inquire_tick();
+    probe_tick();
     if (holds_valid_lease(clock_.now)) {
       share_tick();
       review_gangs();
@@ -69,9 +71,9 @@
       migration_tick();
     }
   }
-  const Time next_tick = tick_ms(settings_);
-  event_loop_lag_.armed(clock_.now + next_tick);
-  outbox_.arm_timer(next_tick);
+  const Time interval = tick_interval(settings_);
+  event_loop_lag_.armed(clock_.now + interval);
+  outbox_.arm_timer(interval);
 }
 
 void Controller::leadership_tick() {
@@ -84,10 +86,11 @@
   election_.tick();
 }
 
-void Controller::campaign_begun() { restart_lookups(); }
+void Controller::campaign_begun() { requeue_lookups(); }
 
-// Responses to what was asked under the former term are dropped, so its lookups start again.
-void Controller::restart_lookups() {
+// Responses to requests made under an earlier term are dropped, so lookups that wait for one are
+// queued again.
+void Controller::requeue_lookups() {
   refreshing_ = false;
   lookups_.insert(lookups_.end(), lookups_served_.begin(), lookups_served_.end());
   lookups_served_.clear();
@@ -98,13 +101,13 @@
 void Controller::stepped_down(StepDownCause /*cause*/, bool led) {
   snapshot_ = Snapshot{};
   snapshot_loaded_ = false;
-  restart_lookups();
+  requeue_lookups();
   if (!led) return;
-  // Workers that know no other leader are kept alive for as long as if we still led.
-  keep_alive_permit_.allow(election_.epoch(), election_.lease_expiry() + keep_alive_span());
+  // Workers that know no other leader are kept alive for as long as if this controller still led.
+  keep_alive_permit_.extend(election_.epoch(), election_.lease_expiry() + keep_alive_span());
   checkpoint_.reset();
   for (const auto& [id, waits] : cancel_waits_)
-    for (const CancelWait& w : waits) outbox_.reject(w.source, RejectReason::LeadershipLost);
+    for (const CancelWait& wait : waits) outbox_.reject(wait.source, RejectReason::LeadershipLost);
   cancel_waits_.clear();
   scale_outs_.clear();
   termination_queue_.clear();
@@ -127,20 +130,20 @@
   send_heartbeats();
 }
 
-// Says so, once for each worker's lease, if most ticks come late: the processor can't carry what
-// the settings describe.
-void Controller::watch_event_loop_lag() {
-  const auto late = event_loop_lag_.fired(clock_.now);
-  if (!late) return;
+// Logs a warning, at most once per worker lease, if most ticks are late: the processor is too slow
+// for the load that the settings describe.
+void Controller::check_event_loop_lag() {
+  const auto summary = event_loop_lag_.fired(clock_.now);
+  if (!summary) return;
   outbox_.log(Log::Level::Warning, LogEvent::ProcessorLimit,
-              {{"limit", "cpu"}, {"late_ms", late->mean}, {"most_ms", late->most}});
+              {{"limit", "cpu"}, {"late_ms", summary->mean}, {"most_ms", summary->most}});
 }
 
 bool Controller::healthy(Time now) const {
-  // Short gaps, such as a take-over, aren't worth being taken off the balancer's list for.
+  // A short gap, such as a failover, doesn't justify removal from the load balancer's list.
   if (now - last_path_ < worker_lease() / 2) return true;
-  // Where the others are no better off, as in an outage of the state service, being taken off the
-  // list only delays what comes after: users found no node for seconds after it was over.
+  // If no peer is better connected, as in an outage of the key-value store, removal from the list
+  // helps nobody: it only leaves users without any controller for seconds after the outage ends.
   bool heard = false;
   for (std::size_t i = 0; i < peers_.size(); ++i) {
     if (peers_.reaches_leader(i, clock_.now)) return false;
