--- a/src/controller/failure_detection.cpp
+++ b/src/controller/failure_detection.cpp
@@ -7,9 +7,12 @@
 constexpr std::size_t kDeadShare = 3;
 }  // namespace
 
+// A machine is silent after this long (ms) without a heartbeat: two and a half intervals and a
+// margin.
 Time Controller::silent_after() const { return heartbeat_interval() * 5 / 2 + 500; }
 
-// True if so few are silent that the machines are likely to be at fault, and not the network.
+// True if so few machines are silent that the machines are likely to be at fault, and not the
+// network.
 bool Controller::few_silent(std::size_t silent, std::size_t of) {
   return silent <= std::max<std::size_t>(2, of / 10) && (silent < of || of == 1);
 }
@@ -19,12 +22,13 @@
   if (workers_lost(contact)) return election_.resign(StepDownCause::NoWorkerHeard);
   const bool few = few_silent(contact.silent, contact.up);
   for (auto& [name, m] : tables_.machines) watch_machine(*m, few);
-  // Before inquiries to the silent ones, as this sends one to a machine of each zone that does
-  // respond: with few sockets, those that don't respond left none for it.
+  // This comes before the inquiries to silent machines, because it sends an inquiry to one
+  // responding machine of each zone. With few sockets, inquiries to machines that don't respond
+  // would leave none for it.
   if (holds_valid_lease(clock_.now) && contact.silent > 0) detect_dead_machines();
 }
 
-// A worker that hasn't been heard for this long (ms) has to be heard soon for its lease to last.
+// If a worker hasn't been heard for this long (ms), it has to be heard soon for its lease to last.
 Time Controller::unheard_after() const {
   return std::max(silent_after(), worker_lease() * 45 / 100);
 }
@@ -41,10 +45,11 @@
   return contact;
 }
 
-// A leader that had lost all workers and peers, but not the key-value store, once kept its lease
-// while every task died (recorded incident on tbilisi-listings). Another controller may still reach
-// them. If no peer hears this controller either, a few workers that still get through don't change
-// that.
+// True if this leader has lost contact with its workers and should resign, because another
+// controller may still reach them. A leader that had lost all workers and peers, but not the
+// key-value store, once kept its lease while every task died (recorded incident on
+// tbilisi-listings). If no peer hears this controller either, it resigns even if up to a quarter of
+// the workers still get through.
 bool Controller::workers_lost(const FleetContact& contact) const {
   const Time now = clock_.now;
   if (!holds_valid_lease(now) || settings_.peers.empty() || contact.up <= 1 ||
@@ -56,7 +61,8 @@
   return contact.heard == 0 || (alone && contact.heard * 4 <= contact.up);
 }
 
-// Notes when a machine becomes silent, and what its lease expiry means for its tasks.
+// Marks the machine as silent when its heartbeats stop. Once its lease has expired, drops its tasks
+// and may terminate it.
 void Controller::watch_machine(Machine& m, bool few_are_silent) {
   const Time now = clock_.now;
   if (!m.heard_in_epoch) {
@@ -79,20 +85,20 @@
   if (!m.silent || now < expiry(m)) return;
   m.incarnation_fence.close(m.incarnation, now);
   incarnation_lost(m, IncarnationLossCause::LeaseExpired);
-  // When many are silent, the network is the likelier fault: the machines may come back with their
-  // tasks and images, so they get a little more time.
+  // When many machines are silent, the network is more likely to be at fault. The machines may come
+  // back with their tasks and images, so they get a little more time.
   if (few_are_silent || now >= expiry(m) + 2 * worker_lease())
     terminate_instance(m, TerminationCause::LeaseExpired);
 }
 
-// A machine that responds neither way is most likely dead, if others of its zone do respond to
-// inquiries. Terminating it proves that its tasks are gone, sooner than lease expiry would. If no
-// machine of the zone is reached, the fault is more likely the network between this controller and
-// the zone, and lease expiry is awaited: when two zones were partitioned, a rule by the share of
-// silent machines alone terminated healthy ones.
+// Terminates machines that neither send heartbeats nor respond to inquiries, while others of their
+// zone respond: such a machine is most likely dead. Terminating it proves that its tasks are gone,
+// sooner than lease expiry would. If no machine of the zone is reached, the fault is more likely
+// the network between this controller and the zone, and lease expiry is awaited: a rule by the
+// share of silent machines alone terminated healthy ones when two zones were partitioned.
 void Controller::detect_dead_machines() {
-  // A machine that was up when the former leader ended, and hasn't been heard for that long, is
-  // silent too.
+  // A recorded machine was up under the former leader. During reconciliation it counts as silent
+  // too if it hasn't been heard for `silent_after()` since the election.
   const bool awaited = reconciling_ && clock_.now - election_.elected_at() > silent_after();
   const auto silent = [&](const Machine& m) {
     return m.heard_in_epoch ? m.silent : awaited && m.recorded && !m.lease_passed;
@@ -126,12 +132,13 @@
     Zone& zone = zones[m->zone];
     const Time reached = zone_reached_[m->zone];
     if (zone.witness == nullptr) {
-      // All of a zone at once suggests a fault of the zone; the only machine of its zone is judged
-      // by the other zones.
+      // If all machines of a zone are silent at once, the zone itself is more likely to be at
+      // fault. A machine that is the only one of its zone is judged by the share of silent machines
+      // in all zones.
       if (few && zone.up == 1) terminate_instance(*m, cause);
     } else if (reached > (m->heard_in_epoch ? m->silent_since : election_.elected_at())) {
-      // An inquiry that was sent before the zone was reached proves nothing: it may have met the
-      // end of a partition that others had left a moment earlier.
+      // Only a failed inquiry that was sent after the zone was reached counts. An earlier one may
+      // have failed just before a partition ended that was over for other machines already.
       const bool few_of_zone = zone.silent == 1 || zone.silent * kDeadShare <= zone.up;
       if (reached <= m->probe_failed && few_of_zone) terminate_instance(*m, cause);
     } else {
@@ -140,8 +147,8 @@
   }
 }
 
-// No machine of the zone was heard recently. New instances there can't be reached either: a
-// partitioned zone, having lost its machines, once got all the new ones.
+// True if all machines of the zone were silent recently. New instances there couldn't be reached
+// either: a partitioned zone that had lost its machines once got all new instances.
 bool Controller::zone_unreachable(const std::string& zone) const {
   const auto it = zone_unreachable_at_.find(zone);
   return it != zone_unreachable_at_.end() && clock_.now - it->second < 2 * worker_lease();
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -1,5 +1,5 @@
-// Handles workers' heartbeats: which are accepted, which are rejected as outdated, and what they
-// say about their machine. Task statuses are in task_status_handler.cpp.
+// Handles workers' heartbeats: decides which are accepted and which are rejected as outdated, and
+// records what they say about their machine. Task statuses are handled in task_status_handler.cpp.
 #include "controller/controller.hpp"
 #include "protocol/user_codec.hpp"
 #include "protocol/worker_codec.hpp"
@@ -36,7 +36,7 @@
                   command_until());
 }
 
-// The worker's tasks stay alive for a bounded time while this controller can't tell whether it
+// Keeps the worker's tasks alive for a bounded time while this controller can't tell whether it
 // still leads.
 void Controller::handle_heartbeat_without_lease(const HeartbeatReceived& in) {
   const Time now = clock_.now, until = election_.lease_expiry() + keep_alive_span();
@@ -49,16 +49,17 @@
   outbox_.respond(in.source, 200, encode_heartbeat_response(election_.epoch(), {}), 0, until);
 }
 
-// May be a delayed copy. The worker learns our fencing token from the response; only heartbeats
-// under that token count.
+// Handles a heartbeat under an older fencing token, which may be a delayed copy. The worker learns
+// the current fencing token from the response; only heartbeats under the current one count.
 void Controller::handle_heartbeat_with_old_fencing_token(const HeartbeatReceived& in) {
   const Time now = clock_.now;
   Machine* m = tables_.machine(in.heartbeat.machine);
   if (m != nullptr && m->recorded) {
-    // A machine that sends heartbeats but never adopts our fencing token either receives no
-    // responses, or the heartbeats are copies. Its lease can't be derived from responses that it
-    // may not receive, so it gets none until the lease has certainly expired. Otherwise
-    // reconciliation would wait for it as long as it sends heartbeats.
+    // If the heartbeats of a machine never show the current fencing token, either the machine
+    // receives no responses or the heartbeats are delayed copies. Responses that the machine may
+    // not receive must not count as renewals of its lease, so it gets none until the lease has
+    // certainly expired. Otherwise reconciliation would wait for it as long as such heartbeats
+    // arrive.
     if (m->fencing_token_refused_since == 0) m->fencing_token_refused_since = now;
     if (now >= expiry(*m)) {
       m->lease_passed = true;
@@ -72,10 +73,10 @@
                   command_until());
 }
 
-// A heartbeat of an incarnation that is proved to have ended. When the network delayed such
-// heartbeats, they were taken for current: tasks that had been rescheduled were adopted again in
-// their former zone (incident held-reports). If the proof was wrong, the response to an inquiry
-// that is sent now shows it.
+// Rejects a heartbeat of an incarnation that is proved to have ended. Without this check,
+// heartbeats that the network has delayed would be taken for current, and tasks that were
+// rescheduled would be adopted again in their former zone (docs/incidents/held-reports.md). If the
+// proof is wrong, the worker's response to the inquiry that is sent here shows it.
 void Controller::reject_heartbeat(const HeartbeatReceived& in, Machine& m) {
   const Heartbeat& r = in.heartbeat;
   outbox_.log(Log::Level::Info, LogEvent::HeartbeatRejected,
@@ -92,8 +93,9 @@
   inquire_if_due(m);
 }
 
-// Starts are sent only to recorded machines, and reconciliation loads every record: once it is
-// over, a machine that isn't known has no tasks. One that reports some was terminated earlier.
+// True if the heartbeat shows tasks although its machine isn't known. Starts are sent only to
+// recorded machines and reconciliation loads every record, so once reconciliation is over, an
+// unknown machine can't have tasks. A machine that reports some was terminated earlier.
 bool Controller::unknown_with_tasks(const Heartbeat& r) {
   return !reconciling_ && !r.tasks.empty() && tables_.machine(r.machine) == nullptr;
 }
@@ -133,7 +135,8 @@
   for (const TaskStatus& t : r.tasks) take_task(m, t, seen);
   for (std::size_t i = seen.size(); i-- > 0;)
     if (!seen[i]) handle_missing_task(m, i, r.seq, asked.has_value());
-  // Only after the heartbeat is processed: cordoning the machine changes its list of attempts.
+  // The check for faults follows the task statuses, because cordoning the machine changes its list
+  // of attempts.
   if (!m.error_jobs.empty()) check_for_fault(m);
   if (r.notice_s && m.notice_until == 0) take_notice(m, *r.notice_s);
   if (m.empty() && m.idle_since == 0) m.idle_since = clock_.now;
@@ -157,10 +160,11 @@
   scheduling_needed_ = true;
 }
 
-// The machine's lease expired. If its heartbeats arrived and were answered throughout, it doesn't
-// receive our responses: until it has shown otherwise for a while, work assigned to it would only
-// wait. Heartbeats that a partition delayed and released at its end prove nothing: they once caused
-// half a fleet to be quarantined.
+// Begins a new incarnation of the machine, which means that its lease has expired. If its
+// heartbeats arrived and were answered throughout, the machine doesn't receive our responses. It is
+// quarantined for a while, because work assigned to it would only wait. Heartbeats that a partition
+// delayed and released at its end don't show this: counting them once caused half a fleet to be
+// quarantined.
 void Controller::begin_incarnation(Machine& m) {
   const Time now = clock_.now;
   if (now - m.answered < worker_lease() / 2 && now - m.steady_since > worker_lease())
@@ -168,6 +172,7 @@
   incarnation_lost(m, IncarnationLossCause::NewIncarnation);
 }
 
+// Notes the machine's address, and has a machine that isn't in the checkpoint recorded there.
 void Controller::note_address(Machine& m, const std::string& address) {
   if (m.address != address) {
     m.address = address;
@@ -181,10 +186,11 @@
 void Controller::record_heartbeat(Machine& m, const Heartbeat& r) {
   const Time now = clock_.now;
   tables_.size_machine(m);
-  // A response to an inquiry renews no lease. For an incarnation that is new to us, or whose lease
-  // had expired by our calculation, the remaining time is unknown. Recovered machines were once
-  // terminated at their first silence, as if their old lease still counted. Granted only once until
-  // the machine sends a heartbeat itself: one that reaches no controller has to be terminated
+  // A response to an inquiry renews no lease. If the incarnation is new to this controller, or its
+  // lease has expired by this controller's calculation, the remaining time is unknown and a full
+  // lease is assumed. Otherwise a recovered machine would be terminated at its first silence, as if
+  // its old lease still counted. A full lease is assumed only once until the machine sends a
+  // heartbeat itself, so that a machine whose heartbeats reach no controller is terminated
   // eventually.
   const bool lease_unknown = r.incarnation > m.incarnation || now >= expiry(m);
   if (!m.heard_in_epoch || (lease_unknown && m.last_own_heartbeat >= m.answered)) m.answered = now;
@@ -195,15 +201,16 @@
   m.incarnation = m.probe_incarnation = r.incarnation;
   m.seq = r.seq;
   m.last_heartbeat = now;
-  // The machine accepts work again. Without a scheduling pass, waiting tasks would wait until
-  // something else changed.
+  // A machine that was silent accepts work again. Without a scheduling pass, waiting tasks would
+  // wait until something else changed.
   if (m.silent) scheduling_needed_ = true;
   m.silent = false;
   zone_unreachable_at_.erase(m.zone);
   m.probe_failures = 0;
 }
 
-// The cloud is about to preempt the machine: tasks that can save a checkpoint do so now.
+// Handles a notice that the cloud will preempt the machine: the machine is cordoned, and tasks that
+// can save a checkpoint are stopped now so that they save one.
 void Controller::take_notice(Machine& m, double notice_s) {
   m.notice_until = clock_.now + ms(notice_s);
   cordon(m, CordonCause::SpotNotice);
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -1,17 +1,23 @@
-// Users' requests: the leader handles them; the others forward them, or read the key-value store.
+// Handles users' requests: the leader serves them; the other controllers forward them to the
+// leader, or answer queries from the checkpoint in the key-value store.
 #include "controller/controller.hpp"
 #include "protocol/user_codec.hpp"
 
 namespace sailreel {
 namespace {
-/// Users wait 2 s for a query's response; a forwarded request must leave time for a second path.
+/// How long (ms) a forwarded query or heartbeat may wait for the leader's response. Users wait 2 s
+/// for the response to a query; the rest of that time is left for reading the checkpoint instead.
 constexpr Time kForwardMs = 700;
+/// How long (ms) a query may wait for the checkpoint to be read; just below the 2 s that users
+/// wait.
 constexpr Time kLookupMs = 1'900;
-/// A submission has 5 s at its user, and its checkpoint commit may need a retry.
+/// How long (ms) a forwarded submission or cancellation may wait for the leader's response. Users
+/// wait 5 s for the response to a submission, and the leader's checkpoint commit may need a retry.
 constexpr Time kForwardCommitMs = 3'000;
+/// Minimum time (ms) from the start of one refresh of the snapshot to the start of the next.
 constexpr Time kRefreshEveryMs = 200;
-/// What the key-value store returns in a page of keys (protocol, "Controller nodes -> state
-/// service"), in KB.
+/// The size in KB of a page of keys as the key-value store returns it (protocol, "Controller nodes
+/// -> state service").
 constexpr double kPageKb = 512;
 }  // namespace
 
@@ -22,12 +28,13 @@
     if (r.op == UserOp::Cancel) return lead_cancel(r);
     return;
   }
-  // A request is forwarded once, or once more where its first receiver has no path to the leader:
-  // two controllers that take each other for the leader must not forward it in a loop.
+  // A request is forwarded once, or twice if its first receiver has no path to the leader. Without
+  // this limit, two controllers that take each other for the leader would forward it in a loop.
   const bool may_forward = (r.source.kind == RequestSource::Kind::Local || r.relay) &&
                            forwarded_.size() < checkpoint_.most_open_requests();
   if (const auto leader = peers_.leader(clock_.now); leader && may_forward) {
-    // An older version would schedule a gang in its own way.
+    // A leader of a version without gang scheduling would accept the job but not schedule it as a
+    // gang.
     if (r.op == UserOp::Submit && !peers_[*leader].understands_gangs && is_gang_submission(r.body))
       return outbox_.reject(r.source, RejectReason::GangsNotEnabled);
     return forward(r.source, r.op, r.id, r.body, *leader);
@@ -40,8 +47,9 @@
   forward(r.source, r.op, r.id, r.body, *relay, 0, true);
 }
 
-// A peer that can be reached and hears the leader. When two zones were partitioned, users at
-// controllers of one were rejected although a third zone's controllers reached both.
+// Returns a random peer that can be reached and hears the leader. Without such relays, a partition
+// between two zones made controllers of one zone reject their users' requests, although both zones
+// reached the controllers of a third.
 std::optional<std::size_t> Controller::relaying_peer() {
   const std::vector<std::size_t> candidates = peers_.relays(clock_.now);
   if (candidates.empty()) return {};
@@ -91,9 +99,11 @@
   JobRecord record;
   record.spec = std::move(*spec);
   record.submitted_wall_ms = clock_.wall_ms;
-  // Saves one checkpoint commit before the start: a gang's SLO is a matter of seconds.
+  // All tasks of a gang are recorded as started when the job is accepted. This saves one checkpoint
+  // commit before the start; a gang's SLO is a matter of seconds.
   if (record.spec.kind == JobKind::Gang) record.started = record.spec.tasks;
-  // The manifest moves it to a shard at once if it is large itself.
+  // The record has to fit into one value of the key-value store: a large one is moved from the
+  // manifest to a shard at once.
   if (record_reserve(false, encode_record(record).size()) > checkpoint_.value_limit(kValueFill))
     return outbox_.respond(r.source, 422, encode_error("its description is too large to be kept"));
   Job& job = tables_.add_job(std::move(record));
@@ -129,7 +139,8 @@
     return checkpoint_.respond_after_commit(*job, r.source, 200);
   }
   if (!job->record.cancel_asked) {
-    // Written too: a later leader goes on stopping it, and its user need not ask again.
+    // The cancellation is committed as well, so that a later leader goes on stopping the job and
+    // the user need not ask again.
     job->record.cancel_asked = true;
     checkpoint_.mark_changed(*job);
     outbox_.log(Log::Level::Info, LogEvent::JobCancelRequested, {{"job", r.id}});
@@ -139,14 +150,16 @@
   cancel_waits_[r.id].push_back({r.source, clock_.now + cancel_wait()});
   finalize_if_over(*job);
   if (job->record.final) return;
-  // If the job can't end promptly, its user is told so at once.
+  // If the job can't end promptly, its users are told so at once.
   if (!stops_at_once(*job)) reject_cancel_waits(r.id);
 }
 
-// The time (ms) that a direct stop and its response usually take; no response is held back for
-// longer.
+// How long (ms) the response to a cancellation waits for the job's tasks to end: about the time
+// that a direct stop command and its response take.
 Time Controller::cancel_wait() const { return std::clamp<Time>(worker_lease() / 50, 100, 500); }
 
+// True if direct stop commands are likely to end the job promptly: its tasks are on known machines
+// that send heartbeats, and no commit is in doubt.
 bool Controller::stops_at_once(const Job& job) const {
   if (job.unknown > 0 || checkpoint_.commit_in_doubt()) return false;
   return std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& t) {
@@ -161,9 +174,9 @@
     outbox_.reject(w.source, RejectReason::TasksBeingStopped);
 }
 
-// No task of the job is on a machine any more: now it may be called cancelled. An earlier response
-// would start the clock on machines that can't be reached: what a controller of a partitioned zone
-// keeps alive there would outlast `cancel_s`.
+// Marks the job as cancelled once no task of it is on a machine any more. An earlier response would
+// start the `cancel_s` period while some machines can't be reached, and tasks that a controller of
+// a partitioned zone keeps alive there would outlast it.
 void Controller::cancel_over(Job& job) {
   job.record.phase = Phase::Cancelled;
   const auto waits = cancel_waits_.extract(job.spec().id);
@@ -189,9 +202,10 @@
   const auto node = forwarded_.extract(a.call);
   if (!node) return;
   const Forwarded& f = node.mapped();
-  // The leader said for how long the response is valid. It did so after the request had left this
-  // controller, so counting from then is safe, however long the response took or this process was
-  // paused.
+  // The leader's response says how long it is valid from the time when it was sent. Counting from
+  // the time when this controller sent the request is safe, because the leader responded later than
+  // that, however long the response took or this process was paused. The deduction of 1/500 allows
+  // for clock drift.
   const Time valid_until = a.valid_ms ? f.sent + *a.valid_ms - *a.valid_ms / 500 : kNever;
   const bool late = clock_.now >= std::min(f.until, valid_until);
   if (late || (a.status == 503 && f.op == UserOp::Query)) return time_out(f);
@@ -202,7 +216,8 @@
   if (f.op == UserOp::Query)
     look_up(f.source, f.id);
   else if (f.op == UserOp::Heartbeat)
-    // Redirected now, a worker of a zone that has just been partitioned would be lost.
+    // The worker isn't redirected: if its zone has just been partitioned, it could reach no other
+    // controller and would lose its lease.
     keep_alive(f.source, f.id, f.fencing_token, false);
   else
     outbox_.reject(f.source, RejectReason::LeaderNotResponding);
@@ -236,28 +251,29 @@
   if (!refreshing_ && clock_.now >= next_refresh_) refresh();
 }
 
-// Brings the snapshot up to the current revision, then responds to all requests made before that
-// began.
+// Brings the snapshot up to the current revision, then answers all lookups that were waiting when
+// the refresh began.
 void Controller::refresh() {
   if (election_.is_leader() || election_.role() == Role::Loading) {
-    // Requested while the lease had expired or state was loading: our own tables answer once we
-    // lead.
+    // These lookups were requested while the lease had expired or the checkpoint was loading. They
+    // are answered from this controller's own tables once it holds a valid lease.
     if (!holds_valid_lease(clock_.now)) return;
     auto asked = std::move(lookups_);
     lookups_.clear();
     for (const Lookup& l : asked) lead_query({l.source, UserOp::Query, l.id, {}});
     return;
   }
-  // A candidate is about to learn whether it leads. Its reads of the checkpoint and a lookup's must
-  // not share a snapshot: a lookup once found it cleared, and told a user 404.
+  // A candidate is about to learn whether it leads. Its reads of the checkpoint must not share a
+  // snapshot with those of a lookup: a lookup that finds the snapshot cleared would tell a user 404
+  // for a job that exists.
   if (election_.role() != Role::Follower) return;
   refreshing_ = true;
   lookups_served_ = std::move(lookups_);
   lookups_.clear();
   next_refresh_ = clock_.now + kRefreshEveryMs;
-  // What a watch returns has no size limit, and most of it is the same keys repeatedly: after more
-  // than a page of changes at the full write rate, the keys are read again instead. A controller
-  // that had not looked for minutes once held 19 MB for it.
+  // The response to a watch has no size limit, and most of it is changes to the same keys. If more
+  // than a page of changes may have accumulated at the full write rate, the keys are listed again
+  // instead. A watch after minutes without a lookup once took 19 MB of memory.
   const double kb_per_s = settings_.store.write_rps * settings_.store.value_kb;
   if (static_cast<double>(clock_.now - snapshot_read_at_) / 1000.0 * kb_per_s > kPageKb)
     snapshot_loaded_ = false;
@@ -293,8 +309,9 @@
     if (term != election_.term()) return;
     if (r.status != 200) return finish_lookups(false);
     for (const KvItem& item : r.items) snapshot_.apply(item);
-    // Later pages may be newer than the first; changes since the first are read again by the next
-    // refresh, and records carry their own sequence.
+    // Later pages may be newer than the first. The next refresh reads the changes since the first
+    // page again, and the sequence number in each record tells which version of the record is the
+    // latest.
     const std::uint64_t first = revision == 0 ? r.revision : revision;
     if (r.more && !r.items.empty()) return refresh_list(r.items.back().key, first);
     snapshot_loaded_ = true;
--- a/src/controller/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -4,23 +4,25 @@
 
 namespace sailreel {
 namespace {
-/// The response to a worker has to stay below 64 KiB.
+/// The maximum number of commands in a response to a worker, which has to stay below 64 KiB.
 constexpr std::size_t kMaxCommands = 300;
-/// A start that the worker's next heartbeat doesn't show was dropped. After this many sends,
-/// something is wrong between this controller and the machine.
+/// How often a start is sent before its machine is quarantined. A start that the worker's next
+/// heartbeat doesn't show was dropped; if that repeats, the machine or the connection to it is
+/// faulty.
 constexpr std::uint32_t kMaxSends = 3;
+/// A machine is faulty if this many jobs failed on it that run elsewhere.
 constexpr std::size_t kFaultyJobs = 2;
 }  // namespace
 
-// A heartbeat doesn't show an attempt that is bound to the machine.
+// Handles an attempt that is bound to the machine but missing from the machine's heartbeat.
 void Controller::handle_missing_task(Machine& m, std::size_t index, std::uint64_t heartbeat_seq,
                                      bool direct) {
   TaskAttempt& p = m.attempts[index];
   if (p.state == AttemptState::Reserved) return;
   if (p.state == AttemptState::Sent) {
-    // A worker has one heartbeat in flight at a time, so its next one shows that the response to
-    // the previous one was carried out or dropped. The response to a direct command shows nothing
-    // of the kind.
+    // A worker has one heartbeat in flight at a time. Its next heartbeat after the one whose
+    // response carried the start shows whether the start was carried out or dropped. The response
+    // to a direct command doesn't show that.
     if (direct || heartbeat_seq <= p.sent_seq) return;
     p.state = AttemptState::Reserved;
     if (p.sends < kMaxSends) return;
@@ -35,7 +37,7 @@
   scheduling_needed_ = true;
 }
 
-// Drops the record of an attempt; this may complete the job.
+// Removes an attempt from the machine's list; this may complete the job.
 void Controller::drop(Machine& m, std::size_t index) {
   const TaskAttempt& p = m.attempts[index];
   Job* job = p.job != nullptr ? p.job : p.orphan_of;
@@ -45,7 +47,7 @@
   finalize_if_over(*job);
 }
 
-// Attempts whose start hasn't been sent can be placed elsewhere at once.
+// Drops the attempts whose start hasn't been sent; their tasks can be placed elsewhere at once.
 void Controller::drop_unsent(Machine& m) {
   for (std::size_t i = m.attempts.size(); i-- > 0;)
     if (m.attempts[i].state == AttemptState::Reserved) drop(m, i);
@@ -58,6 +60,7 @@
               {{"machine", m.name}, {"cause", cause}});
 }
 
+// Drops all attempts of a machine whose incarnation has certainly ended.
 void Controller::incarnation_lost(Machine& m, IncarnationLossCause cause) {
   if (m.attempts.empty()) return;
   outbox_.log(Log::Level::Info, LogEvent::IncarnationLost,
@@ -98,7 +101,8 @@
   }
 }
 
-// An unknown attempt: started by a former leader, or reported again after it was considered gone.
+// Adds an attempt that this controller doesn't know to the machine: a former leader started it, or
+// it is reported again after it was considered gone.
 TaskAttempt& Controller::adopt_attempt(Machine& m, const TaskStatus& t) {
   Job* job = tables_.job(t.key.job);
   if (job != nullptr && t.key.index >= job->tasks.size()) job = nullptr;
@@ -108,17 +112,18 @@
   TaskAttempt& p = job != nullptr && on_machine && missing
                        ? tables_.place(*job, t.key.index, m, t.attempt, clock_.now)
                        : add_orphan(m, t, job);
-  // It existed before we knew of it: no proof is needed that its start was carried out.
+  // The task status itself proves that the start was carried out.
   p.state = AttemptState::Sent;
   if (job != nullptr && on_machine && !job->active()) stop_task(p, 0);
-  // It would start, with its image, in a zone that the job's other tasks rule out.
+  // Once its image is fetched, the task would start in a zone that the job's other tasks rule out.
   if (job != nullptr && t.state == RunState::Fetching && !Tables::zone_allowed(*job, m.zone))
     stop_task(p, 0);
   if (job != nullptr) review_gang(*job);
   return p;
 }
 
-// An attempt other than the task's current one: it counts against team and machine, and is stopped.
+// Adds an attempt that is not the task's current one. While it is on the machine, it counts against
+// the team and the machine; it is stopped.
 TaskAttempt& Controller::add_orphan(Machine& m, const TaskStatus& t, Job* job) {
   TaskAttempt orphan;
   orphan.key = t.key;
@@ -160,7 +165,7 @@
 
 void Controller::note_finished(Job& job, std::uint32_t index, const Machine& m) {
   tables_.mark_done(job, index);
-  // The tasks of a gang complete together: one completed task completes all.
+  // The tasks of a gang complete together, so one completed task completes all.
   for (std::uint32_t i = 0; is_gang(job) && i < job.spec().tasks; ++i) tables_.mark_done(job, i);
   if (job.active() && job.record.done.count() == job.spec().tasks) job.record.phase = Phase::Done;
   checkpoint_.mark_changed(job);
@@ -189,13 +194,14 @@
   }
   review_gang(*job);
   Task& task = job->tasks[p.key.index];
-  // Tasks of a completed gang that ended for another reason have completed as well.
+  // In a completed gang, tasks that exited for another reason count as completed as well.
   const bool gang_done = is_gang(*job) && task.state == TaskState::Done;
   if (is_gang(*job) && was_held && p.cause != ExitCause::Done) gang_of(*job).attempt_over();
   if (p.cause == ExitCause::Done && job->spec().kind != JobKind::Service) {
     job->proven = true;
     if (task.state == TaskState::Done && (!was_held || gang_done)) {
-      // Known already: either committed, or part of a pending checkpoint commit.
+      // The completion is known already: it is either committed or part of a pending checkpoint
+      // commit.
       p.exit_committed = job->record.done.test(p.key.index) && !job->dirty && !job->in_flight_phase;
       if (!p.exit_committed) checkpoint_.finished_on(m.name, *job, p.key.index);
     } else {
@@ -230,8 +236,10 @@
   finalize_if_over(*job);
 }
 
-// A job submitted with a mistake fails everywhere; a faulty machine fails several jobs that run
-// elsewhere. Two jobs with a mistake once caused every machine that they ran on to be terminated.
+// Counts a failed task against its machine, or against its job if the job is suspect. A job
+// submitted with a mistake fails on every machine, while a faulty machine fails several jobs that
+// run elsewhere. Without this distinction, two jobs with a mistake caused every machine that they
+// ran on to be terminated.
 void Controller::task_failed(Job& job, Machine& m) {
   ++job.errors;
   job.error_machines.insert(m.name);
@@ -240,15 +248,15 @@
   } else {
     for (const std::string& name : job.error_machines)
       if (Machine* other = tables_.machine(name)) other->error_jobs.erase(job.spec().id);
-    // One task at a time retries, with increasing backoff: tasks that fail and restart at once take
-    // room, image fetches and starts from work that runs.
+    // Tasks of a suspect job retry one at a time, with increasing backoff. Tasks that fail and
+    // restart at once would take room, image fetches and starts from work that runs.
     job.not_before =
         clock_.now + std::min<Time>(heartbeat_interval() * job.errors, 2 * worker_lease());
   }
 }
 
-// A machine is faulty when several jobs failed on it that run elsewhere. Until that is known, it
-// gets no work.
+// Cordons the machine as faulty if several jobs failed on it that run elsewhere. While it isn't
+// known whether they do, the machine is quarantined and gets no work.
 void Controller::check_for_fault(Machine& m) {
   if (m.cordoned || m.error_jobs.size() < kFaultyJobs) return;
   const auto runs_elsewhere = [&](const std::string& id) {
@@ -287,7 +295,7 @@
       }
     } else if (p.state == AttemptState::Reserved && p.job != nullptr &&
                !Tables::zone_allowed(*p.job, m.zone)) {
-      // Since this attempt was placed, tasks of the job have been found in other zones.
+      // After this attempt was placed, tasks of the job were found in other zones.
       drop(m, i);
       scheduling_needed_ = true;
     }
@@ -314,7 +322,8 @@
   return out;
 }
 
-// For log lines: the zones of the tasks that restrict where others may start.
+// Describes, for log lines, the zones and numbers of the placed tasks that restrict where the job's
+// other tasks may start.
 std::string Controller::zones_known(const Job& job) {
   if (!job.spec().one_zone && !job.spec().spread) return "any";
   std::string zones;
@@ -323,6 +332,7 @@
   return zones;
 }
 
+// Removes a machine whose termination the cloud has confirmed.
 void Controller::machine_gone(Machine& m, IncarnationLossCause cause) {
   outbox_.log(Log::Level::Info, LogEvent::MachineGone, {{"machine", m.name}, {"cause", cause}});
   incarnation_lost(m, cause);
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -1,5 +1,5 @@
-// Responses to users when several faults coincide: no controller may say less than another has said
-// before.
+// Responses to users when several faults coincide: no controller may report an older state of a job
+// than another controller has reported before.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -15,10 +15,10 @@
   }
 }
 
-// Combination: a compare-and-swap is carried out at once and only its response is lost, while other
-// controllers read what it wrote; users ask at all controllers. Seen on simulated machines: the
-// leader went on saying "running" of jobs that a controller without a path to it had read to be
-// over.
+// A compare-and-swap is carried out at once and only its response is lost, while other controllers
+// read what it wrote and users ask at all controllers. Guards against a leader that goes on
+// reporting a job as running after a controller without a path to the leader has read from the
+// checkpoint, and reported, that the job is over.
 TEST(Answers, ARoundInDoubtIsNotAnsweredInItsOldForm) {
   constexpr std::size_t kJobs = 12;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
@@ -41,8 +41,9 @@
   }
 }
 
-// A burst larger than one checkpoint commit: what has to wait for the next isn't written, nor told
-// by others, before its own commit, though its shard is written for the sake of other jobs.
+// A burst of cancellations is larger than one checkpoint commit. A job's change that has to wait
+// for the next commit must be neither written nor reported by other controllers before that commit,
+// even if the job's shard is written because of other jobs.
 TEST(Answers, AShardIsWrittenAsCommittedNotAsInMemory) {
   constexpr std::size_t kJobs = 90;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -58,8 +59,8 @@
     region.run_until(40'000);
     region.cut_peers(leader_of(region), 20'000, false);
     ask_everywhere(region, 1, 40'000, 42'000, 500);
-    // All at once, while most responses of the key-value store are lost: a commit takes a second or
-    // two.
+    // All jobs are cancelled at once while most responses of the key-value store are lost, so that
+    // a commit takes a second or two.
     region.late_writes(0.7, 15'000, true);
     for (std::size_t n = 0; n < kJobs; ++n) region.cancel(job_id(n));
     ask_everywhere(region, kJobs, 42'000, 56'000, 350);
@@ -71,9 +72,10 @@
 
 class ConsistentAnswers : public ::testing::TestWithParam<Scenario> {};
 
-// Users ask at all controllers again and again within milliseconds and repeat the submission, right
-// after a job was accepted, ended or called cancelled; they cancel at once, as the last task ends,
-// and what is over already; some of their submissions can't run.
+// Users query all controllers within milliseconds, and repeat the submission, right after a job was
+// accepted, has ended or was reported as cancelled. They cancel jobs immediately, as the last task
+// ends, and after the job is over; some of their submissions can't run. No controller may report an
+// older state than another has reported.
 TEST_P(ConsistentAnswers, NoNodeSaysLessThanAnotherHasSaid) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulationPlan plan = quiet(seed * 3 + 100);
@@ -90,7 +92,7 @@
         region.submit(array(job_id(next), 1 + static_cast<std::uint32_t>(k % 2), 2 + k % 4));
       region.run_until(region.now() + 3'000);
       GetParam().play(region, seed);
-      // While tasks end, a few milliseconds apart.
+      // Queries and repeated submissions arrive while tasks end.
       for (int k = 0; k < 60; ++k) {
         region.run_until(region.now() + 100);
         for (std::size_t n = next - 10; n < next; ++n)
@@ -143,9 +145,10 @@
 INSTANTIATE_TEST_SUITE_P(Scenarios, ConsistentAnswers, ::testing::ValuesIn(kScenarios),
                          scenario_name);
 
-// A peer passes on a response of the leader only while it is valid: not after the time that came
-// with it, counted from when the request left, and not after the peer's own timeout; however long
-// the response took, or the peer was paused with the response in its buffer.
+// A controller passes on a response of the leader only while the response is valid: neither after
+// the time that the response carries, counted from when the request was sent, nor after the
+// controller's own timeout. This holds however long the response took, and also if the controller
+// was paused with the response in its buffer.
 TEST(Answers, AForwardedAnswerThatIsLateIsNotPassedOn) {
   const auto answered = [](Time after, std::optional<std::uint32_t> valid_ms) {
     Controller controller(sample_settings(0), Options{}, 1);
@@ -180,8 +183,9 @@
   EXPECT_FALSE(answered(4'000, 60'000));
 }
 
-// What an unreadable value held is unknown, never missing: its jobs get 503, and new ones aren't
-// accepted, since they may be old ones; what could be read is still served.
+// The contents of an unreadable checkpoint value are unknown, not missing. Queries about jobs that
+// it may hold get 503, and submissions aren't accepted, since they may repeat such a job. Jobs that
+// could be read are still served.
 TEST(Answers, AnUnreadableValueIsUnknownNotMissing) {
   SimulationPlan plan = quiet(31);
   SimulatedRegion region(plan);
@@ -207,13 +211,14 @@
   EXPECT_GT(polls[503], 0);
   EXPECT_GT(polls[200], 0);
   EXPECT_EQ(submissions[201], 0);
-  EXPECT_EQ(region.kv_store().value_of("sr/s/000000"), "gibberish") << "it was written over";
+  EXPECT_EQ(region.kv_store().value_of("sr/s/000000"), "gibberish")
+      << "the unreadable value was overwritten";
   region.run();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Two zones are partitioned: a controller that can't reach the leader forwards submissions and
-// cancellations to one that can, and users get their responses as usual.
+// When two zones are partitioned from each other, a controller that can't reach the leader forwards
+// submissions and cancellations to one that can, and users get their responses as usual.
 TEST(Answers, ANodeWithoutAPathToTheLeaderUsesAPeer) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulatedRegion region(quiet(seed));
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -1,5 +1,5 @@
-// Cancellations when several faults coincide: what was called cancelled is gone, and what can't be
-// called so yet is answered all the same.
+// Cancellations when several faults coincide: the tasks of a job that was reported as cancelled are
+// gone, and a cancellation that can't be confirmed yet still gets a response.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -9,23 +9,30 @@
 
 /// Connectivity of the old leader and its successor with each other and with the machines.
 enum class Apart {
-  Refused,           // the key-value store refuses the leader alone
-  RefusedNoPeers,    // and it has lost the other controllers
-  RefusedUnreached,  // and nobody but it and one peer reaches the machines
-  Isolated,  // partitioned from the key-value store and from the others; what is sent is delayed
+  /// The key-value store rejects the requests of the leader alone.
+  Refused,
+  /// As `Refused`; the leader has also lost the other controllers.
+  RefusedNoPeers,
+  /// As `RefusedNoPeers`; only the leader and one peer reach the machines.
+  RefusedUnreached,
+  /// The leader is partitioned from the key-value store and the other controllers; messages between
+  /// them are delayed.
+  Isolated,
 };
 
+/// An outage of the key-value store some time after the leader lost access to it.
 struct Gap {
   Apart apart;
-  Time outage_after;  // since the refusal began
+  Time outage_after;  // ms since the leader lost access
   double lease_s, cancel_s;
 };
 
 constexpr std::size_t kJobs = 8;
 
-// The combination that broke most: the key-value store refuses the leader alone, another controller
-// confirms cancellations, and then the store is down for all, for longer than cancel_s, while
-// workers go on sending heartbeats to the old leader, or to a peer that keeps their tasks alive.
+// The key-value store rejects the leader alone, another controller confirms cancellations, and then
+// the store is down for all controllers for longer than cancel_s. Meanwhile workers go on sending
+// heartbeats to the old leader, or to a peer that keeps their tasks alive. This combination of
+// faults has caused the most failures.
 void play_gap(const Gap& gap, std::uint64_t seed) {
   SimulationPlan plan = quiet(seed);
   plan.lease_s = gap.lease_s;
@@ -57,16 +64,16 @@
     for (const std::size_t other : {friendly, far})
       region.cut(node_name(lead), node_name(other), apart, false);
   if (gap.apart == Apart::RefusedUnreached) {
-    // One peer hears the machines and the old leader, and keeps tasks alive by itself when that
-    // ends; the other, which hears neither, is the successor.
+    // One peer hears the machines and the old leader, and keeps tasks alive by itself when the old
+    // leader ends. The other peer hears neither, and is the successor.
     region.cut(node_name(lead), node_name(friendly), 0, false);
     region.reject_kv_requests(friendly, apart);
     if (seed % 3 == 0) region.kill(lead, apart);
     region.cut(node_name(friendly), node_name(far), apart, false);
     for (const auto& m : region.machines_up()) region.cut(node_name(far), m, apart, false);
   }
-  // Users cancel their jobs from before the old lease expires under the refusal until well into the
-  // outage.
+  // Users cancel their jobs one after another: the first before the old leader's lease expires, the
+  // last well into the outage.
   const Time from = region.now();
   for (std::size_t n = 0; n < kJobs; ++n) {
     const Time when = from + gap.outage_after * static_cast<Time>(n) / static_cast<Time>(kJobs - 2);
@@ -106,9 +113,9 @@
                                             ::testing::Values(0, 1, 2)),
                          gap_name);
 
-// A requested cancellation outlives the leader, also when its user doesn't ask again: the next
-// leader goes on stopping the job, starts nothing of it, and calls it cancelled when its tasks are
-// gone.
+// A requested cancellation survives a change of leader, also if the user doesn't ask again: the
+// next leader goes on stopping the job, starts none of its tasks, and reports it as cancelled once
+// its tasks are gone.
 TEST(Cancellation, OutlivesTheLeaderThatWasAsked) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulatedRegion region(quiet(seed + 40));
@@ -116,7 +123,7 @@
     for (std::size_t n = 0; n < kJobs; ++n) region.submit(service(job_id(n), 2));
     region.run_until(40'000);
     const std::size_t lead = leader_of(region);
-    // Out of reach, so that the tasks can't be stopped at once.
+    // The machines are out of reach, so that the tasks can't be stopped at once.
     for (const auto& m : region.machines_up()) cut_off(region, m, 5'000, false);
     for (std::size_t n = 0; n < kJobs; n += 2) region.ask(job_id(n), n % 3, UserOp::Cancel);
     region.run_until(40'400);
@@ -137,8 +144,9 @@
   }
 }
 
-// A user whose machine is out of reach is soon told to come back; one whose machine responds is
-// told that the job is cancelled within a moment. Nobody waits until the timeout.
+// If a machine of the job is out of reach, the user is soon told to retry; if its machines respond,
+// the user is soon told that the job is cancelled. In neither case does the user wait until the
+// timeout.
 TEST(Cancellation, IsAnsweredAtOnceEitherWay) {
   SimulationPlan plan = quiet(51);
   plan.loss = 0;
@@ -178,8 +186,8 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Cancellations on machines that can't be asked, while every team is at its limit and the leader
-// changes: what is not accounted for counts against its team.
+// Jobs are cancelled on machines that can't be reached, while every team is at its limit and the
+// leader changes. Tasks that may still be on a machine have to count against their team.
 class AtTheLimit : public ::testing::TestWithParam<Scenario> {};
 
 TEST_P(AtTheLimit, KeepsTheRules) {
@@ -262,7 +270,7 @@
        for (int round = 0; round < 4; ++round) {
          w.cancel_now(4, 0);
          if (round == 2) w.kill(leader_of(w), 1'000);
-         // More important work that preempts the rest.
+         // Work of higher priority preempts the rest.
          for (std::size_t n = 0; n < 3; ++n) {
            JobSpec s = service(job_id(500 + static_cast<std::size_t>(round) * 10 + n), 2);
            s.priority = Priority::Production;
--- a/tests/delayed_heartbeats_test.cpp
+++ b/tests/delayed_heartbeats_test.cpp
@@ -1,5 +1,5 @@
-// Heartbeats that the network delays for longer than a lease: they arrive after their machine's
-// tasks have ended and were rescheduled, and say nothing of the present.
+// Heartbeats that the network delays for longer than a lease. They arrive after their machine's
+// tasks have ended and were rescheduled, and must not be taken for the present state.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -16,22 +16,23 @@
   return s;
 }
 
-/// The zones in which the leader knows tasks of the job.
+/// The number of zones in which the leader knows tasks of the job.
 std::size_t zones_known(const SimulatedRegion& region, const std::string& job) {
   const auto& jobs = region.controller(leader_of(region))->tables().jobs;
   const auto found = jobs.find(job);
   return found == jobs.end() ? 0 : found->second->per_zone.size();
 }
 
-// Incident: an array that is bound to one zone lost all its machines to a network partition. Some
-// of its tasks were placed in another zone, the others waited. When the partition ended, the
-// machines' earlier heartbeats arrived, and the array was considered to be in both zones.
+// Guards against an array that is bound to one zone being considered to be in two, as in an
+// incident (docs/incidents/held-reports.md). A network partition cuts off all machines of the
+// array; some of its tasks are placed in another zone, the others wait. When the partition ends,
+// earlier heartbeats of the machines arrive.
 TEST(DelayedHeartbeats, AnArrayBoundToAZoneIsNotTakenToBeInTwo) {
   SimulationPlan plan = quiet(3);
   plan.scale = 2;
   SimulatedRegion region(plan);
   region.run_until(1'000);
-  // All but a few places of one zone are taken; the array goes to the other.
+  // Services take all but a few places of zone zb, so the array is placed in zone za.
   for (std::size_t n = 0; n < 43; ++n) {
     JobSpec s = service(job_id(n), 2);
     s.zone = "zb";
@@ -52,8 +53,8 @@
     if (m->zone == "za") cut_off(region, name, span, true);
   region.run_until(region.now() + span);
   ASSERT_EQ(region.leader(), leader);
-  ASSERT_TRUE(job.per_zone.contains("zb")) << "none of it was placed anew";
-  ASSERT_GT(job.queued, 0U) << "none of it waits";
+  ASSERT_TRUE(job.per_zone.contains("zb")) << "no task of job-900 was rescheduled in zb";
+  ASSERT_GT(job.queued, 0U) << "no task of job-900 is queued";
   for (const Time until = region.now() + 8'000; region.now() < until;) {
     region.run_until(region.now() + 1);
     ASSERT_LE(zones_known(region, "job-900"), 1U) << "at " << region.now();
@@ -62,7 +63,7 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-/// Options of a seeded day of machine partitions.
+/// Options of a simulated day on which machines are cut off at seeded times.
 struct CutDay {
   /// Jobs of all kinds: arrays bound to a zone, spread services, gangs.
   bool mixed_jobs = false;
@@ -113,9 +114,9 @@
   }
 }
 
-// Machines lose the network again and again, each time for longer than a lease, and what they sent
-// arrives when they are back; meanwhile leaders end. Arrays that are bound to one zone are
-// rescheduled all the time.
+// Machines are cut off from the network again and again, each time for longer than a lease, and
+// what they sent arrives when the cut ends; meanwhile leaders are killed. Arrays that are bound to
+// one zone are rescheduled all the time.
 void play_machine_cuts(std::uint64_t seed, const CutDay& day) {
   SimulationPlan plan = quiet(seed * 31);
   plan.length = 480'000;
@@ -152,7 +153,8 @@
   expect_nothing_left(region, seed);
 }
 
-// A few days in CI; a long run by hand takes more of them.
+// The number of days to play: `usual` in CI, or the value of SAILREEL_SOAK_DAYS in a long run by
+// hand.
 std::uint64_t days_to_play(std::uint64_t usual) {
   const char* wanted = std::getenv("SAILREEL_SOAK_DAYS");
   return wanted == nullptr ? usual : std::strtoull(wanted, nullptr, 10);
--- a/tests/incarnation_fence_test.cpp
+++ b/tests/incarnation_fence_test.cpp
@@ -1,6 +1,5 @@
-// What has ended stays ended, whatever late heartbeats say: an incarnation whose lease has expired
-// by the leader's clock, a machine that was terminated, and attempts that placement no longer
-// allows.
+// Late heartbeats must not bring back what has ended: an incarnation whose lease has expired by the
+// leader's clock, a machine that was terminated, or attempts that placement no longer allows.
 #include <gtest/gtest.h>
 
 #include "support/controller_driver.hpp"
@@ -25,7 +24,7 @@
   IncarnationFence fence;
   fence.close(3, 1'000);
   fence.answered(3, 999);
-  EXPECT_FALSE(fence.admits(3)) << "the question left before the proof";
+  EXPECT_FALSE(fence.admits(3)) << "the inquiry was sent before the incarnation was closed";
   fence.answered(3, 1'000);
   EXPECT_TRUE(fence.admits(3));
   EXPECT_FALSE(fence.admits(2));
@@ -58,8 +57,8 @@
   return heartbeat;
 }
 
-/// A leader after a failover, with four machines, m-1 to m-4. Too many fall silent at once for them
-/// to be terminated: only m-4 keeps sending heartbeats, and it responds to no inquiry.
+/// A leader after a failover, with four machines, m-1 to m-4. Only m-4 keeps sending heartbeats,
+/// and it responds to no inquiry. Too many machines are silent at once for them to be terminated.
 class IncarnationsExpired : public ::testing::Test {
  protected:
   IncarnationsExpired() : driver_(settings_without_peers()) { driver_.set_types({sample_type()}); }
@@ -83,7 +82,7 @@
     driver_.run_for(2'000);
     ASSERT_TRUE(driver_.controller().leading());
   }
-  /// The last machine sends a heartbeat every second.
+  /// Runs for `span` ms, while the last machine, m-4, sends a heartbeat every second.
   void run_with_heartbeats_of_the_last(Time span, const std::vector<TaskStatus>& tasks = {}) {
     for (Time passed = 0; passed < span; passed += 1'000) {
       last_commands_ += driver_.heartbeat(incarnation_heartbeat("m-4", 1, ++last_seq_, tasks));
@@ -103,10 +102,11 @@
   std::string last_commands_;
 };
 
+/// Longer (ms) than it takes the lease of a silent machine to expire.
 constexpr Time kBeyondLease = 13'000;
 
-// m-1 has a task that is started elsewhere while it is silent, and one that fits on no other
-// machine.
+// m-1 is silent until after its lease has expired. One of its tasks, of job-1, is started elsewhere
+// meanwhile; the other, of job-2, fits on no other machine.
 class SilentBeyondItsLease : public IncarnationsExpired {
  protected:
   SilentBeyondItsLease() {
@@ -119,7 +119,7 @@
       driver_.heartbeat(incarnation_heartbeat(name, 1, 1, {}));
     run_with_heartbeats_of_the_last(kBeyondLease, {running("job-3", 0)});
     EXPECT_TRUE(machine("m-1").empty());
-    EXPECT_EQ(job("job-1").tasks[0].machine, &machine("m-4")) << "placed anew";
+    EXPECT_EQ(job("job-1").tasks[0].machine, &machine("m-4")) << "job-1 was not rescheduled";
     EXPECT_EQ(job("job-2").tasks[0].state, TaskState::Queued);
   }
   static std::vector<TaskStatus> of_before() { return {running("job-1", 0), running("job-2", 0)}; }
@@ -134,7 +134,7 @@
   EXPECT_EQ(m.last_heartbeat, heard);
   EXPECT_EQ(m.answered, answered);
   EXPECT_EQ(job("job-2").tasks[0].state, TaskState::Queued);
-  // Nor does it while the leader's own lease may have expired.
+  // The same holds while the leader's own lease may have expired.
   driver_.kv_store().outage = true;
   driver_.run_for(3'000);
   ASSERT_TRUE(driver_.controller().leading());
@@ -150,12 +150,12 @@
   driver_.run_for(1'000);
   EXPECT_NE(driver_.heartbeat(incarnation_heartbeat("m-1", 2, 11, {})).find("job-2/0"),
             std::string::npos)
-      << "it gets work";
+      << "m-1 was sent no start command";
 }
 
-// If the incarnation has not ended after all, the worker's response to an inquiry says so: it is
-// admitted after one inquiry, keeps the task that was not started elsewhere, and is told to stop
-// the other.
+// If the incarnation has not ended after all, the worker's response to an inquiry shows that. One
+// inquiry is enough to admit the incarnation; the machine keeps the task that was not started
+// elsewhere, and is told to stop the other.
 TEST_F(SilentBeyondItsLease, AHealthyIncarnationComesBackByItself) {
   driver_.on_direct = [](const std::string& address) -> std::optional<Heartbeat> {
     if (address != "10.1.0.1:1") return {};
@@ -172,7 +172,8 @@
   EXPECT_EQ(response.body.find("job-2/0"), std::string::npos);
 }
 
-// A machine that this leader never heard: the number of the incarnation that has ended is unknown.
+// The leader never heard the machine, so it doesn't know the number of the incarnation that has
+// ended: the first incarnation that it sees counts as ended.
 TEST_F(IncarnationsExpired, AlsoOfAMachineThatTheLeaderNeverHeard) {
   add_job("job-1", 1, {});
   failover();
@@ -186,7 +187,8 @@
   EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-1", 6, 10, {})).status, 200);
 }
 
-// Terminated machines are remembered for a limited time.
+// Terminated machines are remembered only for a limited time. After that, a heartbeat that shows
+// tasks on such a machine is one of an unknown machine, and its tasks are not adopted.
 TEST_F(IncarnationsExpired, TasksOfAMachineThatNobodyKnowsAreNotTaken) {
   add_job("job-1", 2, {});
   failover();
@@ -198,11 +200,12 @@
             503);
   EXPECT_FALSE(driver_.controller().tables().machines.contains("m-9"));
   EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-9", 1, 10, {})).status, 200)
-      << "a new one";
+      << "a machine without tasks was not accepted as new";
 }
 
-// A second safeguard: a job that is bound to one zone and found in two gets no further attempt
-// until it is in one only, and attempts placed there before are not started.
+// Guards against starts in two zones if the incarnation fence fails to reject a heartbeat: a job
+// that is bound to one zone and found in two gets no further attempt until it is in one only, and
+// attempts that were placed before are not started.
 TEST_F(IncarnationsExpired, AJobKnownInTwoZonesGetsNoPlaceUntilOneIsLeft) {
   add_job("job-1", 3, [](JobSpec& s) { s.one_zone = true; });
   failover();
@@ -228,13 +231,14 @@
   driver_.heartbeat(incarnation_heartbeat("m-1", 1, 6, {running("job-1", 0)}));
   driver_.run_for(1'000);
   commands = driver_.heartbeat(in_zb(7, {ended}));
-  EXPECT_EQ(commands.find("start"), std::string::npos) << "its zone is the other";
+  EXPECT_EQ(commands.find("start"), std::string::npos)
+      << "a task was started outside of the job's zone";
   commands = driver_.heartbeat(incarnation_heartbeat("m-1", 1, 7, {running("job-1", 0)}));
   run_with_heartbeats_of_the_last(1'000);
   EXPECT_NE((commands + last_commands_).find("job-1/2"), std::string::npos);
 }
 
-// An orphaned attempt counts until it is gone: its task isn't started again before.
+// An orphaned attempt counts until it is gone: its task isn't started again before that.
 TEST_F(IncarnationsExpired, ATaskIsNotStartedWhileAnotherAttemptOfItMayRun) {
   add_job("job-1", 1, {});
   failover();
@@ -254,7 +258,7 @@
   run_with_heartbeats_of_the_last(1'000);
   ASSERT_FALSE(driver_.controller().reconciling());
   EXPECT_EQ(job("job-1").orphans.size(), 1U);
-  driver_.heartbeat(incarnation_heartbeat("m-1", 2, 2, {}));  // and loses its own attempt
+  driver_.heartbeat(incarnation_heartbeat("m-1", 2, 2, {}));  // its attempt is lost
   EXPECT_EQ(job("job-1").tasks[0].state, TaskState::Queued);
   for (std::uint64_t seq = 2; seq < 5; ++seq) {
     orphan(seq, RunState::Running);
