--- a/src/controller/failure_detection.cpp
+++ b/src/controller/failure_detection.cpp
@@ -4,7 +4,7 @@
 namespace sailreel {
 namespace {
 /// At most one in this many machines of a zone is considered dead at a time.
-constexpr std::size_t kDeadShare = 3;
+constexpr std::size_t kMinMachinesPerDeadMachine = 3;
 }  // namespace
 
 // A machine is silent after this long (ms) without a heartbeat: two and a half intervals and a
@@ -13,15 +13,15 @@
 
 // True if so few machines are silent that the machines are likely to be at fault, and not the
 // network.
-bool Controller::few_silent(std::size_t silent, std::size_t of) {
-  return silent <= std::max<std::size_t>(2, of / 10) && (silent < of || of == 1);
+bool Controller::few_silent(std::size_t silent, std::size_t total) {
+  return silent <= std::max<std::size_t>(2, total / 10) && (silent < total || total == 1);
 }
 
 void Controller::machine_tick() {
   const FleetContact contact = fleet_contact();
   if (workers_lost(contact)) return election_.resign(StepDownCause::NoWorkerHeard);
-  const bool few = few_silent(contact.silent, contact.up);
-  for (auto& [name, m] : tables_.machines) watch_machine(*m, few);
+  const bool few_are_silent = few_silent(contact.silent, contact.up);
+  for (auto& [name, machine] : tables_.machines) watch_machine(*machine, few_are_silent);
   // This comes before the inquiries to silent machines, because it sends an inquiry to one
   // responding machine of each zone. With few sockets, inquiries to machines that don't respond
   // would leave none for it.
@@ -36,11 +36,11 @@
 Controller::FleetContact Controller::fleet_contact() const {
   FleetContact contact;
   const Time heard_since = clock_.now - unheard_after();
-  for (const auto& [name, m] : tables_.machines) {
-    if (!m->heard_in_epoch) continue;
+  for (const auto& [name, machine] : tables_.machines) {
+    if (!machine->heard_in_epoch) continue;
     ++contact.up;
-    contact.silent += m->silent ? 1 : 0;
-    contact.heard += m->last_heartbeat >= heard_since ? 1 : 0;
+    contact.silent += machine->silent ? 1 : 0;
+    contact.heard += machine->last_heartbeat >= heard_since ? 1 : 0;
   }
   return contact;
 }
@@ -55,40 +55,41 @@
   if (!holds_valid_lease(now) || settings_.peers.empty() || contact.up <= 1 ||
       now - election_.elected_at() <= unheard_after())
     return false;
-  const bool alone = std::none_of(peers_.begin(), peers_.end(), [&](const PeerView& v) {
-    return v.hears_leader && now - v.last_heartbeat <= unheard_after();
-  });
-  return contact.heard == 0 || (alone && contact.heard * 4 <= contact.up);
+  const bool unheard_by_peers =
+      std::none_of(peers_.begin(), peers_.end(), [&](const PeerView& peer) {
+        return peer.hears_leader && now - peer.last_heartbeat <= unheard_after();
+      });
+  return contact.heard == 0 || (unheard_by_peers && contact.heard * 4 <= contact.up);
 }
 
 // Marks the machine as silent when its heartbeats stop. Once its lease has expired, drops its tasks
 // and may terminate it.
-void Controller::watch_machine(Machine& m, bool few_are_silent) {
+void Controller::watch_machine(Machine& machine, bool few_are_silent) {
   const Time now = clock_.now;
-  if (!m.heard_in_epoch) {
-    if (m.recorded && m.listed_running && now >= expiry(m))
-      terminate_instance(m, TerminationCause::UnheardSinceFailover);
+  if (!machine.heard_in_epoch) {
+    if (machine.recorded && machine.listed_running && now >= expiry(machine))
+      terminate_instance(machine, TerminationCause::UnheardSinceFailover);
     return;
   }
-  if (!m.error_jobs.empty()) check_for_fault(m);
-  if (!m.silent && now - m.last_heartbeat > silent_after()) {
-    m.silent = true;
-    m.silent_since = now;
-    drop_unsent(m);
+  if (!machine.error_jobs.empty()) check_for_fault(machine);
+  if (!machine.silent && now - machine.last_heartbeat > silent_after()) {
+    machine.silent = true;
+    machine.silent_since = now;
+    drop_unsent(machine);
     outbox_.log(Log::Level::Info, LogEvent::MachineSilent,
-                {{"machine", m.name},
-                 {"zone", m.zone},
-                 {"incarnation", m.incarnation},
-                 {"heard_ms", now - m.last_heartbeat},
-                 {"lease_ms", expiry(m) - now}});
+                {{"machine", machine.name},
+                 {"zone", machine.zone},
+                 {"incarnation", machine.incarnation},
+                 {"heard_ms", now - machine.last_heartbeat},
+                 {"lease_ms", expiry(machine) - now}});
   }
-  if (!m.silent || now < expiry(m)) return;
-  m.incarnation_fence.close(m.incarnation, now);
-  incarnation_lost(m, IncarnationLossCause::LeaseExpired);
+  if (!machine.silent || now < expiry(machine)) return;
+  machine.incarnation_fence.close(machine.incarnation, now);
+  incarnation_lost(machine, IncarnationLossCause::LeaseExpired);
   // When many machines are silent, the network is more likely to be at fault. The machines may come
   // back with their tasks and images, so they get a little more time.
-  if (few_are_silent || now >= expiry(m) + 2 * worker_lease())
-    terminate_instance(m, TerminationCause::LeaseExpired);
+  if (few_are_silent || now >= expiry(machine) + 2 * worker_lease())
+    terminate_instance(machine, TerminationCause::LeaseExpired);
 }
 
 // Terminates machines that neither send heartbeats nor respond to inquiries, while others of their
@@ -99,50 +100,59 @@
 void Controller::detect_dead_machines() {
   // A recorded machine was up under the former leader. During reconciliation it counts as silent
   // too if it hasn't been heard for `silent_after()` since the election.
-  const bool awaited = reconciling_ && clock_.now - election_.elected_at() > silent_after();
-  const auto silent = [&](const Machine& m) {
-    return m.heard_in_epoch ? m.silent : awaited && m.recorded && !m.lease_passed;
+  const bool unheard_is_silent =
+      reconciling_ && clock_.now - election_.elected_at() > silent_after();
+  const auto is_silent = [&](const Machine& machine) {
+    return machine.heard_in_epoch ? machine.silent
+                                  : unheard_is_silent && machine.recorded && !machine.lease_passed;
   };
-  struct Zone {
+  struct ZoneContact {
     std::size_t up = 0, silent = 0;
-    Machine* witness = nullptr;
+    Machine* responder = nullptr;
   };
-  std::map<std::string, Zone> zones;
+  std::map<std::string, ZoneContact> zones;
   std::size_t all_up = 0, all_silent = 0;
-  for (auto& [name, m] : tables_.machines) {
-    if (m->terminating || m->zone.empty() || !(m->heard_in_epoch || silent(*m))) continue;
-    Zone& zone = zones[m->zone];
+  for (auto& [name, machine] : tables_.machines) {
+    if (machine->terminating || machine->zone.empty() ||
+        !(machine->heard_in_epoch || is_silent(*machine)))
+      continue;
+    ZoneContact& zone = zones[machine->zone];
     ++zone.up;
     ++all_up;
-    if (silent(*m)) {
+    if (is_silent(*machine)) {
       ++zone.silent;
       ++all_silent;
-    } else if (!m->address.empty() && (zone.witness == nullptr ||
-                                       m->last_own_heartbeat > zone.witness->last_own_heartbeat)) {
-      zone.witness = m.get();
+    } else if (!machine->address.empty() &&
+               (zone.responder == nullptr ||
+                machine->last_own_heartbeat > zone.responder->last_own_heartbeat)) {
+      zone.responder = machine.get();
     }
   }
   for (const auto& [name, zone] : zones)
-    if (zone.witness == nullptr && zone.up > 1) zone_unreachable_at_[name] = clock_.now;
-  const bool few = few_silent(all_silent, all_up);
-  for (auto& [name, m] : tables_.machines) {
-    if (m->terminating || m->zone.empty() || !silent(*m) || m->probe_failures < 2) continue;
+    if (zone.responder == nullptr && zone.up > 1) zone_unreachable_at_[name] = clock_.now;
+  const bool few_are_silent = few_silent(all_silent, all_up);
+  for (auto& [name, machine] : tables_.machines) {
+    if (machine->terminating || machine->zone.empty() || !is_silent(*machine) ||
+        machine->probe_failures < 2)
+      continue;
     const TerminationCause cause =
-        m->heard_in_epoch ? TerminationCause::Silent : TerminationCause::SilentSinceFailover;
-    Zone& zone = zones[m->zone];
-    const Time reached = zone_reached_[m->zone];
-    if (zone.witness == nullptr) {
+        machine->heard_in_epoch ? TerminationCause::Silent : TerminationCause::SilentSinceFailover;
+    ZoneContact& zone = zones[machine->zone];
+    const Time reached_at = zone_reached_[machine->zone];
+    if (zone.responder == nullptr) {
       // If all machines of a zone are silent at once, the zone itself is more likely to be at
       // fault. A machine that is the only one of its zone is judged by the share of silent machines
       // in all zones.
-      if (few && zone.up == 1) terminate_instance(*m, cause);
-    } else if (reached > (m->heard_in_epoch ? m->silent_since : election_.elected_at())) {
+      if (few_are_silent && zone.up == 1) terminate_instance(*machine, cause);
+    } else if (reached_at >
+               (machine->heard_in_epoch ? machine->silent_since : election_.elected_at())) {
       // Only a failed inquiry that was sent after the zone was reached counts. An earlier one may
       // have failed just before a partition ended that was over for other machines already.
-      const bool few_of_zone = zone.silent == 1 || zone.silent * kDeadShare <= zone.up;
-      if (reached <= m->probe_failed && few_of_zone) terminate_instance(*m, cause);
+      const bool few_of_zone =
+          zone.silent == 1 || zone.silent * kMinMachinesPerDeadMachine <= zone.up;
+      if (reached_at <= machine->probe_failed && few_of_zone) terminate_instance(*machine, cause);
     } else {
-      inquire_if_due(*zone.witness);
+      inquire_if_due(*zone.responder);
     }
   }
 }
--- a/src/controller/image_fetches.cpp
+++ b/src/controller/image_fetches.cpp
@@ -7,46 +7,48 @@
 namespace sailreel {
 
 // Records that the machine holds the job's image, since a task of the job waits or runs there.
-void Controller::note_image(Machine& m, const JobSpec& spec) {
-  note_fetch_ended(m, spec.image);
-  if (m.recorded && !m.has_image(spec.image)) checkpoint_.mark_images_changed(m.name);
-  m.touch_image(spec.image, spec.image_gb);
+void Controller::note_image(Machine& machine, const JobSpec& spec) {
+  note_fetch_ended(machine, spec.image);
+  if (machine.recorded && !machine.has_image(spec.image))
+    checkpoint_.mark_images_changed(machine.name);
+  machine.touch_image(spec.image, spec.image_gb);
 }
 
 // Records that the machine fetches the job's image from now on, unless it holds or fetches it
 // already.
-void Controller::note_fetch_begun(Machine& m, const JobSpec& s) {
-  const MachineType* t = tables_.type(m.type);
-  if (t == nullptr || t->fetch_gb_per_s <= 0 || m.has_image(s.image)) return;
-  for (const Fetch& f : m.fetching_now)
-    if (f.image == s.image) return;
+void Controller::note_fetch_begun(Machine& machine, const JobSpec& spec) {
+  const MachineType* type = tables_.type(machine.type);
+  if (type == nullptr || type->fetch_gb_per_s <= 0 || machine.has_image(spec.image)) return;
+  for (const Fetch& fetch : machine.fetching_now)
+    if (fetch.image == spec.image) return;
   // A worker drops a fetch that no task waits for any more, but its entry stays in this list. The
   // list is bounded by dropping the oldest entries.
-  constexpr std::size_t kMost = 16;
-  if (m.fetching_now.size() >= kMost) m.fetching_now.erase(m.fetching_now.begin());
-  m.fetching_now.push_back({s.image, clock_.now, s.image_gb / t->fetch_gb_per_s, 0});
+  constexpr std::size_t kMaxFetches = 16;
+  if (machine.fetching_now.size() >= kMaxFetches)
+    machine.fetching_now.erase(machine.fetching_now.begin());
+  machine.fetching_now.push_back({spec.image, clock_.now, spec.image_gb / type->fetch_gb_per_s, 0});
 }
 
 // Records that a fetch has ended, and learns from it whether images fetched at the same time share
 // a machine's rate: the protocol's documents say that they may, and both behaviours were observed.
 // Of two fetches that began together, the later one to end tells: it took either its own time or
 // the time of both.
-void Controller::note_fetch_ended(Machine& m, const std::string& image) {
-  const auto it = std::find_if(m.fetching_now.begin(), m.fetching_now.end(),
-                               [&](const Fetch& f) { return f.image == image; });
-  if (it == m.fetching_now.end()) return;
-  const Fetch ended = *it;
-  m.fetching_now.erase(it);
-  const double took = static_cast<double>(clock_.now - ended.since) / 1000.0;
-  for (Fetch& f : m.fetching_now)
-    if (std::abs(f.since - ended.since) < heartbeat_interval()) f.beside_s += ended.alone_s;
+void Controller::note_fetch_ended(Machine& machine, const std::string& image) {
+  const auto entry = std::find_if(machine.fetching_now.begin(), machine.fetching_now.end(),
+                                  [&](const Fetch& fetch) { return fetch.image == image; });
+  if (entry == machine.fetching_now.end()) return;
+  const Fetch ended = *entry;
+  machine.fetching_now.erase(entry);
+  const double took_s = static_cast<double>(clock_.now - ended.since) / 1000.0;
+  for (Fetch& fetch : machine.fetching_now)
+    if (std::abs(fetch.since - ended.since) < heartbeat_interval()) fetch.beside_s += ended.alone_s;
   // The concurrent fetches were too short to tell the two cases apart.
-  if (ended.beside_s < ended.alone_s / 2 || took <= 0) return;
-  const double as_alone = std::abs(std::log(took / ended.alone_s));
-  const double as_shared = std::abs(std::log(took / (ended.alone_s + ended.beside_s)));
-  fetch_votes_ = std::clamp(fetch_votes_ + (as_shared < as_alone ? 1 : -1), -5, 5);
+  if (ended.beside_s < ended.alone_s / 2 || took_s <= 0) return;
+  const double error_if_alone = std::abs(std::log(took_s / ended.alone_s));
+  const double error_if_shared = std::abs(std::log(took_s / (ended.alone_s + ended.beside_s)));
+  fetch_votes_ = std::clamp(fetch_votes_ + (error_if_shared < error_if_alone ? 1 : -1), -5, 5);
   outbox_.log(Log::Level::Debug, LogEvent::ImageFetchCompared,
-              {{"machine", m.name},
+              {{"machine", machine.name},
                {"image", image},
                {"took_ms", clock_.now - ended.since},
                {"votes", fetch_votes_}});
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -7,44 +7,45 @@
 namespace {
 /// How long (ms) a forwarded query or heartbeat may wait for the leader's response. Users wait 2 s
 /// for the response to a query; the rest of that time is left for reading the checkpoint instead.
-constexpr Time kForwardMs = 700;
+constexpr Time kForwardTimeoutMs = 700;
 /// How long (ms) a query may wait for the checkpoint to be read; just below the 2 s that users
 /// wait.
-constexpr Time kLookupMs = 1'900;
+constexpr Time kLookupTimeoutMs = 1'900;
 /// How long (ms) a forwarded submission or cancellation may wait for the leader's response. Users
 /// wait 5 s for the response to a submission, and the leader's checkpoint commit may need a retry.
-constexpr Time kForwardCommitMs = 3'000;
+constexpr Time kForwardCommitTimeoutMs = 3'000;
 /// Minimum time (ms) from the start of one refresh of the snapshot to the start of the next.
-constexpr Time kRefreshEveryMs = 200;
+constexpr Time kMinRefreshIntervalMs = 200;
 /// The size in KB of a page of keys as the key-value store returns it (protocol, "Controller nodes
 /// -> state service").
-constexpr double kPageKb = 512;
+constexpr double kKvPageKb = 512;
 }  // namespace
 
-void Controller::user_request(const UserRequest& r) {
+void Controller::user_request(const UserRequest& request) {
   if (holds_valid_lease(clock_.now)) {
-    if (r.op == UserOp::Submit) return lead_submit(r);
-    if (r.op == UserOp::Query) return lead_query(r);
-    if (r.op == UserOp::Cancel) return lead_cancel(r);
+    if (request.op == UserOp::Submit) return lead_submit(request);
+    if (request.op == UserOp::Query) return lead_query(request);
+    if (request.op == UserOp::Cancel) return lead_cancel(request);
     return;
   }
   // A request is forwarded once, or twice if its first receiver has no path to the leader. Without
   // this limit, two controllers that take each other for the leader would forward it in a loop.
-  const bool may_forward = (r.source.kind == RequestSource::Kind::Local || r.relay) &&
+  const bool may_forward = (request.source.kind == RequestSource::Kind::Local || request.relay) &&
                            forwarded_.size() < checkpoint_.most_open_requests();
   if (const auto leader = peers_.leader(clock_.now); leader && may_forward) {
     // A leader of a version without gang scheduling would accept the job but not schedule it as a
     // gang.
-    if (r.op == UserOp::Submit && !peers_[*leader].understands_gangs && is_gang_submission(r.body))
-      return outbox_.reject(r.source, RejectReason::GangsNotEnabled);
-    return forward(r.source, r.op, r.id, r.body, *leader);
+    if (request.op == UserOp::Submit && !peers_[*leader].understands_gangs &&
+        is_gang_submission(request.body))
+      return outbox_.reject(request.source, RejectReason::GangsNotEnabled);
+    return forward(request.source, request.op, request.id, request.body, *leader);
   }
-  if (r.source.kind != RequestSource::Kind::Local)
-    return outbox_.reject(r.source, RejectReason::NoLeader);
-  if (r.op == UserOp::Query) return look_up(r.source, r.id);
+  if (request.source.kind != RequestSource::Kind::Local)
+    return outbox_.reject(request.source, RejectReason::NoLeader);
+  if (request.op == UserOp::Query) return look_up(request.source, request.id);
   const std::optional<std::size_t> relay = relaying_peer();
-  if (!relay || !may_forward) return outbox_.reject(r.source, RejectReason::NoLeader);
-  forward(r.source, r.op, r.id, r.body, *relay, 0, true);
+  if (!relay || !may_forward) return outbox_.reject(request.source, RejectReason::NoLeader);
+  forward(request.source, request.op, request.id, request.body, *relay, 0, true);
 }
 
 // Returns a random peer that can be reached and hears the leader. Without such relays, a partition
@@ -57,12 +58,12 @@
 }
 
 JobView Controller::view(const Job& job) const {
-  JobView v{job.spec().id, job.committed_phase, 0, 0};
-  if (v.phase == Phase::Active) {
-    v.done = job.record.done.count();
-    v.running = job.running;
+  JobView job_view{job.spec().id, job.committed_phase, 0, 0};
+  if (job_view.phase == Phase::Active) {
+    job_view.done = job.record.done.count();
+    job_view.running = job.running;
   }
-  return v;
+  return job_view;
 }
 
 JobView Controller::view(const std::string& id, const FinishedJob& job) const {
@@ -73,29 +74,30 @@
   outbox_.respond(source, status, encode_job(view), 0, command_until());
 }
 
-void Controller::lead_submit(const UserRequest& r) {
+void Controller::lead_submit(const UserRequest& request) {
   // A repeated submission is recognized by its id, before anything else in it is validated.
-  const auto id = submission_id(r.body);
+  const auto id = submission_id(request.body);
   if (id) {
-    if (const auto f = tables_.finished.find(*id); f != tables_.finished.end())
-      return respond_with_job(r.source, 200, view(*id, f->second));
-    if (const Job* job = tables_.job(*id)) return respond_committed(r.source, 200, *job);
+    if (const auto found = tables_.finished.find(*id); found != tables_.finished.end())
+      return respond_with_job(request.source, 200, view(*id, found->second));
+    if (const Job* job = tables_.job(*id)) return respond_committed(request.source, 200, *job);
   }
-  if (id && unknown_jobs_) return respond_unknown(r.source, unknown_jobs_, command_until());
-  auto spec = decode_submission(r.body);
+  if (id && unknown_jobs_) return respond_unknown(request.source, unknown_jobs_, command_until());
+  auto spec = decode_submission(request.body);
   if (!spec)
     return outbox_.respond(
-        r.source, 400,
+        request.source, 400,
         encode_error("invalid: " + std::string(describe_submission_error(spec.error()))));
-  if (tables_.types.empty()) return outbox_.reject(r.source, RejectReason::MachineTypesUnknown);
+  if (tables_.types.empty())
+    return outbox_.reject(request.source, RejectReason::MachineTypesUnknown);
   if (const auto cause = infeasibility(*spec))
-    return outbox_.respond(r.source, 422, encode_error(to_string(*cause)));
+    return outbox_.respond(request.source, 422, encode_error(to_string(*cause)));
   if (spec->kind == JobKind::Gang && !checkpoint_.gangs_enabled())
-    return outbox_.reject(r.source, RejectReason::GangsNotEnabled);
+    return outbox_.reject(request.source, RejectReason::GangsNotEnabled);
   if (checkpoint_.commit_in_doubt())
-    return outbox_.reject(r.source, RejectReason::KvStoreNotResponding);
+    return outbox_.reject(request.source, RejectReason::KvStoreNotResponding);
   if (checkpoint_.too_many_waiting())
-    return outbox_.reject(r.source, RejectReason::TooManySubmissions);
+    return outbox_.reject(request.source, RejectReason::TooManySubmissions);
   JobRecord record;
   record.spec = std::move(*spec);
   record.submitted_wall_ms = clock_.wall_ms;
@@ -105,11 +107,12 @@
   // The record has to fit into one value of the key-value store: a large one is moved from the
   // manifest to a shard at once.
   if (record_reserve(false, encode_record(record).size()) > checkpoint_.value_limit(kValueFill))
-    return outbox_.respond(r.source, 422, encode_error("its description is too large to be kept"));
+    return outbox_.respond(request.source, 422,
+                           encode_error("its description is too large to be kept"));
   Job& job = tables_.add_job(std::move(record));
   job.accepted = clock_.now;
   checkpoint_.mark_changed(job);
-  checkpoint_.respond_after_commit(job, r.source, 201);
+  checkpoint_.respond_after_commit(job, request.source, 201);
   outbox_.log(Log::Level::Info, LogEvent::JobSubmitted,
               {{"job", job.spec().id},
                {"class", job.spec().job_class},
@@ -117,11 +120,11 @@
                {"tasks", job.spec().tasks}});
 }
 
-void Controller::lead_query(const UserRequest& r) {
-  if (const auto f = tables_.finished.find(r.id); f != tables_.finished.end())
-    return respond_with_job(r.source, 200, view(r.id, f->second));
-  if (const Job* job = tables_.job(r.id)) return respond_committed(r.source, 200, *job);
-  respond_unknown(r.source, unknown_jobs_, command_until());
+void Controller::lead_query(const UserRequest& request) {
+  if (const auto found = tables_.finished.find(request.id); found != tables_.finished.end())
+    return respond_with_job(request.source, 200, view(request.id, found->second));
+  if (const Job* job = tables_.job(request.id)) return respond_committed(request.source, 200, *job);
+  respond_unknown(request.source, unknown_jobs_, command_until());
 }
 
 void Controller::respond_unknown(const RequestSource& source, bool unreadable, Time valid_until) {
@@ -129,29 +132,30 @@
   outbox_.respond(source, 404, encode_error("no such job"), 0, valid_until);
 }
 
-void Controller::lead_cancel(const UserRequest& r) {
-  if (const auto f = tables_.finished.find(r.id); f != tables_.finished.end())
-    return respond_with_job(r.source, 200, view(r.id, f->second));
-  Job* job = tables_.job(r.id);
-  if (job == nullptr) return respond_unknown(r.source, unknown_jobs_, command_until());
+void Controller::lead_cancel(const UserRequest& request) {
+  if (const auto found = tables_.finished.find(request.id); found != tables_.finished.end())
+    return respond_with_job(request.source, 200, view(request.id, found->second));
+  Job* job = tables_.job(request.id);
+  if (job == nullptr) return respond_unknown(request.source, unknown_jobs_, command_until());
   if (job->record.phase != Phase::Active) {
-    if (job->record.phase == job->committed_phase) return respond_committed(r.source, 200, *job);
-    return checkpoint_.respond_after_commit(*job, r.source, 200);
+    if (job->record.phase == job->committed_phase)
+      return respond_committed(request.source, 200, *job);
+    return checkpoint_.respond_after_commit(*job, request.source, 200);
   }
   if (!job->record.cancel_asked) {
     // The cancellation is committed as well, so that a later leader goes on stopping the job and
     // the user need not ask again.
     job->record.cancel_asked = true;
     checkpoint_.mark_changed(*job);
-    outbox_.log(Log::Level::Info, LogEvent::JobCancelRequested, {{"job", r.id}});
+    outbox_.log(Log::Level::Info, LogEvent::JobCancelRequested, {{"job", request.id}});
     stop_job(*job);
     scheduling_needed_ = true;
   }
-  cancel_waits_[r.id].push_back({r.source, clock_.now + cancel_wait()});
+  cancel_waits_[request.id].push_back({request.source, clock_.now + cancel_wait()});
   finalize_if_over(*job);
   if (job->record.final) return;
   // If the job can't end promptly, its users are told so at once.
-  if (!stops_at_once(*job)) reject_cancel_waits(r.id);
+  if (!stops_at_once(*job)) reject_cancel_waits(request.id);
 }
 
 // How long (ms) the response to a cancellation waits for the job's tasks to end: about the time
@@ -162,16 +166,16 @@
 // that send heartbeats, and no commit is in doubt.
 bool Controller::stops_at_once(const Job& job) const {
   if (job.unknown > 0 || checkpoint_.commit_in_doubt()) return false;
-  return std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& t) {
-    return t.machine == nullptr || (t.machine->heard_in_epoch && !t.machine->silent);
+  return std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& task) {
+    return task.machine == nullptr || (task.machine->heard_in_epoch && !task.machine->silent);
   });
 }
 
 void Controller::reject_cancel_waits(const std::string& id) {
   const auto waits = cancel_waits_.extract(id);
   if (!waits) return;
-  for (const CancelWait& w : waits.mapped())
-    outbox_.reject(w.source, RejectReason::TasksBeingStopped);
+  for (const CancelWait& wait : waits.mapped())
+    outbox_.reject(wait.source, RejectReason::TasksBeingStopped);
 }
 
 // Marks the job as cancelled once no task of it is on a machine any more. An earlier response would
@@ -181,7 +185,8 @@
   job.record.phase = Phase::Cancelled;
   const auto waits = cancel_waits_.extract(job.spec().id);
   if (!waits) return;
-  for (const CancelWait& w : waits.mapped()) checkpoint_.respond_after_commit(job, w.source, 200);
+  for (const CancelWait& wait : waits.mapped())
+    checkpoint_.respond_after_commit(job, wait.source, 200);
 }
 
 void Controller::forward(const RequestSource& source, UserOp op, const std::string& id,
@@ -190,57 +195,62 @@
   const std::uint64_t call = next_forward_++;
   const bool commits = op == UserOp::Submit || op == UserOp::Cancel;
   const Time now = clock_.now;
-  forwarded_[call] = {
-      source, op, id, peer, now, now + (commits ? kForwardCommitMs : kForwardMs), fencing_token};
-  PeerMessage m;
-  m.kind = PeerMessage::Kind::Request;
-  m.request = {call, op, op == UserOp::Heartbeat ? std::string() : id, std::move(body), relay};
-  outbox_.send_to_peer(peer, std::move(m));
+  forwarded_[call] = {source,       op,
+                      id,           peer,
+                      now,          now + (commits ? kForwardCommitTimeoutMs : kForwardTimeoutMs),
+                      fencing_token};
+  PeerMessage message;
+  message.kind = PeerMessage::Kind::Request;
+  message.request = {call, op, op == UserOp::Heartbeat ? std::string() : id, std::move(body),
+                     relay};
+  outbox_.send_to_peer(peer, std::move(message));
 }
 
-void Controller::handle_peer_response(std::size_t, const PeerResponse& a) {
-  const auto node = forwarded_.extract(a.call);
-  if (!node) return;
-  const Forwarded& f = node.mapped();
+void Controller::handle_peer_response(std::size_t, const PeerResponse& response) {
+  const auto entry = forwarded_.extract(response.call);
+  if (!entry) return;
+  const Forwarded& forwarded = entry.mapped();
   // The leader's response says how long it is valid from the time when it was sent. Counting from
   // the time when this controller sent the request is safe, because the leader responded later than
   // that, however long the response took or this process was paused. The deduction of 1/500 allows
   // for clock drift.
-  const Time valid_until = a.valid_ms ? f.sent + *a.valid_ms - *a.valid_ms / 500 : kNever;
-  const bool late = clock_.now >= std::min(f.until, valid_until);
-  if (late || (a.status == 503 && f.op == UserOp::Query)) return time_out(f);
-  outbox_.respond(f.source, a.status, a.body, a.retry_after_s, valid_until);
+  const Time valid_until =
+      response.valid_ms ? forwarded.sent + *response.valid_ms - *response.valid_ms / 500 : kNever;
+  const bool late = clock_.now >= std::min(forwarded.until, valid_until);
+  if (late || (response.status == 503 && forwarded.op == UserOp::Query)) return time_out(forwarded);
+  outbox_.respond(forwarded.source, response.status, response.body, response.retry_after_s,
+                  valid_until);
 }
 
-void Controller::time_out(const Forwarded& f) {
-  if (f.op == UserOp::Query)
-    look_up(f.source, f.id);
-  else if (f.op == UserOp::Heartbeat)
+void Controller::time_out(const Forwarded& forwarded) {
+  if (forwarded.op == UserOp::Query)
+    look_up(forwarded.source, forwarded.id);
+  else if (forwarded.op == UserOp::Heartbeat)
     // The worker isn't redirected: if its zone has just been partitioned, it could reach no other
     // controller and would lose its lease.
-    keep_alive(f.source, f.id, f.fencing_token, false);
+    keep_alive(forwarded.source, forwarded.id, forwarded.fencing_token, false);
   else
-    outbox_.reject(f.source, RejectReason::LeaderNotResponding);
+    outbox_.reject(forwarded.source, RejectReason::LeaderNotResponding);
 }
 
 void Controller::intake_tick() {
   const Time now = clock_.now;
-  std::vector<std::uint64_t> over;
-  for (const auto& [call, f] : forwarded_)
-    if (now >= f.until) over.push_back(call);
-  for (const std::uint64_t call : over) time_out(forwarded_.extract(call).mapped());
+  std::vector<std::uint64_t> expired;
+  for (const auto& [call, forwarded] : forwarded_)
+    if (now >= forwarded.until) expired.push_back(call);
+  for (const std::uint64_t call : expired) time_out(forwarded_.extract(call).mapped());
   for (auto it = cancel_waits_.begin(); it != cancel_waits_.end();) {
-    std::erase_if(it->second, [&](const CancelWait& w) {
-      if (now < w.until) return false;
-      outbox_.reject(w.source, RejectReason::TasksBeingStopped);
+    std::erase_if(it->second, [&](const CancelWait& wait) {
+      if (now < wait.until) return false;
+      outbox_.reject(wait.source, RejectReason::TasksBeingStopped);
       return true;
     });
     it = it->second.empty() ? cancel_waits_.erase(it) : std::next(it);
   }
-  for (auto* list : {&lookups_, &lookups_served_})
-    std::erase_if(*list, [&](const Lookup& l) {
-      if (now - l.since < kLookupMs) return false;
-      outbox_.reject(l.source, RejectReason::SnapshotUnreadable);
+  for (auto* lookups : {&lookups_, &lookups_served_})
+    std::erase_if(*lookups, [&](const Lookup& lookup) {
+      if (now - lookup.since < kLookupTimeoutMs) return false;
+      outbox_.reject(lookup.source, RejectReason::SnapshotUnreadable);
       return true;
     });
   if (!lookups_.empty() && !refreshing_ && now >= next_refresh_) refresh();
@@ -258,9 +268,9 @@
     // These lookups were requested while the lease had expired or the checkpoint was loading. They
     // are answered from this controller's own tables once it holds a valid lease.
     if (!holds_valid_lease(clock_.now)) return;
-    auto asked = std::move(lookups_);
+    auto waiting = std::move(lookups_);
     lookups_.clear();
-    for (const Lookup& l : asked) lead_query({l.source, UserOp::Query, l.id, {}});
+    for (const Lookup& lookup : waiting) lead_query({lookup.source, UserOp::Query, lookup.id, {}});
     return;
   }
   // A candidate is about to learn whether it leads. Its reads of the checkpoint must not share a
@@ -270,12 +280,12 @@
   refreshing_ = true;
   lookups_served_ = std::move(lookups_);
   lookups_.clear();
-  next_refresh_ = clock_.now + kRefreshEveryMs;
+  next_refresh_ = clock_.now + kMinRefreshIntervalMs;
   // The response to a watch has no size limit, and most of it is changes to the same keys. If more
   // than a page of changes may have accumulated at the full write rate, the keys are listed again
   // instead. A watch after minutes without a lookup once took 19 MB of memory.
   const double kb_per_s = settings_.store.write_rps * settings_.store.value_kb;
-  if (static_cast<double>(clock_.now - snapshot_read_at_) / 1000.0 * kb_per_s > kPageKb)
+  if (static_cast<double>(clock_.now - snapshot_read_at_) / 1000.0 * kb_per_s > kKvPageKb)
     snapshot_loaded_ = false;
   if (!snapshot_loaded_) {
     snapshot_ = Snapshot{};
@@ -287,14 +297,14 @@
   watch.key = kPrefix;
   watch.revision = snapshot_revision_;
   watch.wait_ms = 0;
-  const bool sent = outbox_.call_kv_store(watch, [this, term](const KvResponse& r) {
+  const bool sent = outbox_.call_kv_store(watch, [this, term](const KvResponse& response) {
     if (term != election_.term()) return;
-    if (r.status == 410) snapshot_loaded_ = false;
-    if (r.status == 200) {
-      for (const KvItem& item : r.items) snapshot_.apply(item);
-      snapshot_revision_ = std::max(snapshot_revision_, r.revision);
+    if (response.status == 410) snapshot_loaded_ = false;
+    if (response.status == 200) {
+      for (const KvItem& item : response.items) snapshot_.apply(item);
+      snapshot_revision_ = std::max(snapshot_revision_, response.revision);
     }
-    finish_lookups(r.status == 200);
+    finish_lookups(response.status == 200);
   });
   if (!sent) finish_lookups(false);
 }
@@ -305,42 +315,43 @@
   list.kind = KvRequest::Kind::List;
   list.key = kPrefix;
   list.from = from;
-  const bool sent = outbox_.call_kv_store(list, [this, term, revision](const KvResponse& r) {
+  const bool sent = outbox_.call_kv_store(list, [this, term, revision](const KvResponse& response) {
     if (term != election_.term()) return;
-    if (r.status != 200) return finish_lookups(false);
-    for (const KvItem& item : r.items) snapshot_.apply(item);
+    if (response.status != 200) return finish_lookups(false);
+    for (const KvItem& item : response.items) snapshot_.apply(item);
     // Later pages may be newer than the first. The next refresh reads the changes since the first
     // page again, and the sequence number in each record tells which version of the record is the
     // latest.
-    const std::uint64_t first = revision == 0 ? r.revision : revision;
-    if (r.more && !r.items.empty()) return refresh_list(r.items.back().key, first);
+    const std::uint64_t first_revision = revision == 0 ? response.revision : revision;
+    if (response.more && !response.items.empty())
+      return refresh_list(response.items.back().key, first_revision);
     snapshot_loaded_ = true;
-    snapshot_revision_ = first;
+    snapshot_revision_ = first_revision;
     finish_lookups(true);
   });
   if (!sent) finish_lookups(false);
 }
 
-void Controller::finish_lookups(bool ok) {
+void Controller::finish_lookups(bool succeeded) {
   refreshing_ = false;
-  if (ok) last_path_ = snapshot_read_at_ = clock_.now;
-  const auto served = std::move(lookups_served_);
+  if (succeeded) last_path_ = snapshot_read_at_ = clock_.now;
+  const auto lookups = std::move(lookups_served_);
   lookups_served_.clear();
-  for (const Lookup& l : served) {
-    if (!ok) {
-      outbox_.reject(l.source, RejectReason::SnapshotUnreadable);
+  for (const Lookup& lookup : lookups) {
+    if (!succeeded) {
+      outbox_.reject(lookup.source, RejectReason::SnapshotUnreadable);
       continue;
     }
-    const auto it = snapshot_.jobs.find(l.id);
-    if (it == snapshot_.jobs.end()) {
-      respond_unknown(l.source, !snapshot_.unreadable.empty(), kNever);
+    const auto found = snapshot_.jobs.find(lookup.id);
+    if (found == snapshot_.jobs.end()) {
+      respond_unknown(lookup.source, !snapshot_.unreadable.empty(), kNever);
       continue;
     }
-    const JobRecord& r = it->second;
-    const std::uint64_t done = r.phase == Phase::Done     ? r.spec.tasks
-                               : r.phase == Phase::Active ? r.done.count()
-                                                          : 0;
-    outbox_.respond(l.source, 200, encode_job({l.id, r.phase, done, 0}));
+    const JobRecord& record = found->second;
+    const std::uint64_t done = record.phase == Phase::Done     ? record.spec.tasks
+                               : record.phase == Phase::Active ? record.done.count()
+                                                               : 0;
+    outbox_.respond(lookup.source, 200, encode_job({lookup.id, record.phase, done, 0}));
   }
 }
 
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 void ask_everywhere(SimulatedRegion& region, std::size_t jobs, Time from, Time until, Time every) {
-  for (Time t = from; t < until; t += every) {
-    region.run_until(t);
-    for (std::size_t n = 0; n < jobs; ++n)
-      for (std::size_t node = 0; node < 3; ++node) region.ask(job_id(n), node, UserOp::Query);
+  for (Time when = from; when < until; when += every) {
+    region.run_until(when);
+    for (std::size_t job = 0; job < jobs; ++job)
+      for (std::size_t node = 0; node < 3; ++node) region.ask(job_id(job), node, UserOp::Query);
   }
 }
 
@@ -19,7 +19,7 @@
 // read what it wrote and users ask at all controllers. Guards against a leader that goes on
 // reporting a job as running after a controller without a path to the leader has read from the
 // checkpoint, and reported, that the job is over.
-TEST(Answers, ARoundInDoubtIsNotAnsweredInItsOldForm) {
+TEST(Answers, AJobIsNotReportedInItsOldStateWhileACommitIsInDoubt) {
   constexpr std::size_t kJobs = 12;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     SimulationPlan plan = quiet(seed);
@@ -52,9 +52,9 @@
     SimulatedRegion region(plan);
     region.run_until(1'000);
     for (std::size_t n = 0; n < kJobs; ++n) {
-      JobSpec s = service(job_id(n), 1);
-      s.need = {0.1, 0.05, 1};
-      region.submit(s);
+      JobSpec spec = service(job_id(n), 1);
+      spec.need = {0.1, 0.05, 1};
+      region.submit(spec);
     }
     region.run_until(40'000);
     region.cut_peers(leader_of(region), 20'000, false);
@@ -76,7 +76,7 @@
 // accepted, has ended or was reported as cancelled. They cancel jobs immediately, as the last task
 // ends, and after the job is over; some of their submissions can't run. No controller may report an
 // older state than another has reported.
-TEST_P(ConsistentAnswers, NoNodeSaysLessThanAnotherHasSaid) {
+TEST_P(ConsistentAnswers, NoControllerReportsAnOlderStateThanAnother) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulationPlan plan = quiet(seed * 3 + 100);
     plan.length = 260'000;
@@ -86,16 +86,16 @@
     region.send_odd_requests(120'000);
     region.cancel_at_end(0.4, 120'000);
     submit_mixed_jobs(region, 0, 10, seed);
-    std::size_t next = 10;
+    std::size_t next_job = 10;
     for (int round = 0; round < 5; ++round) {
-      for (int k = 0; k < 10; ++k, ++next)
-        region.submit(array(job_id(next), 1 + static_cast<std::uint32_t>(k % 2), 2 + k % 4));
+      for (int k = 0; k < 10; ++k, ++next_job)
+        region.submit(array(job_id(next_job), 1 + static_cast<std::uint32_t>(k % 2), 2 + k % 4));
       region.run_until(region.now() + 3'000);
       GetParam().play(region, seed);
       // Queries and repeated submissions arrive while tasks end.
       for (int k = 0; k < 60; ++k) {
         region.run_until(region.now() + 100);
-        for (std::size_t n = next - 10; n < next; ++n)
+        for (std::size_t n = next_job - 10; n < next_job; ++n)
           region.ask(job_id(n), (n + static_cast<std::size_t>(k)) % 3,
                      k % 9 == 0 ? UserOp::Submit : UserOp::Query);
       }
@@ -109,36 +109,36 @@
 }
 
 const Scenario kScenarios[] = {
-    {"WithNoOtherTrouble", [](SimulatedRegion&, std::uint64_t) {}},
-    {"WhileOnlyAnswersOfTheStateServiceAreLost",
-     [](SimulatedRegion& w, std::uint64_t) { w.late_writes(0.5, 6'000, true); }},
-    {"WhileTheLeaderHasLostTheOthersAndItsWritesLag",
-     [](SimulatedRegion& w, std::uint64_t seed) {
-       w.cut_peers(leader_of(w), 6'000, seed % 2 == 0);
-       w.late_writes(0.5, 6'000, seed % 3 == 0);
+    {"WithoutOtherFaults", [](SimulatedRegion&, std::uint64_t) {}},
+    {"WhileResponsesOfTheKeyValueStoreAreLost",
+     [](SimulatedRegion& region, std::uint64_t) { region.late_writes(0.5, 6'000, true); }},
+    {"WhileTheLeaderHasLostItsPeersAndItsWritesAreDelayed",
+     [](SimulatedRegion& region, std::uint64_t seed) {
+       region.cut_peers(leader_of(region), 6'000, seed % 2 == 0);
+       region.late_writes(0.5, 6'000, seed % 3 == 0);
      }},
     {"WhileTheLeaderIsIsolatedWithItsWorkersAndUsers",
-     [](SimulatedRegion& w, std::uint64_t seed) {
-       w.isolate(leader_of(w), 8'000, seed % 2 == 0);
-       w.cancel_now(3, 0);
+     [](SimulatedRegion& region, std::uint64_t seed) {
+       region.isolate(leader_of(region), 8'000, seed % 2 == 0);
+       region.cancel_now(3, 0);
      }},
-    {"WhileTheStateServiceRefusesTheLeader",
-     [](SimulatedRegion& w, std::uint64_t) {
-       w.reject_kv_requests(leader_of(w), 5'000);
-       w.cancel_now(3, 0);
+    {"WhileTheKeyValueStoreRejectsTheLeader",
+     [](SimulatedRegion& region, std::uint64_t) {
+       region.reject_kv_requests(leader_of(region), 5'000);
+       region.cancel_now(3, 0);
      }},
-    {"WhileTheLeaderStandsStill",
-     [](SimulatedRegion& w, std::uint64_t seed) {
-       w.freeze(leader_of(w), 1'000 + static_cast<Time>(seed) * 500);
+    {"WhileTheLeaderIsPaused",
+     [](SimulatedRegion& region, std::uint64_t seed) {
+       region.freeze(leader_of(region), 1'000 + static_cast<Time>(seed) * 500);
      }},
-    {"WhileASiblingStandsStill",
-     [](SimulatedRegion& w, std::uint64_t seed) {
-       w.freeze((leader_of(w) + 1) % 3, 1'000 + static_cast<Time>(seed) * 500);
-       w.reject_kv_requests(leader_of(w), 4'000);
+    {"WhileAPeerIsPausedAndTheLeaderIsRejected",
+     [](SimulatedRegion& region, std::uint64_t seed) {
+       region.freeze((leader_of(region) + 1) % 3, 1'000 + static_cast<Time>(seed) * 500);
+       region.reject_kv_requests(leader_of(region), 4'000);
      }},
-    {"WhileTheLeaderEnds",
-     [](SimulatedRegion& w, std::uint64_t seed) {
-       w.kill(leader_of(w), seed % 2 == 0 ? 300 : 5'000);
+    {"WhileTheLeaderIsKilled",
+     [](SimulatedRegion& region, std::uint64_t seed) {
+       region.kill(leader_of(region), seed % 2 == 0 ? 300 : 5'000);
      }},
 };
 
@@ -149,8 +149,8 @@
 // the time that the response carries, counted from when the request was sent, nor after the
 // controller's own timeout. This holds however long the response took, and also if the controller
 // was paused with the response in its buffer.
-TEST(Answers, AForwardedAnswerThatIsLateIsNotPassedOn) {
-  const auto answered = [](Time after, std::optional<std::uint32_t> valid_ms) {
+TEST(Answers, AnExpiredForwardedResponseIsNotPassedOn) {
+  const auto is_passed_on = [](Time after, std::optional<std::uint32_t> valid_ms) {
     Controller controller(sample_settings(0), Options{}, 1);
     Time now = 1'000'000;
     const auto step = [&](Input input) { return controller.step({now, 0}, std::move(input)); };
@@ -163,24 +163,24 @@
     heartbeat.message.heartbeat.incarnation = 9;
     step(heartbeat);
     std::uint64_t call = 0;
-    for (const Action& a :
+    for (const Action& action :
          step(UserRequest{{RequestSource::Kind::Local, 5, 0}, UserOp::Query, "job-1", ""}))
-      if (const auto* peer = std::get_if<SendPeer>(&a)) call = peer->message.request.call;
+      if (const auto* peer = std::get_if<SendPeer>(&action)) call = peer->message.request.call;
     EXPECT_NE(call, 0U);
     now += after;
     PeerMessageReceived response;
     response.message.kind = PeerMessage::Kind::Response;
     response.message.response = {call, 200, 0, valid_ms, "{}"};
     bool passed_on = false;
-    for (const Action& a : step(response))
-      if (const auto* said = std::get_if<Response>(&a)) passed_on = said->status == 200;
+    for (const Action& action : step(response))
+      if (const auto* answer = std::get_if<Response>(&action)) passed_on = answer->status == 200;
     return passed_on;
   };
-  EXPECT_TRUE(answered(5, 2'000));
-  EXPECT_TRUE(answered(5, {}));
-  EXPECT_FALSE(answered(150, 100));
-  EXPECT_FALSE(answered(5, 0));
-  EXPECT_FALSE(answered(4'000, 60'000));
+  EXPECT_TRUE(is_passed_on(5, 2'000));
+  EXPECT_TRUE(is_passed_on(5, {}));
+  EXPECT_FALSE(is_passed_on(150, 100));
+  EXPECT_FALSE(is_passed_on(5, 0));
+  EXPECT_FALSE(is_passed_on(4'000, 60'000));
 }
 
 // The contents of an unreadable checkpoint value are unknown, not missing. Queries about jobs that
@@ -192,9 +192,9 @@
   region.run_until(1'000);
   constexpr std::size_t kJobs = 60;
   for (std::size_t n = 0; n < kJobs; ++n) {
-    JobSpec s = service(job_id(n), 1);
-    s.need = {0.1, 0.05, 1};
-    region.submit(s);
+    JobSpec spec = service(job_id(n), 1);
+    spec.need = {0.1, 0.05, 1};
+    region.submit(spec);
   }
   region.run_until(40'000);
   ASSERT_TRUE(region.kv_store().corrupt("sr/s/000000"));
@@ -203,8 +203,8 @@
   std::map<int, int> polls, submissions;
   for (std::size_t n = 0; n < kJobs; ++n)
     for (std::size_t node = 0; node < 3; ++node) {
-      region.ask_for(job_id(n), node, UserOp::Query, [&](int s) { ++polls[s]; });
-      region.ask_for(job_id(n), node, UserOp::Submit, [&](int s) { ++submissions[s]; });
+      region.ask_for(job_id(n), node, UserOp::Query, [&](int status) { ++polls[status]; });
+      region.ask_for(job_id(n), node, UserOp::Submit, [&](int status) { ++submissions[status]; });
     }
   region.run_until(54'000);
   EXPECT_EQ(polls[404], 0);
@@ -219,22 +219,24 @@
 
 // When two zones are partitioned from each other, a controller that can't reach the leader forwards
 // submissions and cancellations to one that can, and users get their responses as usual.
-TEST(Answers, ANodeWithoutAPathToTheLeaderUsesAPeer) {
+TEST(Answers, AControllerWithoutAPathToTheLeaderUsesAPeer) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulatedRegion region(quiet(seed));
     region.run_until(20'000);
-    const std::size_t lead = leader_of(region);
-    const std::size_t apart = (lead + 1 + seed % 2) % 3;
-    region.cut(node_name(lead), node_name(apart), 20'000, seed % 3 == 0);
+    const std::size_t leader = leader_of(region);
+    const std::size_t partitioned = (leader + 1 + seed % 2) % 3;
+    region.cut(node_name(leader), node_name(partitioned), 20'000, seed % 3 == 0);
     region.run_until(23'000);
     int submitted = 0, cancelled = 0;
-    region.submit_at(service("job-1", 1), apart, [&submitted](int s) { submitted = s; });
+    region.submit_at(service("job-1", 1), partitioned,
+                     [&submitted](int status) { submitted = status; });
     region.run_until(24'000);
     EXPECT_EQ(submitted, 201) << seed;
-    region.ask_for("job-1", apart, UserOp::Cancel, [&cancelled](int s) { cancelled = s; });
+    region.ask_for("job-1", partitioned, UserOp::Cancel,
+                   [&cancelled](int status) { cancelled = status; });
     region.run_until(25'000);
     EXPECT_EQ(cancelled, 200) << seed;
-    EXPECT_EQ(leader_of(region), lead);
+    EXPECT_EQ(leader_of(region), leader);
     EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   }
 }
