--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -48,9 +48,9 @@
   forward(request.source, request.op, request.id, request.body, *relay, 0, true);
 }
 
-// Returns a random peer that can be reached and hears the leader. Without such relays, a partition
-// between two zones made controllers of one zone reject their users' requests, although both zones
-// reached the controllers of a third.
+// Returns a random peer that can be reached and hears the leader. Without such relays, during a
+// partition between two zones the controllers of one zone would reject their users' requests,
+// although both zones reach the controllers of a third.
 std::optional<std::size_t> Controller::relaying_peer() {
   const std::vector<std::size_t> candidates = peers_.relays(clock_.now);
   if (candidates.empty()) return {};
--- a/src/controller/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -102,8 +102,8 @@
   }
 }
 
-// Adds an attempt that this controller doesn't know to the machine: a former leader started it, or
-// it is reported again after it was considered gone.
+// Adds an attempt that a heartbeat shows and this controller doesn't know: a former leader started
+// it, or it is reported again after it was considered gone.
 TaskAttempt& Controller::adopt_attempt(Machine& machine, const TaskStatus& status) {
   Job* job = tables_.job(status.key.job);
   if (job != nullptr && status.key.index >= job->tasks.size()) job = nullptr;
@@ -248,8 +248,8 @@
 
 // Counts a failed task against its machine, or against its job if the job is suspect. A job
 // submitted with a mistake fails on every machine, while a faulty machine fails several jobs that
-// run elsewhere. Without this distinction, two jobs with a mistake caused every machine that they
-// ran on to be terminated.
+// run elsewhere. Without this distinction, two jobs with a mistake would cause every machine that
+// they run on to be terminated.
 void Controller::task_failed(Job& job, Machine& machine) {
   ++job.errors;
   job.error_machines.insert(machine.name);
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -7,7 +7,8 @@
 namespace sailreel::sim {
 namespace {
 
-/// Connectivity of the old leader and its successor with each other and with the machines.
+/// How the old leader loses access to the key-value store, and which hosts it and its successor can
+/// still reach.
 enum class LostAccess {
   /// The key-value store rejects the requests of the leader alone.
   Refused,
