--- a/src/storage/bitmap.hpp
+++ b/src/storage/bitmap.hpp
@@ -1,4 +1,4 @@
-// Which tasks of a job are finished, and how the checkpoint writes that down.
+// The bitmap of a job's finished tasks, and how the checkpoint stores it.
 #pragma once
 
 #include <cstddef>
@@ -9,13 +9,15 @@
 
 namespace sailreel {
 
-/// Tasks whose bits one hex digit of a stored bitmap holds.
+/// Bits, one per task, that a hex digit of a stored bitmap holds.
 inline constexpr std::size_t kBitsPerDigit = 4;
-/// The bitmap of a job with at most this many tasks is part of the job's record; a larger one is
-/// stored in pieces of their own, so that a change of one bit rewrites no more than a piece.
+/// The bitmap of a job with at most this many tasks is part of the job's record. A larger bitmap is
+/// split into pieces that are values of their own, so that a change of one bit rewrites only one
+/// piece.
 inline constexpr std::size_t kInlineBits = 512;
+/// Bits of a piece.
 inline constexpr std::size_t kPieceBits = 8192;
-/// A small piece: fits into the smallest limit on values that settings allow.
+/// Bits of a small piece, which fits into the smallest limit on values that the settings allow.
 inline constexpr std::size_t kSmallPieceBits = 2048;
 
 /// One bit for each task of a job, set once the task is finished.
@@ -32,19 +34,19 @@
     ++count_;
     return true;
   }
-  /// False also beyond the end.
+  /// True if the task's bit is set; false for an index beyond the end.
   [[nodiscard]] bool test(std::size_t index) const {
     return index < size_ && (words_[index / kBitsPerWord] >> (index % kBitsPerWord) & 1) != 0;
   }
   [[nodiscard]] std::size_t size() const { return size_; }
-  /// How many bits are set.
+  /// The number of bits that are set.
   [[nodiscard]] std::size_t count() const { return count_; }
 
-  /// At most `count` bits from `first` on, as hex digits of `kBitsPerDigit` bits each, the lowest
-  /// bit being that of the first task.
+  /// Returns at most `count` bits, beginning with that of task `first`, as hex digits. Each digit
+  /// holds `kBitsPerDigit` bits, of which the lowest is that of the first task.
   [[nodiscard]] std::string hex(std::size_t first, std::size_t count) const;
-  /// Sets the bits that the digits stand for, the first being that of task `first`. Bits beyond the
-  /// end and characters that are no hex digits are ignored.
+  /// Sets the bits that are set in `digits`, which begin with the bit of task `first`. Ignores bits
+  /// beyond the end, and characters that are not lower-case hex digits.
   void merge_hex(std::size_t first, std::string_view digits);
 
  private:
@@ -54,7 +56,7 @@
   std::vector<std::uint64_t> words_;
 };
 
-/// The stored value of a piece, whose digits are those of `Bitmap::hex`.
+/// Encodes a piece as a stored value; `digits` is what `Bitmap::hex` returns.
 std::string encode_piece(const std::string& digits);
 
 }  // namespace sailreel
--- a/src/storage/checkpoint.hpp
+++ b/src/storage/checkpoint.hpp
@@ -1,17 +1,20 @@
-// The checkpoint: what outlives a process, as keys and values of the key-value store.
+// The checkpoint: the state that outlives a controller process, as keys and values of the key-value
+// store.
 //
-//   sr/lead          the leader; bound to its lease, and deleted by the store on lease expiry
-//   sr/epoch         the highest epoch granted; every write is conditional on its version, which
-//                    makes it the fencing token of writes
-//   sr/head          the manifest: the checkpoint's sequence number, requests to scale out that are
-//                    not finished, and recent records, which are flushed to shards later
-//   sr/s/<shard>     jobs, some twenty active or some hundreds of finished ones to a shard
-//   sr/b/<job>/<n>   finished tasks of large arrays, a piece of the bitmap each
-//   sr/c/<job>/<n>   the same in smaller pieces, where the store's limit on values is too small for
-//                    the others; versions from before gang scheduling don't read these
-//   sr/features      what every controller understands; ignored by the same versions
-//   sr/m/<shard>     machines that may hold tasks, and their addresses
-//   sr/q, sr/t       quota shares: share_records.hpp
+//   sr/lead          the leader; bound to the leader's lease: the store deletes it on lease expiry
+//   sr/epoch         the highest epoch granted; every write is conditional on the version of this
+//                    key, which makes the version the fencing token of writes
+//   sr/head          the manifest: the checkpoint's sequence number, unfinished scale-out requests,
+//                    and recent job records, which are flushed to shards later
+//   sr/s/<shard>     jobs: about twenty active or some hundreds of finished ones per shard
+//   sr/b/<job>/<n>   the finished tasks of a large job, one piece of the bitmap per key
+//   sr/c/<job>/<n>   the same in smaller pieces, used where the store's limit on values is too
+//   small
+//                    for sr/b; versions from before gang scheduling don't read these keys
+//   sr/features      the features that every controller understands; versions from before gang
+//                    scheduling ignore this key
+//   sr/m/<shard>     machines that may hold tasks, with their addresses and cached images
+//   sr/q, sr/t       quota shares; see share_records.hpp
 #pragma once
 
 #include "storage/bitmap.hpp"
--- a/src/storage/checkpoint_keys.cpp
+++ b/src/storage/checkpoint_keys.cpp
@@ -6,7 +6,7 @@
 namespace sailreel {
 namespace {
 
-/// Padded with zeros, so that the order of keys is that of numbers.
+/// The prefix and the number, which is padded with zeros so that keys sort in numerical order.
 std::string numbered(const char* prefix, std::size_t number) {
   char buffer[64];
   std::snprintf(buffer, sizeof buffer, "%s%06zu", prefix, number);
--- a/src/storage/checkpoint_records.cpp
+++ b/src/storage/checkpoint_records.cpp
@@ -7,8 +7,8 @@
 namespace sailreel {
 namespace {
 
-/// A job record is stored as an array, which is far shorter than an object; these are the positions
-/// of its fields. A final record ends after the number of tasks.
+/// Positions of the fields of a job record, which is stored as a JSON array because an array is far
+/// shorter than an object. A final record ends after the number of tasks.
 struct Position {
   enum : unsigned {
     Id,
@@ -112,7 +112,7 @@
   writer.Uint(record.started);
 }
 
-/// A member whose value is the list of encoded records.
+/// A member of a JSON object: its value is the array of the encoded records.
 std::string list_member(const char* name, const std::vector<std::string>& records) {
   std::string out = std::string("\"") + name + "\":[";
   for (std::size_t i = 0; i < records.size(); ++i) {
@@ -234,7 +234,7 @@
   if (!value.IsArray() || value.Size() < 2 || !value[0].IsString())
     return DecodeError{DecodeErrorKind::InvalidField, "m"};
   MachineRecord machine{text_or_empty(value[0]), text_or_empty(value[1]), {}};
-  // Names and sizes of images take turns.
+  // Names and sizes of images alternate.
   for (rapidjson::SizeType i = 2; i + 1 < value.Size(); i += 2)
     if (value[i + 1].IsNumber())
       machine.images.push_back({text_or_empty(value[i]), value[i + 1].GetDouble()});
--- a/src/storage/compare_and_swap_builder.hpp
+++ b/src/storage/compare_and_swap_builder.hpp
@@ -10,21 +10,21 @@
 
 namespace sailreel {
 
-/// Collects writes for as long as they fit; what doesn't is left to a later commit. Owns the keys
-/// and values that it was given.
+/// Collects writes for as long as they fit. The caller leaves those that don't fit to a later
+/// commit. The builder owns the keys and values that it was given.
 class CompareAndSwapBuilder {
  public:
-  /// One operation and `reserved_bytes` are set aside for the manifest and the conditions, which
-  /// are known last.
+  /// One operation and `reserved_bytes` are set aside for the manifest and the conditions, because
+  /// these are known last.
   CompareAndSwapBuilder(std::size_t max_operations, std::size_t reserved_bytes)
       : max_operations_(max_operations), bytes_(reserved_bytes) {}
 
-  /// Replaces the limit; operations that were taken before stay.
+  /// Replaces the limit on the number of operations. Operations that were added before are kept.
   void limit_operations(std::size_t most) { max_operations_ = most; }
-  /// Including the one that is set aside.
+  /// The number of operations, including the one that is set aside.
   [[nodiscard]] std::size_t operations() const { return operations_; }
 
-  /// False, with nothing changed, if the write doesn't fit.
+  /// Adds a write. Returns false, and adds nothing, if the write doesn't fit.
   bool put(std::string key, std::string value) {
     if (!has_room(value.size())) return false;
     ++operations_;
@@ -33,7 +33,7 @@
     return true;
   }
 
-  /// The same for a deletion.
+  /// Adds a deletion. Returns false, and adds nothing, if the deletion doesn't fit.
   bool erase(std::string key) {
     if (!has_room(0)) return false;
     ++operations_;
@@ -42,13 +42,14 @@
     return true;
   }
 
-  /// The request, with the manifest as its first write. The builder is used up.
+  /// Returns the request with the manifest as its first write. The builder can't be used
+  /// afterwards.
   KvRequest finish(std::vector<KvRequest::Condition> conditions, KvRequest::Put manifest) && {
     puts_.insert(puts_.begin(), std::move(manifest));
     return std::move(*this).finish(std::move(conditions));
   }
 
-  /// The request without a manifest. The builder is used up.
+  /// Returns the request without a manifest. The builder can't be used afterwards.
   KvRequest finish(std::vector<KvRequest::Condition> conditions) && {
     KvRequest call;
     call.kind = KvRequest::Kind::Txn;
@@ -59,10 +60,11 @@
   }
 
  private:
-  /// Of a request's body.
+  /// Limit on the size of a request's body.
   static constexpr std::size_t kMaxBytes = std::size_t{64} * 1024;
-  /// What the key of an operation and its JSON punctuation take, at most.
+  /// The most that the key and the JSON punctuation of an operation take.
   static constexpr std::size_t kBytesPerOperation = 64;
+  /// Left free for the parts of the body that aren't counted.
   static constexpr std::size_t kSpareBytes = 256;
 
   [[nodiscard]] bool has_room(std::size_t value_bytes) const {
--- a/src/storage/incarnation_fence.hpp
+++ b/src/storage/incarnation_fence.hpp
@@ -1,4 +1,4 @@
-// Which of a worker's incarnations are known to have ended.
+// Tracks which incarnations of a worker are known to have ended.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,14 @@
 
 namespace sailreel {
 
-/// Keeps delayed heartbeats of an incarnation that has ended from being taken for the present
-/// state. An incarnation has ended once its lease has certainly expired, but the network may
-/// deliver its heartbeats minutes later. A worker is admitted again by a higher incarnation number,
-/// or by its response to a request that was sent after the incarnation was closed.
+/// Prevents delayed heartbeats of an incarnation that has ended from being taken for the worker's
+/// present state. An incarnation has ended once its lease has certainly expired, but the network
+/// may deliver its heartbeats minutes later. A worker is admitted again when it shows a higher
+/// incarnation number, or when it responds to a request that was not sent before the incarnation
+/// was closed.
 class IncarnationFence {
  public:
-  /// Incarnations up to this one have ended, as is known since `now`.
+  /// Closes this incarnation and all before it: since `now`, they are known to have ended.
   void close(std::uint64_t incarnation, Time now) {
     if (!unknown_ && incarnation <= last_closed_) return;
     last_closed_ = incarnation;
@@ -21,23 +22,25 @@
     closed_at_ = now;
   }
 
-  /// The worker's incarnation has ended, but no heartbeat has told its number: the first number
-  /// seen from now on is taken to be that incarnation's.
+  /// Closes the worker's incarnation while its number is unknown, because no heartbeat has been
+  /// received. The first number that is seen later is taken to be that of the closed incarnation.
+  /// Has no effect if an incarnation was closed before.
   void close_unheard(Time now) {
     if (closed_at_ != 0) return;
     unknown_ = true;
     closed_at_ = now;
   }
 
-  /// Whether heartbeats of that incarnation may be believed.
+  /// True if heartbeats of the incarnation may be accepted.
   bool admits(std::uint64_t incarnation) {
     if (unknown_) last_closed_ = incarnation;
     unknown_ = false;
     return incarnation > last_closed_;
   }
 
-  /// The worker responded, in that incarnation, to a request that was sent at `asked`: only a
-  /// response to a request that is later than the close proves the incarnation alive.
+  /// Reopens the incarnation if the worker responded in it to a request that was sent at `asked`,
+  /// and no incarnation was closed after that time. A response to an earlier request doesn't prove
+  /// that the incarnation is still alive.
   void answered(std::uint64_t incarnation, Time asked) {
     if (closed_at_ == 0 || asked < closed_at_) return;
     if (!unknown_ && incarnation > last_closed_) return;
@@ -45,13 +48,13 @@
     unknown_ = false;
   }
 
-  /// When an incarnation was last closed; 0: never.
+  /// The time at which an incarnation was last closed; 0 if none was.
   [[nodiscard]] Time closed_at() const { return closed_at_; }
 
  private:
-  /// Incarnations up to this one have ended; 0: none.
+  /// Incarnations up to this one have ended; 0 if none has.
   std::uint64_t last_closed_ = 0;
-  /// An incarnation has ended whose number is not known yet.
+  /// True if an incarnation has ended whose number is not known yet.
   bool unknown_ = false;
   Time closed_at_ = 0;
 };
--- a/src/storage/share_records.cpp
+++ b/src/storage/share_records.cpp
@@ -11,7 +11,8 @@
 namespace sailreel {
 namespace {
 
-/// Keys must not contain spaces, and a slash would separate levels of the key.
+/// Escapes a name for use in a key: keys must not contain spaces, and a slash would separate levels
+/// of the key.
 std::string escaped(const std::string& name) {
   static constexpr char kDigits[] = "0123456789abcdef";
   std::string out;
@@ -34,7 +35,7 @@
               [&](std::int64_t amount) { writer.Int64(amount); });
 }
 
-/// Two whole numbers that are not negative: CPUs and GPUs.
+/// Reads a member that is an array of two non-negative integers, CPUs and GPUs; empty if it isn't.
 std::optional<Amounts> get_amounts(const json::Value& object, const char* name) {
   const json::Value* list = json::member(object, name);
   if (list == nullptr || !list->IsArray() || list->Size() != 2 || !(*list)[0].IsInt64() ||
--- a/src/storage/snapshot.cpp
+++ b/src/storage/snapshot.cpp
@@ -13,7 +13,8 @@
     leader = item.deleted ? std::nullopt : decode_leader(item.value).to_optional();
     return;
   }
-  // Kept as they are: what a damaged value means is decided where quota shares are decoded.
+  // Values about quota shares are kept undecoded. The code that decodes them decides how to handle
+  // a damaged value.
   if (key.starts_with(kSharePrefix) || key.starts_with(kTransferPrefix)) {
     share_values[key] = item.value;
     return;
@@ -94,7 +95,7 @@
   apply_jobs(doc, kManifestKey);
 }
 
-/// Takes over the job records of the manifest or of a shard.
+/// Adds the job records of the manifest or of a shard.
 void Snapshot::apply_jobs(const json::Document& doc, const std::string& key) {
   const json::Value* list = json::member(doc, "t");
   if (list == nullptr || !list->IsArray()) {
@@ -111,7 +112,8 @@
 void Snapshot::add_job(JobRecord record, std::optional<std::size_t> shard) {
   const std::string id = record.spec.id;
   if (shard) {
-    // A job that was moved is in several shards; the last one is its own, see `JobShards`.
+    // A job that was moved is in several shards. Its current shard is the one with the highest
+    // number; see `JobShards`.
     const auto [location, inserted] = shard_of.try_emplace(id, *shard);
     if (!inserted) location->second = std::max(location->second, *shard);
   } else {
--- a/src/storage/snapshot.hpp
+++ b/src/storage/snapshot.hpp
@@ -1,4 +1,4 @@
-// A copy of the checkpoint in memory, as the key-value store has it.
+// An in-memory copy of the checkpoint that the key-value store holds.
 #pragma once
 
 #include <cstddef>
@@ -18,34 +18,36 @@
 
 namespace sailreel {
 
-/// Built by applying each value that was read, and kept up to date by applying changes. Owns
-/// everything that it holds.
+/// The decoded values of the checkpoint. A snapshot is built by applying each value that is read,
+/// and kept up to date by applying changes. It owns everything that it holds.
 class Snapshot {
  public:
-  /// Takes over a value, or its deletion. Values that can't be decoded are named in `unreadable`.
+  /// Applies a value or its deletion. Keys of values that can't be decoded are added to
+  /// `unreadable`.
   void apply(const KvItem& item);
 
   std::optional<LeaderRecord> leader;
   std::uint64_t epoch = 0, epoch_version = 0;
   Manifest manifest;
   std::uint64_t manifest_version = 0;
-  /// By id; of several records of a job, the one that was changed last.
+  /// Jobs by id. If a job has several records, this is the one that was changed last.
   std::unordered_map<std::string, JobRecord> jobs;
-  /// The shard of each job by its id; jobs that are only in the manifest are missing.
+  /// The shard of each job, by the job's id. Jobs that are only in the manifest have no entry.
   std::unordered_map<std::string, std::size_t> shard_of;
-  /// Bytes of the shards' values.
+  /// The size in bytes of each job shard's value, by shard.
   std::map<std::size_t, std::size_t> shard_bytes;
+  /// Machines by shard.
   std::map<std::size_t, std::vector<MachineRecord>> machines;
   /// Ids of the jobs whose records are in the manifest.
   std::vector<std::string> in_manifest;
   Features features;
-  /// Values about quota shares, by their keys; see share_records.hpp.
+  /// Undecoded values about quota shares, by key; see share_records.hpp.
   std::map<std::string, std::string> share_values;
-  /// Digits of bitmaps, by job and number of the piece.
+  /// Hex digits of bitmap pieces, by job id and number of the piece.
   using Pieces = std::map<std::pair<std::string, std::size_t>, std::string>;
   Pieces pieces, small_pieces;
-  /// Keys of values that could not be decoded, or not as a whole. What they held is unknown, not
-  /// missing.
+  /// Keys of values that could not be decoded completely. What these values hold is unknown, and
+  /// must not be treated as missing.
   std::set<std::string> unreadable;
 
  private:
--- a/src/storage/tables.cpp
+++ b/src/storage/tables.cpp
@@ -24,7 +24,7 @@
       return q.held && q.job != nullptr && q.state <= AttemptState::Fetching;
     };
     if (!fetched(*p) || has_image(p->job->spec().image)) continue;
-    // Tasks that need the same image share its fetch.
+    // Tasks that need the same image share one fetch.
     n += std::none_of(attempts.begin(), p, [&](const TaskAttempt& q) {
       return fetched(q) && q.job->spec().image == p->job->spec().image;
     });
@@ -302,10 +302,11 @@
 
 bool Tables::zone_open(const Job& job, const std::string& zone) {
   const JobSpec& s = job.spec();
-  // Tasks whose place isn't known yet could be in any zone.
+  // Tasks whose machine isn't known yet could be in any zone.
   if ((s.one_zone || s.spread) && job.unknown > 0) return false;
-  // Known in two zones, for whatever reason, it gets no place until one of them is left: either of
-  // the two once counted as its zone (incident held-reports).
+  // A job whose tasks are known in two zones gets no place until its tasks are left in only one of
+  // them. Delayed heartbeats once made tasks known in two zones, and either zone was then accepted
+  // as that of the job.
   if (s.one_zone && !job.only_in(zone)) return false;
   return !s.spread || job.tasks_in(zone) < job.zone_cap();
 }
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -1,5 +1,5 @@
-// Bookkeeping of jobs, tasks, machines and quotas. Tables only: decisions are made elsewhere. Times
-// in ms unless stated otherwise.
+// Bookkeeping of jobs, tasks, machines and quotas. The tables hold state and make no decisions.
+// Times are in ms unless stated otherwise.
 #pragma once
 
 #include <array>
@@ -26,88 +26,92 @@
 /// Why a machine accepts no more work and is terminated once it is empty.
 enum class CordonCause : std::uint8_t { SpotNotice, Faulty };
 
-/// What is known of where a task is.
+/// What is known about the location of a task.
 enum class TaskState : std::uint8_t {
   Queued,   // certainly on no machine
-  Unknown,  // may be on a machine that hasn't been heard since the failover
-  Placed,   // bound to a machine: from the decision until certainly gone
+  Unknown,  // may be on a machine that hasn't sent a heartbeat since the failover
+  Placed,   // bound to a machine, from the decision until the task is certainly gone
   Done
 };
 
 struct Task {
   TaskState state = TaskState::Queued;
-  Machine* machine = nullptr;
-  Time not_before = 0;
+  Machine* machine = nullptr;  // that the task is bound to
+  Time not_before = 0;         // not to be placed earlier
 };
 
-/// An attempt that is on a machine although its task has another place, or none.
+/// An attempt that is on a machine although its task is bound to another machine, or to none.
 struct OrphanedAttempt {
-  std::uint32_t index = 0;
+  std::uint32_t index = 0;  // of the task
   std::string zone;
 };
 
 /// A job with its tasks. Owned by Tables; `team` is null if the settings do not name the team.
 struct Job {
   JobRecord record;
-  bool committed = false;                 // its acceptance is in the checkpoint
-  Phase committed_phase = Phase::Active;  // what users may be told
-  std::uint32_t started = 0;              // as the checkpoint has it: tasks below may have started
+  bool committed = false;                 // the checkpoint contains the job
+  Phase committed_phase = Phase::Active;  // in the checkpoint, which users may be told
+  /// `JobRecord::started` in the checkpoint.
+  std::uint32_t started = 0;
   bool dirty = false;  // differs from the checkpoint; the next commit includes it
-  /// Its record as the checkpoint has it, and as the commit in flight would leave it.
+  /// The encoded record in the checkpoint, and the one that the commit in flight would store.
   std::string stored, in_flight_record;
-  std::optional<Phase> in_flight_phase;  // as in the commit in flight, if that changes it
-  /// Small pieces of its bitmap that differ from the checkpoint's.
+  std::optional<Phase> in_flight_phase;  // in the commit in flight, if it changes the phase
+  /// Numbers of the small pieces of the bitmap that differ from the checkpoint.
   std::set<std::size_t> dirty_pieces;
-  /// Which pieces may be in the checkpoint: they are deleted once the job is over.
+  /// True if pieces of the size may be in the checkpoint. They are deleted once the job is over.
   bool has_pieces = false, has_small_pieces = false;
-  std::uint64_t order = 0;  // of acceptance
+  std::uint64_t order = 0;  // position in the order in which jobs were accepted
   TeamQuota* team = nullptr;
-  bool guaranteed = false;  // fits, with its team's earlier jobs, into the guaranteed quota
+  /// The job and its team's earlier unfinished jobs fit into the team's guaranteed quota.
+  bool guaranteed = false;
   Time accepted = 0;
   std::vector<Task> tasks;
+  /// Numbers of tasks.
   std::uint32_t queued = 0, unknown = 0, placed = 0, running = 0;
-  std::uint32_t next_queued = 0;                  // no task below is queued
-  std::map<std::string, std::uint32_t> per_zone;  // placed tasks
+  std::uint32_t next_queued = 0;                  // no task with a lower index is queued
+  std::map<std::string, std::uint32_t> per_zone;  // placed tasks by zone
   std::vector<OrphanedAttempt> orphans;
-  /// Machines that have, or had, an attempt that names the job.
+  /// Names of machines that have, or had, an attempt of one of the job's tasks.
   std::set<std::string> machines_used;
-  std::set<std::string> error_machines;
-  std::uint32_t errors = 0;
-  bool proven = false;  // a task of it has run as it should
-  Time not_before = 0;
+  std::set<std::string> error_machines;  // where tasks of the job have failed
+  std::uint32_t errors = 0;              // attempts that failed
+  bool proven = false;  // a task has completed, or has run for several heartbeat intervals
+  Time not_before = 0;  // no task is to be placed earlier
 
   [[nodiscard]] const JobSpec& spec() const { return record.spec; }
-  /// True if the commit in flight may change what users may be told.
+  /// True if the commit in flight may change the phase that users may be told.
   [[nodiscard]] bool in_doubt() const {
     return in_flight_phase && *in_flight_phase != committed_phase;
   }
-  /// True if the job is still to be served.
+  /// True if the job is neither over nor being cancelled.
   [[nodiscard]] bool active() const {
     return record.phase == Phase::Active && !record.cancel_asked;
   }
-  /// It has failed on several machines and run on none: more likely it was submitted with a mistake
-  /// than that all of these are faulty.
+  /// True if tasks of the job have failed on several machines and none is known to run properly. A
+  /// mistake in the job is then more likely than a fault of all these machines.
   [[nodiscard]] bool suspect() const { return !proven && error_machines.size() > 1; }
-  /// True if no task of it is known outside of the zone.
+  /// True if no task or orphaned attempt of the job is known outside the zone.
   [[nodiscard]] bool only_in(const std::string& zone) const;
-  /// How many tasks of it are known in the zone.
+  /// The number of placed tasks and orphaned attempts of the job that are known in the zone.
   [[nodiscard]] std::uint32_t tasks_in(const std::string& zone) const;
-  /// True if the task may still be on a machine other than its place.
+  /// True if an orphaned attempt of the task may still be on a machine.
   [[nodiscard]] bool has_orphan(std::uint32_t index) const;
-  /// How many tasks may be in one zone.
+  /// The maximum number of the job's tasks in one zone.
   [[nodiscard]] std::uint32_t zone_cap() const {
     return spec().spread ? (spec().tasks + 1) / 2 : spec().tasks;
   }
 };
 
-/// The summary of a finished job.
+/// The summary of a job that has ended.
 struct FinishedJob {
   Phase phase = Phase::Done;
   std::uint32_t tasks = 0;
   std::uint64_t seq = 0;
 };
 
-/// In the order of a task's life. Waiting: for the other tasks of its gang.
+/// States of an attempt, in the order in which it passes through them. An attempt in state
+/// `Waiting` waits for the other tasks of its gang.
 enum class AttemptState : std::uint8_t {
   Reserved,
   Sent,
@@ -120,31 +124,33 @@
 
 /// One attempt of a task on a machine.
 struct TaskAttempt {
-  Job* job = nullptr;        // null: not a task's current attempt
-  Job* orphan_of = nullptr;  // the job of an orphaned attempt, while it is held
+  Job* job = nullptr;        // null for an orphaned attempt, or if the job is unknown
+  Job* orphan_of = nullptr;  // the job of an orphaned attempt, for as long as that is held
   TeamQuota* team = nullptr;
   TaskKey key;
   Resources need;
   std::uint64_t attempt = 0;
   AttemptState state = AttemptState::Reserved;
   ExitCause cause = ExitCause::None;
-  std::uint64_t sent_seq = 0;  // of the heartbeat whose response carried the start
-  std::uint32_t sends = 0;
-  Time since = 0;  // of the state
+  std::uint64_t sent_seq = 0;  // of the heartbeat whose response carried the start command
+  std::uint32_t sends = 0;     // how often the start command was sent
+  Time since = 0;              // when the attempt entered its state
   Time running_since = 0;
-  bool migrating = false;  // to be stopped when the target machine's heartbeat is about to come
+  bool migrating = false;  // to be stopped shortly before the target machine's next heartbeat
   bool stop = false;       // to be stopped
-  double grace_s = 0;
-  bool held = false;            // counts as the task's place, against machine and team
-  bool exit_committed = false;  // exited, and the consequences are in the checkpoint
+  double grace_s = 0;      // how long the task may take to exit after a stop command
+  bool held = false;       // counts against the machine's room and the team's quota
+  /// The attempt has exited and the checkpoint reflects that, so the worker may forget it.
+  bool exit_committed = false;
 };
 
-/// An image that a machine is fetching, as far as we know.
+/// The fetch of an image that a machine is thought to be fetching.
 struct Fetch {
   std::string image;
   Time since = 0;
-  double alone_s = 0;   // how long it would take with the machine's rate for itself
-  double beside_s = 0;  // the same of those that began with it and finished before it
+  double alone_s = 0;  // duration if the fetch has the machine's whole rate
+  /// Sum of `alone_s` over the fetches that began at about the same time and ended before this one.
+  double beside_s = 0;
 };
 
 /// A machine, as known from the checkpoint, the cloud's list and its heartbeats. Owned by Tables.
@@ -153,41 +159,44 @@
   bool spot = false;
   Resources size, used;
   double cache_gb = 0;
-  bool sized = false;  // its type is known
-  bool listed_running = false;
-  bool heard_in_epoch = false;  // in this epoch, and under its fencing token
+  bool sized = false;           // its type is known
+  bool listed_running = false;  // the cloud's list shows it as running
+  bool heard_in_epoch = false;  // a heartbeat under this epoch's fencing token has been accepted
   bool recorded = false;        // the checkpoint lists it
-  bool record_dirty = false;
-  std::uint64_t incarnation = 0, seq = 0;
-  IncarnationFence incarnation_fence;  // incarnations that ended by our own proof
-  Time launched = 0;                   // or first heard of
-  Time last_heartbeat = 0;             // current, or a direct response
-  Time steady_since = 0;               // heard without a gap since then
-  Time last_own_heartbeat = 0;         // last heartbeat that it sent by itself
-  Time answered = 0;                   // last response that may have renewed its lease
-  Time idle_since = 0;
-  bool cordoned = false;                           // accepts no more work
+  bool record_dirty = false;    // a later commit is to add it to the checkpoint
+  std::uint64_t incarnation = 0, seq = 0;  // of the latest heartbeat
+  IncarnationFence incarnation_fence;      // incarnations that this leader knows to have ended
+  Time launched = 0;                       // when it was launched, or else first known
+  Time last_heartbeat = 0;                 // last heartbeat, or response to an inquiry
+  Time steady_since = 0;                   // heartbeats have arrived without a gap since then
+  Time last_own_heartbeat = 0;             // last heartbeat that it sent unasked
+  Time answered = 0;                       // when a response may last have renewed its lease
+  Time idle_since = 0;                     // 0 while it has attempts
+  bool cordoned = false;                   // accepts no more work
   CordonCause cordon_cause = CordonCause::Faulty;  // valid if it is cordoned and not terminating
-  bool draining = false;                           // accepts only work that has no other room
-  bool terminating = false;                        // a termination was or is to be sent
-  bool silent = false;
+  bool draining = false;                           // accepts only work that fits nowhere else
+  bool terminating = false;                        // its termination was requested, or is to be
+  bool silent = false;                             // its heartbeats are overdue
   Time silent_since = 0;
-  bool probing = false;
-  Time probe_at = 0;
-  std::uint64_t probe_incarnation = 1;
-  std::uint32_t probe_failures = 0;
-  Time probe_failed = 0;                 // when the last failed one was sent
-  Time notice_until = 0;                 // 0: no notice
-  Time fencing_token_refused_since = 0;  // heartbeats don't show our fencing token since then
-  bool lease_passed = false;             // before it ever adopted our fencing token
-  Time quarantined_until = 0;            // gets no work: it doesn't receive our responses
-  std::set<std::string> error_jobs;
+  bool probing = false;                 // an inquiry is in flight
+  Time probe_at = 0;                    // earliest time of the next inquiry
+  std::uint64_t probe_incarnation = 1;  // incarnation that the next inquiry is addressed to
+  std::uint32_t probe_failures = 0;     // successive inquiries that failed
+  Time probe_failed = 0;                // when the last inquiry that failed was sent
+  Time notice_until = 0;                // when the cloud preempts it; 0 if there is no notice
+  /// Its heartbeats have not shown our fencing token since then; 0 if they show it.
+  Time fencing_token_refused_since = 0;
+  bool lease_passed = false;  // its lease expired before it adopted our fencing token
+  /// Gets no work until then, for example because it doesn't receive our responses.
+  Time quarantined_until = 0;
+  std::set<std::string> error_jobs;  // jobs whose tasks failed on it
   std::vector<TaskAttempt> attempts;
   std::list<CachedImage> images;  // most recently used first
   std::vector<Fetch> fetching_now;
-  /// How many of its images belong to more important work, by priority.
+  /// For each priority, the number of cached images that work of a higher priority needs.
   std::array<std::uint32_t, kPriorities> reserved{};
-  /// Its indices among the machines of the current pass that accept work, and that have room.
+  /// Its indices among those machines of the current scheduling pass that accept work, and among
+  /// those that have room as well.
   std::optional<std::size_t> open_index, room_index;
 
   [[nodiscard]] Resources room() const {
@@ -195,48 +204,55 @@
     r -= used;
     return r;
   }
+  /// True if the image is thought to be in the cache.
   [[nodiscard]] bool has_image(const std::string& image) const;
+  /// True if a task that is placed on it hasn't finished fetching the image.
   [[nodiscard]] bool fetching(const std::string& image) const;
+  /// The number of images that its placed tasks are still to fetch.
   [[nodiscard]] std::size_t fetches() const;
   [[nodiscard]] bool empty() const { return attempts.empty(); }
+  /// Marks an image as the most recently used one. Adding one to a full cache evicts the least
+  /// recently used.
   void touch_image(const std::string& image, double gb);
+  /// Null if the machine has no such attempt.
   TaskAttempt* find(const TaskKey& key, std::uint64_t attempt);
 };
 
-/// A team's quotas from the settings, and what it uses of them.
+/// A team's quotas from the settings, and how much of them it uses.
 struct TeamQuota {
   Team limits;
-  Resources used;  // by all that may be on a machine
-  /// Where the limit spans regions: this region's cap. Empty: the whole limit.
+  Resources used;  // by all tasks that may be on a machine
+  /// This region's part of a limit that spans regions; empty if the whole limit applies.
   std::optional<double> cpus_cap, gpus_cap;
-  /// What the team may use here; empty if it may use any amount.
+  /// How much the team may use in this region; empty if it may use any amount.
   [[nodiscard]] std::optional<double> cpus_limit() const;
   [[nodiscard]] std::optional<double> gpus_limit() const;
-  /// True if that total may be used.
+  /// True if the team may use that total in this region.
   [[nodiscard]] bool within_cap(const Resources& total) const;
-  /// True if one more task keeps within the limit. A limit of 0 means unlimited.
+  /// True if the team may use `more` in addition to what it uses. A limit of 0 means unlimited.
   [[nodiscard]] bool allows(const Resources& more) const;
   /// True if that total is within the guaranteed quota; never true for a team without one.
   [[nodiscard]] bool within_guarantee(const Resources& total) const;
   /// The fraction of its guaranteed quota that the team uses, of GPUs or CPUs, whichever is larger;
-  /// at least 1 for a team without one. The queues are served in this order.
+  /// at least 1 for a team without a guaranteed quota. Of the teams' queues, the one with the
+  /// lowest fraction is served next.
   [[nodiscard]] double share() const;
 };
 
 /// Owns the jobs and machines. References and pointers to a job or machine are valid until it is
-/// removed, or until `clear`.
+/// removed or `clear` is called.
 class Tables {
  public:
   explicit Tables(const Settings& settings);
   void clear();
 
-  /// These look up by id or name; null if there is none.
+  /// Lookups by id or name; null if there is no match.
   Job* job(const std::string& id);
   Machine* machine(const std::string& name);
   TeamQuota* team(const std::string& name);
   const MachineType* type(const std::string& name) const;
 
-  /// Adds a job; its tasks that the record doesn't show as done are queued.
+  /// Adds a job and queues the tasks that its record doesn't show as done.
   Job& add_job(JobRecord record);
   void remove_job(const std::string& id);
   /// Returns the machine of that name, adding it if there is none; `now` in ms.
@@ -244,36 +260,38 @@
   void remove_machine(const std::string& name);
   /// The machines of a shard of the checkpoint, in the order of their names.
   [[nodiscard]] std::vector<const Machine*> machines_of_shard(std::size_t shard) const;
-  /// Sets a machine's size from its type, once types are known.
+  /// Sets a machine's size from its type, unless the size is set or the type isn't known.
   void size_machine(Machine& m) const;
 
-  /// Binds a task to a machine, counted against the machine's room, the team and the zone. The
-  /// attempt is in the machine's list; the reference is valid until that list changes.
+  /// Binds a task to a machine and counts it against the machine's room, the team's quota and the
+  /// zone. Returns the new attempt, which is in the machine's list; the reference is valid until
+  /// that list changes.
   TaskAttempt& place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt, Time now);
-  /// Counts an orphaned attempt against the machine, the team and the zone.
+  /// Counts an orphaned attempt against the machine's room, the team's quota and the zone.
   static void hold_orphan(Job& job, Machine& m, TaskAttempt& orphan);
-  /// Frees what an attempt holds; the task is queued again unless it is done.
+  /// Frees what an attempt holds. The task of a current attempt is queued again unless it is done.
   void unhold(Machine& m, TaskAttempt& p);
-  /// Removes the attempt from the machine's list.
+  /// Frees what the attempt at `index` holds, and removes it from the machine's list.
   void erase(Machine& m, std::size_t index);
-  /// True if the job's tasks may start there: type, zone, instance kind, and its other tasks'
-  /// zones.
+  /// True if tasks of the job may start on the machine, by the machine's type, zone and instance
+  /// kind and by the zones of the job's other tasks. The machine's room is not considered.
   [[nodiscard]] bool allowed(const Job& job, const Machine& m) const;
-  /// The part of `allowed` that is independent of other tasks, and the part that the job's other
-  /// tasks decide.
+  /// The part of `allowed` that is independent of the job's other tasks.
   [[nodiscard]] bool suits(const JobSpec& s, const Machine& m) const;
+  /// The part of `allowed` that depends on the job's other tasks.
   [[nodiscard]] static bool zone_open(const Job& job, const std::string& zone);
-  /// True if what is known of the job allows the tasks that it has in the zone.
+  /// True if the job's zone constraints allow the tasks that it is known to have in the zone.
   [[nodiscard]] static bool zone_allowed(const Job& job, const std::string& zone);
+  /// True if the job may run on machines of that type.
   [[nodiscard]] bool type_allowed(const JobSpec& s, const std::string& type) const;
-  /// Records a task as done; no effect if it is known already.
+  /// Records a task as done. Has no effect if the task is recorded as done already.
   void mark_done(Job& job, std::uint32_t index);
-  /// Queues the tasks that weren't found anywhere.
+  /// Queues the tasks in state `Unknown`, which weren't found on any machine.
   void unknown_to_queued(Job& job);
 
   std::unordered_map<std::string, std::unique_ptr<Job>> jobs;
-  std::map<std::uint64_t, Job*> in_order;                    // by acceptance
-  std::unordered_map<std::string, Priority> image_priority;  // the highest of its jobs
+  std::map<std::uint64_t, Job*> in_order;                    // by `Job::order`
+  std::unordered_map<std::string, Priority> image_priority;  // by image: the highest of its jobs
   std::unordered_map<std::string, FinishedJob> finished;
   std::map<std::string, std::unique_ptr<Machine>> machines;
   std::vector<MachineType> types;
--- a/tests/fixtures_test.cpp
+++ b/tests/fixtures_test.cpp
@@ -1,6 +1,7 @@
-// What the version in production sends and stores, byte for byte, against the present codecs. The
-// files were written by tests/production/write_fixtures.cpp, built from the production commit's
-// history: `build/tests/production/write_fixtures tests/fixtures/production`.
+// Checks that the present codecs read and write, byte for byte, what the version in production
+// sends and stores. The fixtures were written by tests/production/write_fixtures.cpp, which is
+// built with the sources of the commit in production: `build/tests/production/write_fixtures
+// tests/fixtures/production`.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -44,14 +45,15 @@
   EXPECT_EQ(read(fixture("answer.bin")).response.valid_ms, 2'500U);
 }
 
-// What is new in a heartbeat is one bit that the version in production ignores.
+// A present heartbeat differs from one of the version in production by one bit, which that version
+// ignores.
 TEST(ProductionFrames, DifferFromThePresentOnesByOneIgnoredBit) {
   const std::string before = fixture("heartbeat.bin");
   PeerMessage message = read(before);
   message.heartbeat.understands_gangs = true;
   const std::string after = encode_peer(message);
   ASSERT_EQ(after.size(), before.size());
-  constexpr std::size_t kFlags = 12 + 48;  // in the body behind the header
+  constexpr std::size_t kFlags = 12 + 48;  // 12 bytes of header, then 48 bytes of the body
   constexpr char kNewBit = 32;
   for (std::size_t i = 0; i < after.size(); ++i)
     EXPECT_EQ(after[i], i == kFlags ? before[i] | kNewBit : before[i]) << i;
--- a/tests/production/production_controller.cpp
+++ b/tests/production/production_controller.cpp
@@ -1,6 +1,6 @@
 // Translates between the present version's types and those of the version in production, whose
-// sources lie under `production/` in the build folder with their namespace renamed. What the wire
-// carries goes through the codecs of both.
+// sources are under `production/` in the build directory with their namespace renamed. Messages
+// between controllers are encoded with the codec of one version and decoded with that of the other.
 #include "production/production_controller.hpp"
 
 #include "production/coordination/core.hpp"
@@ -53,7 +53,8 @@
 
 old::Resources translate(const Resources& r) { return {r.cpus, r.gpus, r.memory_gb}; }
 
-// As its codec takes it from the wire: what it doesn't know is fetching, or failed.
+// Converts a heartbeat as the codec of the version in production decodes it: a run state that is
+// unknown to that version counts as fetching, and an unknown exit cause as an error.
 old::Report translate(const Heartbeat& r) {
   old::Report out;
   out.machine = r.machine;
@@ -102,8 +103,10 @@
   old::PeerReader reader;
   reader.feed(encode_peer(m));
   auto message = reader.next();
-  // A frame that it doesn't take breaks the link.
-  if (!message) throw std::runtime_error("the version in production does not read a frame");
+  // A frame that the version in production can't decode would close the link.
+  if (!message)
+    throw std::runtime_error(
+        "the version in production cannot decode a frame of the present version");
   return *message;
 }
 
@@ -111,7 +114,9 @@
   PeerReader reader;
   reader.feed(old::encode_peer(m));
   auto message = reader.next();
-  if (!message) throw std::runtime_error("a frame of the version in production is not read");
+  if (!message)
+    throw std::runtime_error(
+        "the present version cannot decode a frame of the version in production");
   return *message;
 }
 
@@ -139,7 +144,7 @@
         } else if constexpr (std::is_same_v<T, PeerDisconnected>) {
           return old::PeerLost{in.peer};
         } else {
-          throw std::logic_error("the version in production knows no such input");
+          throw std::logic_error("the version in production does not have this kind of input");
         }
       },
       input);
@@ -199,7 +204,7 @@
   ProductionController(const Settings& settings, std::uint64_t seed)
       : core_(translate(settings), old::Options{}, seed) {}
   std::vector<Action> step(Clock clock, Input input) override {
-    // It closes a link that brings a frame of a kind that it doesn't know.
+    // The version in production closes a link over which it receives a frame of an unknown kind.
     if (std::holds_alternative<RegionMessageReceived>(input)) return {};
     std::vector<Action> out;
     for (const old::Action& action : core_.step({clock.now, clock.wall_ms}, translate(input)))
--- a/tests/production/production_controller.hpp
+++ b/tests/production/production_controller.hpp
@@ -1,5 +1,5 @@
-// The controller of the version in production (`production` in deploy/service.toml), built from the
-// repository's history.
+// The controller of the version in production (`production` in deploy/service.toml), which is built
+// from the repository's history.
 #pragma once
 
 #include <memory>
@@ -8,6 +8,7 @@
 
 namespace sailreel::sim {
 
+/// Creates a controller of the version in production.
 std::unique_ptr<SimulatedController> make_production_controller(const Settings& settings,
                                                                 std::uint64_t seed);
 
--- a/tests/production/write_fixtures.cpp
+++ b/tests/production/write_fixtures.cpp
@@ -1,6 +1,6 @@
-// Writes what the version in production sends to its siblings and lays down in the checkpoint, byte
-// for byte, to the folder that is named: tests/fixtures/production holds its output. To be run
-// again only when `production` in deploy/service.toml names another commit.
+// Writes to the given folder, byte for byte, what the version in production sends to its peers and
+// stores in the checkpoint. tests/fixtures/production holds the output. Run it again only when
+// `production` in deploy/service.toml names another commit.
 #include <fstream>
 #include <iostream>
 
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,4 +1,5 @@
-// The checkpoint's stored form, its shards, and the compare-and-swap that writes it.
+// Tests the checkpoint's stored form, its shards, the compare-and-swap that writes it, and the
+// tables of jobs and machines.
 #include <gtest/gtest.h>
 
 #include <pcg_random.hpp>
@@ -142,7 +143,7 @@
   for (std::uint32_t i = 0; i < 3; ++i) t.place(job, i, m, i + 1, 0);
   EXPECT_FALSE(t.team("red")->allows(r.spec.need));
   EXPECT_EQ(m.room().gpus, 5);
-  // Done, but still to be unheld: it counts on.
+  // The task is done, but its attempt is still held and counts against the quota.
   t.mark_done(job, 0);
   EXPECT_FALSE(t.team("red")->allows(r.spec.need));
   t.erase(m, 0);
@@ -171,10 +172,10 @@
     EXPECT_TRUE(t.allowed(job, a));
     t.place(job, i, a, i + 1, 0);
   }
-  EXPECT_FALSE(t.allowed(job, a));  // 3 of 5 at most
+  EXPECT_FALSE(t.allowed(job, a));  // at most 3 of the 5 tasks may be in one zone
   EXPECT_TRUE(t.allowed(job, b));
   job.unknown = 1;
-  EXPECT_FALSE(t.allowed(job, b));  // one could be anywhere
+  EXPECT_FALSE(t.allowed(job, b));  // the unknown task could be in any zone
 }
 
 TEST(JobShards, AJobStaysInItsShardAndFullOnesTakeNoMore) {
@@ -182,7 +183,7 @@
   EXPECT_EQ(shards.place("job-1", 60), 0U);
   EXPECT_EQ(shards.place("job-2", 60), 1U);
   EXPECT_EQ(shards.place("job-3", 40), 0U);
-  EXPECT_EQ(shards.place("job-1", 500), 0U) << "its place doesn't depend on its size";
+  EXPECT_EQ(shards.place("job-1", 500), 0U) << "a job keeps its shard whatever its size";
   // A finished job's record is smaller, which leaves room for others.
   shards.set_reserve("job-1", 10);
   EXPECT_EQ(shards.place("job-4", 50), 0U);
