--- a/src/storage/checkpoint_keys.hpp
+++ b/src/storage/checkpoint_keys.hpp
@@ -49,6 +49,6 @@
 std::size_t machine_shard(std::string_view name);
 
 /// The decimal number that makes up the rest of the key after the prefix; empty for any other key.
-std::optional<std::size_t> number_after(std::string_view key, std::string_view prefix);
+std::optional<std::size_t> parse_number_after(std::string_view key, std::string_view prefix);
 
 }  // namespace sailreel
--- a/src/storage/checkpoint_records.cpp
+++ b/src/storage/checkpoint_records.cpp
@@ -39,43 +39,45 @@
   };
 };
 
-constexpr unsigned kOneZoneFlag = 1, kSpreadFlag = 2, kSpotFlag = 4, kCancelAskedFlag = 8;
+constexpr unsigned kOneZoneFlag = 1, kSpreadFlag = 2, kSpotFlag = 4, kCancelRequestedFlag = 8;
 
 std::string text_or_empty(const json::Value& value) {
   return value.IsString() ? std::string(value.GetString(), value.GetStringLength()) : std::string();
 }
 
 void decode_description(const json::Value& value, JobRecord& record) {
-  const auto number = [&](unsigned at) {
-    return value[at].IsNumber() ? value[at].GetDouble() : 0.0;
+  const auto number_at = [&](unsigned position) {
+    return value[position].IsNumber() ? value[position].GetDouble() : 0.0;
+  };
+  const auto integer_at = [&](unsigned position) {
+    return value[position].IsUint64() ? value[position].GetUint64() : 0;
   };
-  const auto whole = [&](unsigned at) { return value[at].IsUint64() ? value[at].GetUint64() : 0; };
   JobSpec& spec = record.spec;
   spec.job_class = text_or_empty(value[Position::JobClass]);
   spec.team = text_or_empty(value[Position::Team]);
-  spec.kind = static_cast<JobKind>(whole(Position::Kind));
-  spec.priority = static_cast<Priority>(whole(Position::Priority));
-  spec.need = {number(Position::Cpus), number(Position::Gpus), number(Position::MemoryGb)};
+  spec.kind = static_cast<JobKind>(integer_at(Position::Kind));
+  spec.priority = static_cast<Priority>(integer_at(Position::Priority));
+  spec.need = {number_at(Position::Cpus), number_at(Position::Gpus), number_at(Position::MemoryGb)};
   spec.image = text_or_empty(value[Position::Image]);
-  spec.image_gb = number(Position::ImageGb);
+  spec.image_gb = number_at(Position::ImageGb);
   spec.any_type = !value[Position::Types].IsArray();
   if (!spec.any_type)
     for (const auto& type : value[Position::Types].GetArray())
       spec.types.push_back(text_or_empty(type));
   spec.zone = text_or_empty(value[Position::Zone]);
-  const std::uint64_t flags = whole(Position::Flags);
+  const std::uint64_t flags = integer_at(Position::Flags);
   spec.one_zone = (flags & kOneZoneFlag) != 0;
   spec.spread = (flags & kSpreadFlag) != 0;
   spec.spot = (flags & kSpotFlag) != 0;
-  record.cancel_asked = (flags & kCancelAskedFlag) != 0;
-  spec.estimate_s = number(Position::Estimate);
-  spec.checkpoint_s = number(Position::CheckpointInterval);
-  spec.save_s = number(Position::SaveTime);
+  record.cancel_asked = (flags & kCancelRequestedFlag) != 0;
+  spec.estimate_s = number_at(Position::Estimate);
+  spec.checkpoint_s = number_at(Position::CheckpointInterval);
+  spec.save_s = number_at(Position::SaveTime);
   if (value[Position::Deadline].IsNumber()) spec.deadline_s = value[Position::Deadline].GetDouble();
-  record.submitted_wall_ms = static_cast<std::int64_t>(whole(Position::SubmittedWallMs));
+  record.submitted_wall_ms = static_cast<std::int64_t>(integer_at(Position::SubmittedWallMs));
   record.done = Bitmap(spec.tasks);
   record.done.merge_hex(0, text_or_empty(value[Position::DoneBits]));
-  record.started = static_cast<std::uint32_t>(whole(Position::Started));
+  record.started = static_cast<std::uint32_t>(integer_at(Position::Started));
 }
 
 void write_description(json::Writer& writer, const JobRecord& record) {
@@ -98,7 +100,7 @@
   }
   json::put(writer, spec.zone);
   writer.Uint((spec.one_zone ? kOneZoneFlag : 0U) | (spec.spread ? kSpreadFlag : 0U) |
-              (spec.spot ? kSpotFlag : 0U) | (record.cancel_asked ? kCancelAskedFlag : 0U));
+              (spec.spot ? kSpotFlag : 0U) | (record.cancel_asked ? kCancelRequestedFlag : 0U));
   writer.Double(spec.estimate_s);
   writer.Double(spec.checkpoint_s);
   writer.Double(spec.save_s);
@@ -113,7 +115,7 @@
 }
 
 /// A member of a JSON object: its value is the array of the encoded records.
-std::string list_member(const char* name, const std::vector<std::string>& records) {
+std::string array_member(const char* name, const std::vector<std::string>& records) {
   std::string out = std::string("\"") + name + "\":[";
   for (std::size_t i = 0; i < records.size(); ++i) {
     if (i != 0) out += ',';
@@ -154,12 +156,14 @@
   if (!value.IsArray() ||
       (value.Size() != Position::FinalSize && value.Size() != Position::ActiveSize))
     return invalid("record");
-  const auto whole = [&](unsigned at) { return value[at].IsUint64() ? value[at].GetUint64() : 0; };
+  const auto integer_at = [&](unsigned position) {
+    return value[position].IsUint64() ? value[position].GetUint64() : 0;
+  };
   JobRecord record;
   record.spec.id = text_or_empty(value[Position::Id]);
-  record.phase = static_cast<Phase>(whole(Position::Phase));
-  record.seq = whole(Position::Sequence);
-  record.spec.tasks = static_cast<std::uint32_t>(whole(Position::Tasks));
+  record.phase = static_cast<Phase>(integer_at(Position::Phase));
+  record.seq = integer_at(Position::Sequence);
+  record.spec.tasks = static_cast<std::uint32_t>(integer_at(Position::Tasks));
   if (record.spec.id.empty()) return invalid("id");
   if (record.spec.tasks == 0) return invalid("tasks");
   record.final = value.Size() == Position::FinalSize;
@@ -217,14 +221,15 @@
   return json::text(buffer);
 }
 
-std::string encode_machines_within(std::vector<MachineRecord> machines, std::size_t limit) {
-  std::size_t images = 0;
-  for (const MachineRecord& machine : machines) images = std::max(images, machine.images.size());
+std::string encode_machines_within(std::vector<MachineRecord> machines, std::size_t limit_bytes) {
+  std::size_t image_limit = 0;
+  for (const MachineRecord& machine : machines)
+    image_limit = std::max(image_limit, machine.images.size());
   std::string value = encode_machines(machines);
-  while (value.size() > limit && images > 0) {
-    images = images * 3 / 4;
+  while (value.size() > limit_bytes && image_limit > 0) {
+    image_limit = image_limit * 3 / 4;
     for (MachineRecord& machine : machines)
-      if (machine.images.size() > images) machine.images.resize(images);
+      if (machine.images.size() > image_limit) machine.images.resize(image_limit);
     value = encode_machines(machines);
   }
   return value;
@@ -256,7 +261,7 @@
   }
   writer.EndArray();
   return "{\"q\":" + std::to_string(manifest.seq) + ",\"e\":" + std::to_string(manifest.epoch) +
-         ",\"r\":" + json::text(buffer) + "," + list_member("t", records) + "}";
+         ",\"r\":" + json::text(buffer) + "," + array_member("t", records) + "}";
 }
 
 std::vector<ScaleOutRequest> decode_scale_outs(const json::Value& manifest) {
@@ -271,7 +276,7 @@
 }
 
 std::string encode_shard(const std::vector<std::string>& records) {
-  return "{" + list_member("t", records) + "}";
+  return "{" + array_member("t", records) + "}";
 }
 
 }  // namespace sailreel
--- a/src/storage/checkpoint_records.hpp
+++ b/src/storage/checkpoint_records.hpp
@@ -84,10 +84,10 @@
 };
 /// Encodes a shard of machines.
 std::string encode_machines(const std::vector<MachineRecord>& machines);
-/// Encodes a shard of machines in at most `limit` bytes, as far as leaving out images can achieve
-/// that. The least recently used images are left out first. Images may be left out because only the
-/// machines have to be known.
-std::string encode_machines_within(std::vector<MachineRecord> machines, std::size_t limit);
+/// Encodes a shard of machines in at most `limit_bytes` bytes, as far as leaving out images can
+/// achieve that. The least recently used images are left out first. Images may be left out because
+/// only the machines have to be known.
+std::string encode_machines_within(std::vector<MachineRecord> machines, std::size_t limit_bytes);
 /// Decodes one machine of a shard. Images without a size are left out.
 Decoded<MachineRecord> decode_machine(const json::Value& value);
 
--- a/src/storage/compare_and_swap_builder.hpp
+++ b/src/storage/compare_and_swap_builder.hpp
@@ -20,7 +20,7 @@
       : max_operations_(max_operations), bytes_(reserved_bytes) {}
 
   /// Replaces the limit on the number of operations. Operations that were added before are kept.
-  void limit_operations(std::size_t most) { max_operations_ = most; }
+  void limit_operations(std::size_t max_operations) { max_operations_ = max_operations; }
   /// The number of operations, including the one that is set aside.
   [[nodiscard]] std::size_t operations() const { return operations_; }
 
@@ -51,12 +51,12 @@
 
   /// Returns the request without a manifest. The builder can't be used afterwards.
   KvRequest finish(std::vector<KvRequest::Condition> conditions) && {
-    KvRequest call;
-    call.kind = KvRequest::Kind::Txn;
-    call.conditions = std::move(conditions);
-    call.puts = std::move(puts_);
-    call.deletes = std::move(deletes_);
-    return call;
+    KvRequest request;
+    request.kind = KvRequest::Kind::Txn;
+    request.conditions = std::move(conditions);
+    request.puts = std::move(puts_);
+    request.deletes = std::move(deletes_);
+    return request;
   }
 
  private:
--- a/src/storage/incarnation_fence.hpp
+++ b/src/storage/incarnation_fence.hpp
@@ -16,9 +16,9 @@
  public:
   /// Closes this incarnation and all before it: since `now`, they are known to have ended.
   void close(std::uint64_t incarnation, Time now) {
-    if (!unknown_ && incarnation <= last_closed_) return;
+    if (!closed_number_unknown_ && incarnation <= last_closed_) return;
     last_closed_ = incarnation;
-    unknown_ = false;
+    closed_number_unknown_ = false;
     closed_at_ = now;
   }
 
@@ -27,25 +27,25 @@
   /// Has no effect if an incarnation was closed before.
   void close_unheard(Time now) {
     if (closed_at_ != 0) return;
-    unknown_ = true;
+    closed_number_unknown_ = true;
     closed_at_ = now;
   }
 
   /// True if heartbeats of the incarnation may be accepted.
   bool admits(std::uint64_t incarnation) {
-    if (unknown_) last_closed_ = incarnation;
-    unknown_ = false;
+    if (closed_number_unknown_) last_closed_ = incarnation;
+    closed_number_unknown_ = false;
     return incarnation > last_closed_;
   }
 
-  /// Reopens the incarnation if the worker responded in it to a request that was sent at `asked`,
-  /// and no incarnation was closed after that time. A response to an earlier request doesn't prove
-  /// that the incarnation is still alive.
-  void answered(std::uint64_t incarnation, Time asked) {
-    if (closed_at_ == 0 || asked < closed_at_) return;
-    if (!unknown_ && incarnation > last_closed_) return;
+  /// Reopens the incarnation if the worker responded in it to a request that was sent at
+  /// `request_sent_at`, and no incarnation was closed after that time. A response to an earlier
+  /// request doesn't prove that the incarnation is still alive.
+  void answered(std::uint64_t incarnation, Time request_sent_at) {
+    if (closed_at_ == 0 || request_sent_at < closed_at_) return;
+    if (!closed_number_unknown_ && incarnation > last_closed_) return;
     last_closed_ = incarnation - 1;
-    unknown_ = false;
+    closed_number_unknown_ = false;
   }
 
   /// The time at which an incarnation was last closed; 0 if none was.
@@ -55,7 +55,7 @@
   /// Incarnations up to this one have ended; 0 if none has.
   std::uint64_t last_closed_ = 0;
   /// True if an incarnation has ended whose number is not known yet.
-  bool unknown_ = false;
+  bool closed_number_unknown_ = false;
   Time closed_at_ = 0;
 };
 
--- a/src/storage/job_shards.hpp
+++ b/src/storage/job_shards.hpp
@@ -27,11 +27,11 @@
   /// them one.
   void close(std::size_t shard);
   /// Records that the checkpoint stores the job in that shard. Ignored if the shard is closed.
-  void add(const std::string& id, std::size_t shard, std::size_t reserve);
+  void add(const std::string& id, std::size_t shard, std::size_t reserved_bytes);
   /// Returns the job's shard. A job that has none yet is assigned the first shard with room for it.
-  std::size_t place(const std::string& id, std::size_t reserve);
+  std::size_t place(const std::string& id, std::size_t reserved_bytes);
   /// Changes the bytes that are set aside for a job, which must have a shard.
-  void set_reserve(const std::string& id, std::size_t reserve);
+  void set_reserve(const std::string& id, std::size_t reserved_bytes);
   /// The jobs of a shard that was passed to, or returned by, another function of this object. The
   /// reference is valid until the next change.
   [[nodiscard]] const std::set<std::string>& jobs_in(std::size_t shard) const {
@@ -41,12 +41,12 @@
  private:
   struct Shard {
     std::set<std::string> jobs;
-    std::size_t reserved = 0;
+    std::size_t reserved_bytes = 0;
     bool closed = false;
   };
   struct Location {
     std::size_t shard = 0;
-    std::size_t reserve = 0;
+    std::size_t reserved_bytes = 0;
   };
   Shard& shard_at(std::size_t shard);
 
--- a/src/storage/share_records.cpp
+++ b/src/storage/share_records.cpp
@@ -13,8 +13,8 @@
 
 /// Escapes a name for use in a key: keys must not contain spaces, and a slash would separate levels
 /// of the key.
-std::string escaped(const std::string& name) {
-  static constexpr char kDigits[] = "0123456789abcdef";
+std::string escape_name(const std::string& name) {
+  static constexpr char kHexDigits[] = "0123456789abcdef";
   std::string out;
   for (const char c : name) {
     const auto byte = static_cast<unsigned char>(c);
@@ -22,8 +22,8 @@
       out += c;
     } else {
       out += '%';
-      out += kDigits[byte / 16];
-      out += kDigits[byte % 16];
+      out += kHexDigits[byte / 16];
+      out += kHexDigits[byte % 16];
     }
   }
   return out;
@@ -90,8 +90,10 @@
 
 }  // namespace
 
-std::string share_key(const std::string& team) { return kSharePrefix + escaped(team); }
-std::string transfer_key(const std::string& region) { return kTransferPrefix + escaped(region); }
+std::string share_key(const std::string& team) { return kSharePrefix + escape_name(team); }
+std::string transfer_key(const std::string& region) {
+  return kTransferPrefix + escape_name(region);
+}
 
 std::string encode_share(const std::string& team, const ShareRecord& record) {
   rapidjson::StringBuffer buffer;
--- a/src/storage/snapshot.cpp
+++ b/src/storage/snapshot.cpp
@@ -56,7 +56,7 @@
   const std::string& key = item.key;
   const auto slash = key.rfind('/');
   const std::string job = key.substr(prefix.size(), slash - prefix.size());
-  const auto piece = number_after(key, key.substr(0, slash + 1));
+  const auto piece = parse_number_after(key, key.substr(0, slash + 1));
   if (!piece) return;
   if (item.deleted) {
     target.erase({job, *piece});
--- a/src/storage/tables.cpp
+++ b/src/storage/tables.cpp
@@ -11,25 +11,26 @@
 }
 
 bool Machine::fetching(const std::string& image) const {
-  return std::any_of(attempts.begin(), attempts.end(), [&](const TaskAttempt& p) {
-    return p.held && p.job != nullptr && p.state <= AttemptState::Fetching &&
-           p.job->spec().image == image;
+  return std::any_of(attempts.begin(), attempts.end(), [&](const TaskAttempt& attempt) {
+    return attempt.held && attempt.job != nullptr && attempt.state <= AttemptState::Fetching &&
+           attempt.job->spec().image == image;
   });
 }
 
 std::size_t Machine::fetches() const {
-  std::size_t n = 0;
-  for (auto p = attempts.begin(); p != attempts.end(); ++p) {
-    const auto fetched = [&](const TaskAttempt& q) {
-      return q.held && q.job != nullptr && q.state <= AttemptState::Fetching;
+  std::size_t count = 0;
+  for (auto attempt = attempts.begin(); attempt != attempts.end(); ++attempt) {
+    const auto waits_for_image = [&](const TaskAttempt& candidate) {
+      return candidate.held && candidate.job != nullptr &&
+             candidate.state <= AttemptState::Fetching;
     };
-    if (!fetched(*p) || has_image(p->job->spec().image)) continue;
+    if (!waits_for_image(*attempt) || has_image(attempt->job->spec().image)) continue;
     // Tasks that need the same image share one fetch.
-    n += std::none_of(attempts.begin(), p, [&](const TaskAttempt& q) {
-      return fetched(q) && q.job->spec().image == p->job->spec().image;
+    count += std::none_of(attempts.begin(), attempt, [&](const TaskAttempt& earlier) {
+      return waits_for_image(earlier) && earlier.job->spec().image == attempt->job->spec().image;
     });
   }
-  return n;
+  return count;
 }
 
 void Machine::touch_image(const std::string& image, double gb) {
@@ -50,12 +51,14 @@
 }
 
 TaskAttempt* Machine::find(const TaskKey& key, std::uint64_t attempt) {
-  for (TaskAttempt& p : attempts)
-    if (p.attempt == attempt && p.key.index == key.index && p.key.job == key.job) return &p;
+  for (TaskAttempt& candidate : attempts)
+    if (candidate.attempt == attempt && candidate.key.index == key.index &&
+        candidate.key.job == key.job)
+      return &candidate;
   return nullptr;
 }
 
-bool Job::only_in(const std::string& zone) const {
+bool Job::confined_to(const std::string& zone) const {
   return std::all_of(per_zone.begin(), per_zone.end(),
                      [&](const auto& tasks) { return tasks.first == zone; }) &&
          std::all_of(orphans.begin(), orphans.end(),
@@ -78,16 +81,20 @@
 
 namespace {
 
-std::optional<double> lower_of(double limit, std::optional<double> cap) {
+std::optional<double> effective_limit(double limit, std::optional<double> cap) {
   if (limit <= 0) return {};
   return cap ? std::min(limit, *cap) : limit;
 }
 
 }  // namespace
 
-std::optional<double> TeamQuota::cpus_limit() const { return lower_of(limits.cpus_max, cpus_cap); }
+std::optional<double> TeamQuota::cpus_limit() const {
+  return effective_limit(limits.cpus_max, cpus_cap);
+}
 
-std::optional<double> TeamQuota::gpus_limit() const { return lower_of(limits.gpus_max, gpus_cap); }
+std::optional<double> TeamQuota::gpus_limit() const {
+  return effective_limit(limits.gpus_max, gpus_cap);
+}
 
 bool TeamQuota::within_cap(const Resources& total) const {
   constexpr double kSlack = 1e-6;
@@ -109,11 +116,11 @@
 }
 
 double TeamQuota::share() const {
-  double s = 0;
-  if (limits.gpus > 0) s = std::max(s, used.gpus / limits.gpus);
-  if (limits.cpus > 0) s = std::max(s, used.cpus / limits.cpus);
-  if (limits.gpus <= 0 && limits.cpus <= 0) s = 1 + used.gpus + used.cpus;
-  return s;
+  double fraction = 0;
+  if (limits.gpus > 0) fraction = std::max(fraction, used.gpus / limits.gpus);
+  if (limits.cpus > 0) fraction = std::max(fraction, used.cpus / limits.cpus);
+  if (limits.gpus <= 0 && limits.cpus <= 0) fraction = 1 + used.gpus + used.cpus;
+  return fraction;
 }
 
 Tables::Tables(const Settings& settings) {
@@ -155,22 +162,23 @@
 Job& Tables::add_job(JobRecord record) {
   auto job = std::make_unique<Job>();
   job->record = std::move(record);
-  const std::uint32_t n = job->spec().tasks;
-  if (job->record.done.size() != n) job->record.done = Bitmap(n);
-  job->tasks.resize(n);
-  for (std::uint32_t i = 0; i < n; ++i)
+  const std::uint32_t task_count = job->spec().tasks;
+  if (job->record.done.size() != task_count) job->record.done = Bitmap(task_count);
+  job->tasks.resize(task_count);
+  for (std::uint32_t i = 0; i < task_count; ++i)
     if (job->record.done.test(i))
       job->tasks[i].state = TaskState::Done;
     else
       ++job->queued;
   job->order = next_order_++;
   job->team = team(job->spec().team);
-  const auto [image, fresh] = image_priority.try_emplace(job->spec().image, job->spec().priority);
-  if (!fresh) image->second = std::min(image->second, job->spec().priority);
+  const auto [entry, inserted] =
+      image_priority.try_emplace(job->spec().image, job->spec().priority);
+  if (!inserted) entry->second = std::min(entry->second, job->spec().priority);
   in_order[job->order] = job.get();
-  Job& ref = *job;
-  jobs[ref.spec().id] = std::move(job);
-  return ref;
+  Job& added = *job;
+  jobs[added.spec().id] = std::move(job);
+  return added;
 }
 
 void Tables::remove_job(const std::string& id) {
@@ -209,16 +217,16 @@
   return out;
 }
 
-void Tables::size_machine(Machine& m) const {
-  if (m.sized || m.type.empty()) return;
-  if (const MachineType* t = type(m.type)) {
-    m.size = t->size;
-    m.cache_gb = t->cache_gb;
-    m.sized = true;
+void Tables::size_machine(Machine& machine) const {
+  if (machine.sized || machine.type.empty()) return;
+  if (const MachineType* machine_type = type(machine.type)) {
+    machine.size = machine_type->size;
+    machine.cache_gb = machine_type->cache_gb;
+    machine.sized = true;
   }
 }
 
-TaskAttempt& Tables::place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt,
+TaskAttempt& Tables::place(Job& job, std::uint32_t index, Machine& machine, std::uint64_t attempt,
                            Time now) {
   Task& task = job.tasks[index];
   if (task.state == TaskState::Queued) --job.queued;
@@ -227,94 +235,98 @@
     if (job.team != nullptr) job.team->used -= job.spec().need;
   }
   task.state = TaskState::Placed;
-  task.machine = &m;
+  task.machine = &machine;
   ++job.placed;
-  ++job.per_zone[m.zone];
-  job.machines_used.insert(m.name);
-  m.used += job.spec().need;
-  TaskAttempt p;
-  p.job = &job;
-  p.team = job.team;
-  p.key = {job.spec().id, index};
-  p.need = job.spec().need;
-  p.attempt = attempt;
-  p.since = now;
-  p.held = true;
-  if (p.team != nullptr) p.team->used += p.need;
-  m.attempts.push_back(std::move(p));
-  return m.attempts.back();
-}
-
-void Tables::hold_orphan(Job& job, Machine& m, TaskAttempt& orphan) {
+  ++job.per_zone[machine.zone];
+  job.machines_used.insert(machine.name);
+  machine.used += job.spec().need;
+  TaskAttempt new_attempt;
+  new_attempt.job = &job;
+  new_attempt.team = job.team;
+  new_attempt.key = {job.spec().id, index};
+  new_attempt.need = job.spec().need;
+  new_attempt.attempt = attempt;
+  new_attempt.since = now;
+  new_attempt.held = true;
+  if (new_attempt.team != nullptr) new_attempt.team->used += new_attempt.need;
+  machine.attempts.push_back(std::move(new_attempt));
+  return machine.attempts.back();
+}
+
+void Tables::hold_orphan(Job& job, Machine& machine, TaskAttempt& orphan) {
   orphan.held = true;
   orphan.orphan_of = &job;
   orphan.need = job.spec().need;
   orphan.team = job.team;
   // A team that the settings no longer name has no limit to count against.
   if (orphan.team != nullptr) orphan.team->used += orphan.need;
-  m.used += orphan.need;
-  job.orphans.push_back({orphan.key.index, m.zone});
-  job.machines_used.insert(m.name);
-}
-
-void Tables::unhold(Machine& m, TaskAttempt& p) {
-  if (!p.held) return;
-  p.held = false;
-  m.used -= p.need;
-  if (p.team != nullptr) p.team->used -= p.need;
-  if (Job* job = std::exchange(p.orphan_of, nullptr); job != nullptr) {
-    const auto it = std::find_if(
-        job->orphans.begin(), job->orphans.end(),
-        [&](const OrphanedAttempt& s) { return s.index == p.key.index && s.zone == m.zone; });
+  machine.used += orphan.need;
+  job.orphans.push_back({orphan.key.index, machine.zone});
+  job.machines_used.insert(machine.name);
+}
+
+void Tables::unhold(Machine& machine, TaskAttempt& attempt) {
+  if (!attempt.held) return;
+  attempt.held = false;
+  machine.used -= attempt.need;
+  if (attempt.team != nullptr) attempt.team->used -= attempt.need;
+  if (Job* job = std::exchange(attempt.orphan_of, nullptr); job != nullptr) {
+    const auto it =
+        std::find_if(job->orphans.begin(), job->orphans.end(), [&](const OrphanedAttempt& orphan) {
+          return orphan.index == attempt.key.index && orphan.zone == machine.zone;
+        });
     if (it != job->orphans.end()) job->orphans.erase(it);
   }
-  if (p.job == nullptr) return;
-  Job& job = *p.job;
-  if (p.state == AttemptState::Running || p.state == AttemptState::Saving) --job.running;
+  if (attempt.job == nullptr) return;
+  Job& job = *attempt.job;
+  if (attempt.state == AttemptState::Running || attempt.state == AttemptState::Saving)
+    --job.running;
   --job.placed;
-  if (const auto it = job.per_zone.find(m.zone); it != job.per_zone.end() && --it->second == 0)
+  if (const auto it = job.per_zone.find(machine.zone);
+      it != job.per_zone.end() && --it->second == 0)
     job.per_zone.erase(it);
-  Task& task = job.tasks[p.key.index];
+  Task& task = job.tasks[attempt.key.index];
   task.machine = nullptr;
   if (task.state == TaskState::Placed) {
     task.state = TaskState::Queued;
     ++job.queued;
-    job.next_queued = std::min(job.next_queued, p.key.index);
+    job.next_queued = std::min(job.next_queued, attempt.key.index);
   }
 }
 
-void Tables::erase(Machine& m, std::size_t index) {
-  unhold(m, m.attempts[index]);
-  m.attempts.erase(m.attempts.begin() + static_cast<std::ptrdiff_t>(index));
+void Tables::erase(Machine& machine, std::size_t index) {
+  unhold(machine, machine.attempts[index]);
+  machine.attempts.erase(machine.attempts.begin() + static_cast<std::ptrdiff_t>(index));
 }
 
-bool Tables::type_allowed(const JobSpec& s, const std::string& type) const {
-  return s.any_type || std::find(s.types.begin(), s.types.end(), type) != s.types.end();
+bool Tables::type_allowed(const JobSpec& spec, const std::string& type) const {
+  return spec.any_type || std::find(spec.types.begin(), spec.types.end(), type) != spec.types.end();
 }
 
-bool Tables::suits(const JobSpec& s, const Machine& m) const {
-  return (!m.spot || s.spot) && (s.zone.empty() || s.zone == m.zone) && type_allowed(s, m.type);
+bool Tables::suits(const JobSpec& spec, const Machine& machine) const {
+  return (!machine.spot || spec.spot) && (spec.zone.empty() || spec.zone == machine.zone) &&
+         type_allowed(spec, machine.type);
 }
 
-bool Tables::allowed(const Job& job, const Machine& m) const {
-  return suits(job.spec(), m) && zone_open(job, m.zone);
+bool Tables::allowed(const Job& job, const Machine& machine) const {
+  return suits(job.spec(), machine) && zone_open(job, machine.zone);
 }
 
 bool Tables::zone_open(const Job& job, const std::string& zone) {
-  const JobSpec& s = job.spec();
+  const JobSpec& spec = job.spec();
   // Tasks whose machine isn't known yet could be in any zone.
-  if ((s.one_zone || s.spread) && job.unknown > 0) return false;
+  if ((spec.one_zone || spec.spread) && job.unknown > 0) return false;
   // A job whose tasks are known in two zones gets no place until its tasks are left in only one of
   // them. Delayed heartbeats once made tasks known in two zones, and either zone was then accepted
   // as that of the job.
-  if (s.one_zone && !job.only_in(zone)) return false;
-  return !s.spread || job.tasks_in(zone) < job.zone_cap();
+  if (spec.one_zone && !job.confined_to(zone)) return false;
+  return !spec.spread || job.tasks_in(zone) < job.zone_cap();
 }
 
 bool Tables::zone_allowed(const Job& job, const std::string& zone) {
-  const JobSpec& s = job.spec();
-  if (s.one_zone && !job.only_in(zone)) return false;
-  return !s.spread || job.tasks_in(zone) <= job.zone_cap();
+  const JobSpec& spec = job.spec();
+  if (spec.one_zone && !job.confined_to(zone)) return false;
+  return !spec.spread || job.tasks_in(zone) <= job.zone_cap();
 }
 
 void Tables::mark_done(Job& job, std::uint32_t index) {
@@ -331,12 +343,12 @@
 
 void Tables::unknown_to_queued(Job& job) {
   if (job.unknown == 0) return;
-  TeamQuota* t = job.team;
+  TeamQuota* team = job.team;
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
     if (job.tasks[i].state == TaskState::Unknown) {
       job.tasks[i].state = TaskState::Queued;
       ++job.queued;
-      if (t != nullptr) t->used -= job.spec().need;
+      if (team != nullptr) team->used -= job.spec().need;
     }
   job.unknown = 0;
   job.next_queued = 0;
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -92,7 +92,7 @@
   /// mistake in the job is then more likely than a fault of all these machines.
   [[nodiscard]] bool suspect() const { return !proven && error_machines.size() > 1; }
   /// True if no task or orphaned attempt of the job is known outside the zone.
-  [[nodiscard]] bool only_in(const std::string& zone) const;
+  [[nodiscard]] bool confined_to(const std::string& zone) const;
   /// The number of placed tasks and orphaned attempts of the job that are known in the zone.
   [[nodiscard]] std::uint32_t tasks_in(const std::string& zone) const;
   /// True if an orphaned attempt of the task may still be on a machine.
@@ -200,9 +200,9 @@
   std::optional<std::size_t> open_index, room_index;
 
   [[nodiscard]] Resources room() const {
-    Resources r = size;
-    r -= used;
-    return r;
+    Resources available = size;
+    available -= used;
+    return available;
   }
   /// True if the image is thought to be in the cache.
   [[nodiscard]] bool has_image(const std::string& image) const;
@@ -261,29 +261,30 @@
   /// The machines of a shard of the checkpoint, in the order of their names.
   [[nodiscard]] std::vector<const Machine*> machines_of_shard(std::size_t shard) const;
   /// Sets a machine's size from its type, unless the size is set or the type isn't known.
-  void size_machine(Machine& m) const;
+  void size_machine(Machine& machine) const;
 
   /// Binds a task to a machine and counts it against the machine's room, the team's quota and the
   /// zone. Returns the new attempt, which is in the machine's list; the reference is valid until
   /// that list changes.
-  TaskAttempt& place(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt, Time now);
+  TaskAttempt& place(Job& job, std::uint32_t index, Machine& machine, std::uint64_t attempt,
+                     Time now);
   /// Counts an orphaned attempt against the machine's room, the team's quota and the zone.
-  static void hold_orphan(Job& job, Machine& m, TaskAttempt& orphan);
+  static void hold_orphan(Job& job, Machine& machine, TaskAttempt& orphan);
   /// Frees what an attempt holds. The task of a current attempt is queued again unless it is done.
-  void unhold(Machine& m, TaskAttempt& p);
+  void unhold(Machine& machine, TaskAttempt& attempt);
   /// Frees what the attempt at `index` holds, and removes it from the machine's list.
-  void erase(Machine& m, std::size_t index);
+  void erase(Machine& machine, std::size_t index);
   /// True if tasks of the job may start on the machine, by the machine's type, zone and instance
   /// kind and by the zones of the job's other tasks. The machine's room is not considered.
-  [[nodiscard]] bool allowed(const Job& job, const Machine& m) const;
+  [[nodiscard]] bool allowed(const Job& job, const Machine& machine) const;
   /// The part of `allowed` that is independent of the job's other tasks.
-  [[nodiscard]] bool suits(const JobSpec& s, const Machine& m) const;
+  [[nodiscard]] bool suits(const JobSpec& spec, const Machine& machine) const;
   /// The part of `allowed` that depends on the job's other tasks.
   [[nodiscard]] static bool zone_open(const Job& job, const std::string& zone);
   /// True if the job's zone constraints allow the tasks that it is known to have in the zone.
   [[nodiscard]] static bool zone_allowed(const Job& job, const std::string& zone);
   /// True if the job may run on machines of that type.
-  [[nodiscard]] bool type_allowed(const JobSpec& s, const std::string& type) const;
+  [[nodiscard]] bool type_allowed(const JobSpec& spec, const std::string& type) const;
   /// Records a task as done. Has no effect if the task is recorded as done already.
   void mark_done(Job& job, std::uint32_t index);
   /// Queues the tasks in state `Unknown`, which weren't found on any machine.
--- a/tests/fixtures_test.cpp
+++ b/tests/fixtures_test.cpp
@@ -21,7 +21,7 @@
   return bytes.str();
 }
 
-PeerMessage read(const std::string& bytes) {
+PeerMessage decode_frame(const std::string& bytes) {
   PeerReader reader;
   reader.feed(bytes);
   const auto message = reader.next();
@@ -30,54 +30,58 @@
   return message.value_or(PeerMessage{});
 }
 
-TEST(ProductionFrames, AreReadAndWrittenAlike) {
+TEST(ProductionFrames, RoundTripUnchanged) {
   for (const char* name : {"heartbeat.bin", "request.bin", "answer.bin"}) {
     const std::string bytes = fixture(name);
-    EXPECT_EQ(encode_peer(read(bytes)), bytes) << name;
+    EXPECT_EQ(encode_peer(decode_frame(bytes)), bytes) << name;
   }
-  const ControllerHeartbeat heartbeat = read(fixture("heartbeat.bin")).heartbeat;
+  const ControllerHeartbeat heartbeat = decode_frame(fixture("heartbeat.bin")).heartbeat;
   EXPECT_EQ(heartbeat.node, "node-1");
   EXPECT_EQ(heartbeat.epoch, 9U);
   EXPECT_TRUE(heartbeat.leading && heartbeat.hears_workers && !heartbeat.hears_leader);
   EXPECT_FALSE(heartbeat.understands_gangs);
   EXPECT_EQ(heartbeat.kept_alive_ms, 500U);
-  EXPECT_EQ(read(fixture("request.bin")).request.id, "job-000412");
-  EXPECT_EQ(read(fixture("answer.bin")).response.valid_ms, 2'500U);
+  EXPECT_EQ(decode_frame(fixture("request.bin")).request.id, "job-000412");
+  EXPECT_EQ(decode_frame(fixture("answer.bin")).response.valid_ms, 2'500U);
 }
 
 // A present heartbeat differs from one of the version in production by one bit, which that version
 // ignores.
-TEST(ProductionFrames, DifferFromThePresentOnesByOneIgnoredBit) {
-  const std::string before = fixture("heartbeat.bin");
-  PeerMessage message = read(before);
+TEST(ProductionFrames, DifferFromPresentFramesByOneIgnoredBit) {
+  const std::string production_bytes = fixture("heartbeat.bin");
+  PeerMessage message = decode_frame(production_bytes);
   message.heartbeat.understands_gangs = true;
-  const std::string after = encode_peer(message);
-  ASSERT_EQ(after.size(), before.size());
-  constexpr std::size_t kFlags = 12 + 48;  // 12 bytes of header, then 48 bytes of the body
-  constexpr char kNewBit = 32;
-  for (std::size_t i = 0; i < after.size(); ++i)
-    EXPECT_EQ(after[i], i == kFlags ? before[i] | kNewBit : before[i]) << i;
+  const std::string present_bytes = encode_peer(message);
+  ASSERT_EQ(present_bytes.size(), production_bytes.size());
+  constexpr std::size_t kFlagsOffset = 12 + 48;  // 12 bytes of header, then 48 bytes of the body
+  constexpr char kUnderstandsGangsBit = 32;
+  for (std::size_t offset = 0; offset < present_bytes.size(); ++offset)
+    EXPECT_EQ(present_bytes[offset], offset == kFlagsOffset
+                                         ? production_bytes[offset] | kUnderstandsGangsBit
+                                         : production_bytes[offset])
+        << offset;
 }
 
-TEST(ProductionCheckpoint, IsReadAndWrittenAlike) {
-  Snapshot image;
-  const std::string head = fixture("head.json"), shard = fixture("shard.json"),
+TEST(ProductionCheckpoint, RoundTripsUnchanged) {
+  Snapshot snapshot;
+  const std::string manifest = fixture("head.json"), shard = fixture("shard.json"),
                     machines = fixture("machines.json");
-  image.apply({kManifestKey, head, 5, false});
-  image.apply({shard_key(3), shard, 5, false});
-  image.apply({machines_key(28), machines, 5, false});
-  image.apply({bitmap_key("job-000413", 0), fixture("piece.json"), 5, false});
-  EXPECT_TRUE(image.unreadable.empty());
-  EXPECT_EQ(encode_manifest(image.manifest, {encode_record(image.jobs.at("job-000412"))}), head);
-  EXPECT_EQ(encode_shard({encode_record(image.jobs.at("job-000413")),
-                          encode_record(image.jobs.at("job-000007"))}),
+  snapshot.apply({kManifestKey, manifest, 5, false});
+  snapshot.apply({shard_key(3), shard, 5, false});
+  snapshot.apply({machines_key(28), machines, 5, false});
+  snapshot.apply({bitmap_key("job-000413", 0), fixture("piece.json"), 5, false});
+  EXPECT_TRUE(snapshot.unreadable.empty());
+  EXPECT_EQ(encode_manifest(snapshot.manifest, {encode_record(snapshot.jobs.at("job-000412"))}),
+            manifest);
+  EXPECT_EQ(encode_shard({encode_record(snapshot.jobs.at("job-000413")),
+                          encode_record(snapshot.jobs.at("job-000007"))}),
             shard);
-  EXPECT_EQ(encode_machines(image.machines.at(28)), machines);
-  EXPECT_EQ(image.pieces.at({"job-000413", 0}).substr(0, 2), "20");
-  EXPECT_TRUE(image.jobs.at("job-000007").final);
-  EXPECT_EQ(image.jobs.at("job-000412").started, 3U);
+  EXPECT_EQ(encode_machines(snapshot.machines.at(28)), machines);
+  EXPECT_EQ(snapshot.pieces.at({"job-000413", 0}).substr(0, 2), "20");
+  EXPECT_TRUE(snapshot.jobs.at("job-000007").final);
+  EXPECT_EQ(snapshot.jobs.at("job-000412").started, 3U);
   EXPECT_EQ(encode_leader(*decode_leader(fixture("leader.json"))), fixture("leader.json"));
-  EXPECT_FALSE(image.features.gangs);
+  EXPECT_FALSE(snapshot.features.gangs);
 }
 
 }  // namespace
--- a/tests/production/production_controller.cpp
+++ b/tests/production/production_controller.cpp
@@ -14,94 +14,99 @@
 
 namespace old = sailreel_production;
 
-old::Settings translate(const Settings& s) {
+old::Settings translate(const Settings& settings) {
   old::Settings out;
-  out.name = s.name;
-  out.zone = s.zone;
-  out.listen = s.listen;
-  out.peer_listen = s.peer_listen;
-  for (const PeerSettings& peer : s.peers)
+  out.name = settings.name;
+  out.zone = settings.zone;
+  out.listen = settings.listen;
+  out.peer_listen = settings.peer_listen;
+  for (const PeerSettings& peer : settings.peers)
     out.siblings.push_back({peer.name, peer.zone, peer.address});
-  out.cloud = s.cloud;
-  out.state = s.state;
-  out.zones = s.zones;
-  for (const Team& t : s.teams)
-    out.teams.push_back({t.name, t.cpus, t.cpus_max, t.gpus, t.gpus_max});
-  for (const ServiceLevelObjective& o : s.objectives)
-    out.objectives.push_back({o.kind, o.job_class, o.within_s, o.share});
-  out.workers.report_s = s.workers.heartbeat_interval_s;
-  out.workers.lease_s = s.workers.lease_s;
-  out.workers.cancel_s = s.workers.cancel_s;
-  out.store.rps = s.store.rps;
-  out.store.write_rps = s.store.write_rps;
-  out.store.value_kb = s.store.value_kb;
-  out.store.txn_ops = s.store.txn_ops;
-  out.market.rps = s.cloud_limits.rps;
-  out.market.list_lag_s = s.cloud_limits.list_lag_s;
-  out.limits.cpu = s.limits.cpu;
-  out.limits.memory_mb = s.limits.memory_mb;
-  out.limits.sockets = s.limits.sockets;
+  out.cloud = settings.cloud;
+  out.state = settings.state;
+  out.zones = settings.zones;
+  for (const Team& team : settings.teams)
+    out.teams.push_back({team.name, team.cpus, team.cpus_max, team.gpus, team.gpus_max});
+  for (const ServiceLevelObjective& objective : settings.objectives)
+    out.objectives.push_back(
+        {objective.kind, objective.job_class, objective.within_s, objective.share});
+  out.workers.report_s = settings.workers.heartbeat_interval_s;
+  out.workers.lease_s = settings.workers.lease_s;
+  out.workers.cancel_s = settings.workers.cancel_s;
+  out.store.rps = settings.store.rps;
+  out.store.write_rps = settings.store.write_rps;
+  out.store.value_kb = settings.store.value_kb;
+  out.store.txn_ops = settings.store.txn_ops;
+  out.market.rps = settings.cloud_limits.rps;
+  out.market.list_lag_s = settings.cloud_limits.list_lag_s;
+  out.limits.cpu = settings.limits.cpu;
+  out.limits.memory_mb = settings.limits.memory_mb;
+  out.limits.sockets = settings.limits.sockets;
   return out;
 }
 
-old::Origin translate(const RequestSource& o) {
-  return {static_cast<old::Origin::Kind>(o.kind), o.link, o.call};
+old::Origin translate(const RequestSource& source) {
+  return {static_cast<old::Origin::Kind>(source.kind), source.link, source.call};
 }
-RequestSource translate(const old::Origin& o) {
-  return {static_cast<RequestSource::Kind>(o.kind), o.link, o.call};
+RequestSource translate(const old::Origin& origin) {
+  return {static_cast<RequestSource::Kind>(origin.kind), origin.link, origin.call};
 }
 
-old::Resources translate(const Resources& r) { return {r.cpus, r.gpus, r.memory_gb}; }
+old::Resources translate(const Resources& resources) {
+  return {resources.cpus, resources.gpus, resources.memory_gb};
+}
 
 // Converts a heartbeat as the codec of the version in production decodes it: a run state that is
 // unknown to that version counts as fetching, and an unknown exit cause as an error.
-old::Report translate(const Heartbeat& r) {
+old::Report translate(const Heartbeat& heartbeat) {
   old::Report out;
-  out.machine = r.machine;
-  out.address = r.address;
-  out.type = r.type;
-  out.zone = r.zone;
-  out.spot = r.spot;
-  out.session = r.incarnation;
-  out.seq = r.seq;
-  out.token = r.fencing_token;
-  out.notice_s = r.notice_s;
-  for (const TaskStatus& t : r.tasks) {
-    const RunState state = t.state == RunState::Waiting ? RunState::Fetching : t.state;
-    const ExitCause cause = t.cause > ExitCause::Unknown ? ExitCause::Error : t.cause;
-    out.tasks.push_back({{t.key.job, t.key.index},
-                         t.attempt,
+  out.machine = heartbeat.machine;
+  out.address = heartbeat.address;
+  out.type = heartbeat.type;
+  out.zone = heartbeat.zone;
+  out.spot = heartbeat.spot;
+  out.session = heartbeat.incarnation;
+  out.seq = heartbeat.seq;
+  out.token = heartbeat.fencing_token;
+  out.notice_s = heartbeat.notice_s;
+  for (const TaskStatus& task : heartbeat.tasks) {
+    const RunState state = task.state == RunState::Waiting ? RunState::Fetching : task.state;
+    const ExitCause cause = task.cause > ExitCause::Unknown ? ExitCause::Error : task.cause;
+    out.tasks.push_back({{task.key.job, task.key.index},
+                         task.attempt,
                          static_cast<old::RunState>(state),
                          static_cast<old::ExitCause>(cause),
-                         t.saved});
+                         task.saved});
   }
   return out;
 }
 
-old::StateReply translate(const KvResponse& r) {
-  old::StateReply out{r.status, r.revision, r.lease, {}, r.more};
-  for (const KvItem& i : r.items) out.items.push_back({i.key, i.value, i.version, i.deleted});
+old::StateReply translate(const KvResponse& response) {
+  old::StateReply out{response.status, response.revision, response.lease, {}, response.more};
+  for (const KvItem& item : response.items)
+    out.items.push_back({item.key, item.value, item.version, item.deleted});
   return out;
 }
 
-old::CloudReply translate(const CloudResponse& r) {
+old::CloudReply translate(const CloudResponse& response) {
   old::CloudReply out;
-  out.status = r.status;
-  for (const MachineType& t : r.types)
-    out.types.push_back({t.name, translate(t.size), t.cache_gb, t.fetch_gb_per_s, t.price,
-                         t.spot_price, t.boot_s, t.zones});
-  out.names = r.names;
-  for (const ListedMachine& m : r.machines)
-    out.machines.push_back({static_cast<old::ListedMachine::State>(m.state), m.name, m.address,
-                            m.type, m.zone, m.spot, m.age_s});
-  out.more = r.more;
-  out.no_capacity = r.no_capacity;
+  out.status = response.status;
+  for (const MachineType& type : response.types)
+    out.types.push_back({type.name, translate(type.size), type.cache_gb, type.fetch_gb_per_s,
+                         type.price, type.spot_price, type.boot_s, type.zones});
+  out.names = response.names;
+  for (const ListedMachine& machine : response.machines)
+    out.machines.push_back({static_cast<old::ListedMachine::State>(machine.state), machine.name,
+                            machine.address, machine.type, machine.zone, machine.spot,
+                            machine.age_s});
+  out.more = response.more;
+  out.no_capacity = response.no_capacity;
   return out;
 }
 
-old::PeerMessage translate(const PeerMessage& m) {
+old::PeerMessage translate(const PeerMessage& present_message) {
   old::PeerReader reader;
-  reader.feed(encode_peer(m));
+  reader.feed(encode_peer(present_message));
   auto message = reader.next();
   // A frame that the version in production can't decode would close the link.
   if (!message)
@@ -110,9 +115,9 @@
   return *message;
 }
 
-PeerMessage translate(const old::PeerMessage& m) {
+PeerMessage translate(const old::PeerMessage& old_message) {
   PeerReader reader;
-  reader.feed(old::encode_peer(m));
+  reader.feed(old::encode_peer(old_message));
   auto message = reader.next();
   if (!message)
     throw std::runtime_error(
@@ -150,51 +155,55 @@
       input);
 }
 
-KvRequest translate(const old::StateCall& c) {
+KvRequest translate(const old::StateCall& call) {
   KvRequest out;
-  out.kind = static_cast<KvRequest::Kind>(c.kind);
-  out.key = c.key;
-  out.from = c.from;
-  out.limit = c.limit;
-  out.lease = c.lease;
-  out.revision = c.revision;
-  out.ttl_ms = c.ttl_ms;
-  out.wait_ms = c.wait_ms;
-  for (const auto& condition : c.conditions)
+  out.kind = static_cast<KvRequest::Kind>(call.kind);
+  out.key = call.key;
+  out.from = call.from;
+  out.limit = call.limit;
+  out.lease = call.lease;
+  out.revision = call.revision;
+  out.ttl_ms = call.ttl_ms;
+  out.wait_ms = call.wait_ms;
+  for (const auto& condition : call.conditions)
     out.conditions.push_back({condition.key, condition.version});
-  for (const auto& put : c.puts) out.puts.push_back({put.key, put.value, put.lease});
-  out.deletes = c.deletes;
+  for (const auto& put : call.puts) out.puts.push_back({put.key, put.value, put.lease});
+  out.deletes = call.deletes;
   return out;
 }
 
-CloudRequest translate(const old::CloudCall& c) {
+CloudRequest translate(const old::CloudCall& call) {
   CloudRequest out;
-  out.kind = static_cast<CloudRequest::Kind>(c.kind);
-  out.scale_out = {c.rental.request, c.rental.type, c.rental.zone, c.rental.spot, c.rental.count};
-  out.names = c.names;
-  out.after = c.after;
-  out.limit = c.limit;
+  out.kind = static_cast<CloudRequest::Kind>(call.kind);
+  out.scale_out = {call.rental.request, call.rental.type, call.rental.zone, call.rental.spot,
+                   call.rental.count};
+  out.names = call.names;
+  out.after = call.after;
+  out.limit = call.limit;
   return out;
 }
 
 Action translate(const old::Action& action) {
   return std::visit(
-      [](const auto& a) -> Action {
-        using T = std::decay_t<decltype(a)>;
+      [](const auto& old_action) -> Action {
+        using T = std::decay_t<decltype(old_action)>;
         if constexpr (std::is_same_v<T, old::Answer>)
-          return Response{translate(a.origin), a.status, a.body, a.retry_after_s, a.valid_until};
+          return Response{translate(old_action.origin), old_action.status, old_action.body,
+                          old_action.retry_after_s, old_action.valid_until};
         else if constexpr (std::is_same_v<T, old::CallState>)
-          return CallKvStore{a.call, translate(a.request), a.timeout_ms};
+          return CallKvStore{old_action.call, translate(old_action.request), old_action.timeout_ms};
         else if constexpr (std::is_same_v<T, old::CallCloud>)
-          return CallCloud{a.call, translate(a.request), a.timeout_ms};
+          return CallCloud{old_action.call, translate(old_action.request), old_action.timeout_ms};
         else if constexpr (std::is_same_v<T, old::CallWorker>)
-          return CallWorker{a.call, a.address, a.body, a.timeout_ms, a.valid_until};
+          return CallWorker{old_action.call, old_action.address, old_action.body,
+                            old_action.timeout_ms, old_action.valid_until};
         else if constexpr (std::is_same_v<T, old::SendPeer>)
-          return SendPeer{a.sibling, translate(a.message)};
+          return SendPeer{old_action.sibling, translate(old_action.message)};
         else if constexpr (std::is_same_v<T, old::ArmTimer>)
-          return ArmTimer{a.in_ms};
+          return ArmTimer{old_action.in_ms};
         else
-          return Log{static_cast<Log::Level>(a.level), a.text + " version=production"};
+          return Log{static_cast<Log::Level>(old_action.level),
+                     old_action.text + " version=production"};
       },
       action);
 }
