--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -19,10 +19,11 @@
 namespace sailreel {
 namespace {
 
-/// Clients' connections without a request are closed after this time.
+/// Client connections without an open request are closed after this time.
 constexpr std::int64_t kIdleMs = 60'000;
-/// How often requests are checked for timeouts.
+/// The interval at which outgoing requests are checked for timeouts.
 constexpr std::int64_t kSweepMs = 50;
+/// The server's connections are checked for idleness once in this many checks of requests.
 constexpr std::uint64_t kSweepsPerServerSweep = 64;
 
 std::uint64_t seed() {
@@ -75,7 +76,8 @@
 
   // ---- actions ----
 
-  // The process may have been suspended since the action was decided on.
+  // Returns whether an action is no longer valid. The process may have been suspended since the
+  // controller decided on the action.
   static bool late(Time valid_until) { return EventLoop::now_ms() >= valid_until; }
 
   void act(const Response& action) {
@@ -100,8 +102,8 @@
     }
   }
 
-  // A response that can't be decoded is taken as none (status 0): in both cases it is unknown
-  // whether the request was carried out.
+  // A response that can't be decoded is treated like a missing one (status 0): in both cases it is
+  // unknown whether the request was carried out.
 
   void act(const CallKvStore& action) {
     const HttpRequest http = encode_kv_request(action.request);
--- a/src/app/daemon.hpp
+++ b/src/app/daemon.hpp
@@ -7,7 +7,8 @@
 
 namespace sailreel {
 
-/// Feeds what arrives to the controller, and carries out the actions that it returns.
+/// Passes requests, responses, messages and timer events to the controller and carries out the
+/// actions that the controller returns.
 class Daemon {
  public:
   /// Throws std::runtime_error if it cannot listen on the settings' addresses.
@@ -15,7 +16,7 @@
   ~Daemon();
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
-  /// Does not return.
+  /// Runs the event loop; does not return.
   void run();
 
  private:
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -48,15 +48,16 @@
   app.set_version_flag("--version", "sailreel " SAILREEL_VERSION);
   std::string config, options_path;
   bool check = false;
-  app.add_option("--config", config, "Settings file of the platform (JSON)")->required();
-  app.add_option("--options", options_path, "Operators' own options (protobuf text format)");
-  app.add_flag("--check-config", check, "Check both files and stop");
+  app.add_option("--config", config, "Path of the platform's settings file (JSON)")->required();
+  app.add_option("--options", options_path,
+                 "Path of the operators' options file (protobuf text format)");
+  app.add_flag("--check-config", check, "Validate both files and exit");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
     return app.exit(error) == 0 ? 0 : kBadUsage;
   }
-  // A connection that is closed during a write is reported by the write itself.
+  // A write to a closed connection returns an error, so the signal is not needed.
   std::signal(SIGPIPE, SIG_IGN);
   try {
     set_up_log();
--- a/src/app/options.cpp
+++ b/src/app/options.cpp
@@ -33,7 +33,8 @@
   std::ifstream file(path);
   std::ostringstream text;
   if (!file || !(text << file.rdbuf())) {
-    // An empty file leaves the stream failed, and is a valid one.
+    // Reading an empty file sets the stream's failbit, although an empty file is valid. Only a file
+    // that can't be opened is an error.
     if (!file.is_open()) throw SettingsError("options: cannot read " + path);
   }
   FirstError errors;
--- a/src/app/options.hpp
+++ b/src/app/options.hpp
@@ -1,4 +1,4 @@
-// The operators' options file.
+// Reads the operators' options file (src/protocol/options.proto).
 #pragma once
 
 #include <string>
@@ -7,7 +7,8 @@
 
 namespace sailreel {
 
-/// Reads a file in protobuf text format; throws SettingsError.
+/// Reads a file in protobuf text format. Throws SettingsError if the file can't be read or is
+/// invalid.
 Options load_options(const std::string& path);
 
 }  // namespace sailreel
--- a/src/app/peer_network.cpp
+++ b/src/app/peer_network.cpp
@@ -6,13 +6,16 @@
 namespace sailreel {
 namespace {
 
+/// The least time between two attempts to connect to the same address.
 constexpr std::int64_t kReconnectMs = 500;
-/// What a link may hold of a controller's memory, but at least a MiB.
+/// The share of a controller's memory that a link's unsent bytes may take; the limit is at least
+/// one MiB.
 constexpr double kLinkMemoryShare = 1.0 / 32;
 constexpr double kMiB = 1024.0 * 1024;
-/// Forwarded heartbeats and queries wait for others for this part of a heartbeat interval: as long
-/// as a pass of placement waits for heartbeats that come close together. While the leader hasn't
-/// responded to the last of them, they wait for the larger part.
+/// Batches of forwarded heartbeats and queries per heartbeat interval. The first number applies if
+/// the leader has responded to the last batch; it makes frames wait as long as a placement pass
+/// waits for heartbeats that arrive close together. Otherwise the second, smaller number applies,
+/// which makes them wait longer.
 constexpr double kBatchesPerHeartbeat = 40, kSlowBatchesPerHeartbeat = 8;
 
 std::size_t link_backlog(const Settings& settings) {
@@ -27,9 +30,9 @@
   return {part(kBatchesPerHeartbeat), part(kSlowBatchesPerHeartbeat)};
 }
 
-// The worker's next heartbeat, or the user's next query, is seconds away, and whatever this one
-// leads to would be waiting for that. Submissions, cancellations and controllers' heartbeats are
-// urgent.
+// Workers' heartbeats and users' queries may wait: the sender's next one follows only seconds
+// later, and the effects of this one reach the sender only then. Submissions, cancellations and
+// controllers' heartbeats are urgent.
 Urgency urgency_of(const PeerMessage& message) {
   if (message.kind != PeerMessage::Kind::Request) return Urgency::Now;
   const UserOp op = message.request.op;
@@ -101,7 +104,7 @@
   reading_link_ = link;
   while (auto message = reader.next()) {
     events_.message(link, std::move(*message));
-    if (!readers_.contains(link)) break;  // closed meanwhile
+    if (!readers_.contains(link)) break;  // the link was closed by the call
   }
   reading_link_ = 0;
   links_.flush(link);
@@ -120,7 +123,8 @@
       lost_peers_.push_back(peer);
     }
   if (lost_peers_.empty()) return;
-  // Reported from the loop's next iteration: a link may be closed within a step of the controller.
+  // The timer delays the report to the loop's next iteration, because a link may be closed during a
+  // step of the controller, and the report starts another step.
   if (!lost_timer_)
     lost_timer_ = std::make_unique<Timer>(loop_, [this] {
       for (const std::size_t peer : std::exchange(lost_peers_, {})) events_.disconnected(peer);
--- a/src/app/text_format_errors.hpp
+++ b/src/app/text_format_errors.hpp
@@ -1,4 +1,4 @@
-// What is wrong with a file in protobuf text format.
+// Collects errors in files in protobuf text format.
 #pragma once
 
 #include <google/protobuf/io/tokenizer.h>
@@ -7,7 +7,7 @@
 
 namespace sailreel {
 
-/// Keeps the first complaint of the parser.
+/// Keeps the first error of the parser, with its line number. `message` is empty without an error.
 class FirstError : public google::protobuf::io::ErrorCollector {
  public:
   void AddError(int line, int, const std::string& text) override {
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -35,7 +35,7 @@
   }
 
   void on_bytes(std::string_view bytes) override {
-    if (!done_) return close();  // no request is open
+    if (!done_) return close();  // unexpected: no request is open
     http_parser_execute(&parser_, &handlers(), bytes.data(), bytes.size());
     if (closing()) return;
     if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) {
@@ -142,7 +142,7 @@
   std::vector<Connection*> timed_out;
   for (const auto& [connection, times_out_at] : busy_)
     if (times_out_at <= now) timed_out.push_back(connection);
-  // Closing one calls its requester, which may close others.
+  // Closing a connection calls its `Done` callback, which may close other connections.
   for (Connection* connection : timed_out)
     if (busy_.contains(connection)) connection->close();
 }
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t kMaxUrl = 1024;
-/// Bytes that a client may send ahead while its request is open.
+/// A client that sends more bytes than this ahead while its request is open is disconnected.
 constexpr std::size_t kMaxHeld = std::size_t{128} * 1024;
 
 const char* reason(int status) { return http_status_str(static_cast<http_status>(status)); }
@@ -51,9 +51,9 @@
     if (!in_turn_) take_held();
   }
 
-  // Parses what arrived while a request was open. A loop, not a recursion: a hostile client can
-  // send thousands of requests at once, each of which may be responded to before the next is
-  // parsed.
+  // Parses the bytes that arrived while a request was open. This is a loop and not a recursion
+  // because a hostile client can send thousands of requests at once, and each may be responded to
+  // before the next is parsed: recursion could exhaust the stack.
   void take_held() {
     in_turn_ = true;
     while (!busy_ && !held_.empty() && !closing()) {
@@ -82,8 +82,8 @@
 
  private:
   void take(std::string_view bytes) {
-    // Bytes alone don't count as activity: a client that sends one now and then must not keep its
-    // socket for ever.
+    // Received bytes don't count as activity. Otherwise a client could keep its connection open
+    // forever by sending a single byte now and then.
     const std::size_t used = http_parser_execute(&parser_, &handlers(), bytes.data(), bytes.size());
     if (closing()) return;
     const auto error = HTTP_PARSER_ERRNO(&parser_);
@@ -113,7 +113,8 @@
       };
       settings.on_body = [](http_parser* parser, const char* at, std::size_t length) {
         auto* connection = self(parser);
-        // Read to its end, so that its sender gets the response, but not kept.
+        // An oversize body is read to its end, so that the client receives the response, but it
+        // isn't stored.
         if (connection->request_.body.size() + length > connection->server_.max_body_)
           connection->request_.oversize = true;
         if (!connection->request_.oversize) connection->request_.body.append(at, length);
--- a/src/transport/http_server.hpp
+++ b/src/transport/http_server.hpp
@@ -1,4 +1,4 @@
-// An HTTP/1.1 server: one request at a time on a connection, with limits on size and number.
+// An HTTP/1.1 server with one open request per connection and limits on body size and connections.
 #pragma once
 
 #include <cstdint>
@@ -13,29 +13,34 @@
 
 namespace sailreel {
 
+/// A request that has been received completely.
 struct ServerRequest {
-  /// To be given to `respond`; never used again for another connection.
+  /// The id to pass to `HttpServer::respond`. Ids are not reused for other connections.
   std::uint64_t connection = 0;
   std::string method, path, body;
-  /// The body was longer than the server accepts and was dropped.
+  /// The body is longer than the server accepts; `body` holds its beginning at most.
   bool oversize = false;
 };
 
-/// Used from the loop's thread only; the loop must outlive it.
+/// Accepts connections and passes each request to a handler. Must be used on the loop's thread
+/// only; the loop must outlive the server.
 class HttpServer {
  public:
+  /// Called once per request; the owner answers it through `respond`.
   using Handler = std::function<void(ServerRequest)>;
-  /// Throws std::runtime_error if it cannot listen on the address. `max_body` is in bytes;
-  /// connections that have been idle for `idle_ms` are closed by `sweep`.
+  /// Throws std::runtime_error if it cannot listen on the address. Connections above
+  /// `max_connections` are closed at once. `max_body` is in bytes. `sweep` closes connections that
+  /// have been idle for more than `idle_ms`.
   HttpServer(EventLoop& loop, const std::string& address, std::size_t max_connections,
              std::size_t max_body, std::int64_t idle_ms, Handler handler);
   ~HttpServer();
 
-  /// Responds to the connection's open request; ignored if the connection was closed meanwhile.
-  /// `retry_after_s` 0: without that header.
+  /// Responds to the connection's open request; does nothing if the connection has been closed.
+  /// `retry_after_s` is the value of the Retry-After header, which is omitted for 0.
   void respond(std::uint64_t connection, int status, const std::string& body, int retry_after_s);
-  /// Closes idle connections; to be called at intervals.
+  /// Closes idle connections. The owner must call it at regular intervals.
   void sweep();
+  /// The number of open connections.
   [[nodiscard]] std::size_t connections() const { return connections_.size(); }
   [[nodiscard]] const Traffic& traffic() const { return traffic_; }
 
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -1,4 +1,4 @@
-// A listening socket that hands over each new connection.
+// A listening TCP socket that reports each new connection.
 #pragma once
 
 #include <uv.h>
@@ -17,12 +17,13 @@
 /// Listens from construction to destruction.
 class Listener {
  public:
-  /// Called with the listening stream, of which the callee must accept one connection.
+  /// Called for each new connection, with the listening stream; the callee must accept the
+  /// connection by uv_accept.
   using Arrived = std::function<void(uv_stream_t*)>;
 
-  /// Throws std::runtime_error if the address cannot be listened on. The backlog is sized for
-  /// `connections` at once, since after a failover all clients of the old leader may connect
-  /// together.
+  /// Throws std::runtime_error if it cannot listen on the address. The backlog is sized for
+  /// `connections` at once, because all clients of the old leader may connect at the same time
+  /// after a failover.
   Listener(EventLoop& loop, const std::string& address, std::size_t connections, Arrived arrived)
       : handle_(new Handle) {
     handle_->arrived = std::move(arrived);
@@ -37,7 +38,7 @@
   Listener& operator=(const Listener&) = delete;
 
  private:
-  /// On the heap, as it must live until the loop has closed it.
+  /// Allocated on the heap, because it must live until the loop has closed it.
   struct Handle {
     uv_tcp_t tcp{};
     Arrived arrived;
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -6,7 +6,7 @@
 namespace sailreel {
 
 EventLoop::EventLoop() {
-  if (uv_loop_init(&loop_) != 0) throw std::runtime_error("cannot start the event loop");
+  if (uv_loop_init(&loop_) != 0) throw std::runtime_error("cannot initialize the event loop");
 }
 
 EventLoop::~EventLoop() {
--- a/src/transport/loop.hpp
+++ b/src/transport/loop.hpp
@@ -1,4 +1,4 @@
-// The event loop and timers, over libuv.
+// An event loop and timers, built on libuv.
 #pragma once
 
 #include <uv.h>
@@ -9,7 +9,7 @@
 
 namespace sailreel {
 
-/// One thread runs the loop and everything that uses it.
+/// A libuv event loop. The loop and all objects that use it belong to one thread.
 class EventLoop {
  public:
   EventLoop();
@@ -18,18 +18,19 @@
   EventLoop& operator=(const EventLoop&) = delete;
 
   uv_loop_t* raw() { return &loop_; }
-  /// Returns when nothing is left to wait for.
+  /// Runs until no active handles or requests are left, or until uv_stop is called.
   void run() { uv_run(&loop_, UV_RUN_DEFAULT); }
-  /// Milliseconds of the steady clock, read at this moment (not the loop's cached time).
+  /// Milliseconds of the monotonic clock, read at the time of the call (not the loop's cached
+  /// time).
   static std::int64_t now_ms();
-  /// Milliseconds of the time of day.
+  /// Milliseconds since the Unix epoch, by the wall clock.
   static std::int64_t wall_ms();
 
  private:
   uv_loop_t loop_{};
 };
 
-/// Calls `fire` once for each `set`; setting it again replaces the earlier time.
+/// A one-shot timer that calls `fire` once after `set`. Setting a pending timer replaces its time.
 class Timer {
  public:
   Timer(EventLoop& loop, std::function<void()> fire);
@@ -37,6 +38,7 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
+  /// Starts the timer; a negative delay counts as 0.
   void set(std::int64_t in_ms);
 
  private:
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -14,16 +14,17 @@
     waiting_.append(bytes);
     if (backlog() + waiting_.size() > links_.max_backlog_) close();
   }
-  /// False if it is in the batch already.
+  /// Adds this link to the batch; returns false if it is already in it.
   bool join_batch() { return !std::exchange(in_batch_, true); }
   void flush() {
     if (!connected_ || waiting_.empty()) return;
     ++links_.writes_;
     write(std::exchange(waiting_, {}));
   }
-  /// Sends the batch, unless nothing has come back since the last one. False if it still waits.
+  /// Sends the waiting frames. Returns false if they must wait longer, because nothing has been
+  /// received since the last batch.
   bool send_batch(std::int64_t now) {
-    // Without a connection, what waits is sent by `on_connected`.
+    // Until the connection is established, frames wait for `on_connected`, which sends them.
     const bool has_batch = connected_ && !waiting_.empty();
     if (has_batch && now < answer_due_at_) return false;
     in_batch_ = false;
@@ -54,8 +55,10 @@
  private:
   PeerLinks& links_;
   std::uint64_t id_;
-  std::string waiting_;             // for the connection, or for frames to leave with
-  std::int64_t answer_due_at_ = 0;  // 0: something has come back since the last batch
+  std::string waiting_;  // frames that wait for the connection or for a batch
+  /// No batch is sent before this time (EventLoop::now_ms); 0 if bytes have been received since the
+  /// last batch.
+  std::int64_t answer_due_at_ = 0;
   bool connected_ = false;
   bool in_batch_ = false;
 };
@@ -71,7 +74,7 @@
       listener_(loop, listen, max_incoming, [this](uv_stream_t* stream) { accept(stream); }) {}
 
 PeerLinks::~PeerLinks() {
-  // The owner may be partly destroyed by now.
+  // Closing the links must not call the owner, which may be partly destroyed already.
   events_.closed = [](std::uint64_t) {};
   const auto links = links_;
   for (const auto& [number, connection] : links) connection->close();
@@ -102,7 +105,7 @@
   if (it == links_.end()) return;
   Connection& connection = *it->second;
   connection.add(bytes);
-  // Closed by `add`, as too much waits.
+  // `add` closes the link if its backlog is too large.
   if (connection.closing()) return;
   if (urgency == Urgency::Now) connection.flush();
   if (urgency == Urgency::MayWait) join_batch(link, connection);
@@ -110,7 +113,7 @@
 
 void PeerLinks::join_batch(std::uint64_t link, Connection& connection) {
   if (!connection.join_batch()) return;
-  // One timer serves all links; it runs while any of them is in the batch.
+  // One timer serves all links. It runs while any link is in the batch.
   if (waiting_links_.empty()) batch_timer_.set(batching_.least_ms);
   waiting_links_.push_back(link);
 }
--- a/src/transport/peer_link.hpp
+++ b/src/transport/peer_link.hpp
@@ -1,4 +1,4 @@
-// Connections between controllers: an outgoing one to each peer, and the incoming ones.
+// TCP connections between controllers, outgoing and incoming.
 #pragma once
 
 #include <cstdint>
@@ -14,48 +14,55 @@
 
 namespace sailreel {
 
-/// When a frame has to leave.
+/// When a frame must be sent.
 enum class Urgency : std::uint8_t {
   Now,
-  /// After a while at the latest.
+  /// With the link's next batch at the latest.
   MayWait,
-  /// When `flush` is called, which the sender has to do.
+  /// When `PeerLinks::flush` is called at the latest; the sender must call it.
   UntilFlush,
 };
 
-/// Transports bytes; splitting them into frames is the receiver's part.
+/// Sends frames and receives bytes; the owner splits received bytes into frames.
 ///
-/// Processor time goes into packets more than into bytes. So frames that may wait are sent
-/// together: after a while, with the next frame that may not wait, or by `flush`. Their order is
-/// kept.
+/// Processor time depends on the number of packets more than on the number of bytes. Frames that
+/// may wait are therefore sent together: after a delay, with the next urgent frame, or by `flush`.
+/// The order of a link's frames is preserved.
 class PeerLinks {
  public:
   struct Events {
-    /// Bytes arrived; they are valid during the call. Returning false closes the connection.
+    /// Called with received bytes, which are valid during the call only. Returning false closes the
+    /// connection.
     std::function<bool(std::uint64_t link, std::string_view bytes)> bytes;
+    /// Called once per link when it is closed or could not be established.
     std::function<void(std::uint64_t link)> closed;
   };
-  /// How long frames may wait for others.
+  /// How long frames wait to be sent together, in milliseconds.
   struct Batching {
+    /// The delay of a batch if bytes have been received since the last one.
     std::int64_t least_ms = 1;
-    /// For as long as nothing has come back since the last batch: the other side is slow.
+    /// The least time from one batch to the next if no bytes have been received in between, which
+    /// indicates that the other side is slow.
     std::int64_t most_ms = 1;
   };
-  /// A link with more than `max_backlog` unsent bytes is closed: its frames are too old to be of
-  /// use. Throws std::runtime_error if `listen` is an address that cannot be listened on.
+  /// An incoming connection is closed at once if it would make more than `max_incoming` links,
+  /// outgoing ones included. A link with more than `max_backlog` unsent bytes is closed, because
+  /// its frames are too old to be of use. Throws std::runtime_error if it cannot listen on
+  /// `listen`.
   PeerLinks(EventLoop& loop, const std::string& listen, std::size_t max_incoming,
             std::size_t max_backlog, Batching batching, Events events);
   ~PeerLinks();
 
-  /// Opens a connection and returns its number, under which `Events` are reported. A failure is
-  /// reported by `closed`.
+  /// Opens a connection and returns its link number, which `Events` refer to. A failure is reported
+  /// through `Events::closed`, in some cases before `connect` returns.
   std::uint64_t connect(const std::string& address);
-  /// Ignored if the link was closed meanwhile.
+  /// Sends a frame; does nothing if the link has been closed.
   void send(std::uint64_t link, const std::string& bytes, Urgency urgency = Urgency::Now);
-  /// Sends what waits on the link.
+  /// Sends all frames that wait on the link.
   void flush(std::uint64_t link);
+  /// Closes the link and discards its unsent frames.
   void close(std::uint64_t link);
-  /// How often bytes were handed to the system: a measure of packets.
+  /// The number of writes to all connections, as a measure of the packets sent.
   [[nodiscard]] std::uint64_t writes() const { return writes_; }
 
  private:
@@ -69,7 +76,8 @@
   Batching batching_;
   Events events_;
   std::uint64_t writes_ = 0;
-  /// Links in the next batch, each once; some may have been flushed or closed meanwhile.
+  /// Links in the next batch, without duplicates. Some may have been flushed or closed since they
+  /// were added.
   std::vector<std::uint64_t> waiting_links_;
   Timer batch_timer_;
   std::uint64_t next_ = 1;
--- a/src/transport/stream.hpp
+++ b/src/transport/stream.hpp
@@ -1,4 +1,4 @@
-// One TCP connection: reads, writes with back-pressure, closes once.
+// A TCP connection with queued writes.
 #pragma once
 
 #include <uv.h>
@@ -12,11 +12,11 @@
 
 namespace sailreel {
 
-/// Must be made with `new`; deletes itself once libuv has closed it. Owners forget their pointer in
-/// `on_closed`, which is called once.
+/// A TCP connection. Must be allocated with `new`; it deletes itself once libuv has closed it.
+/// Owners must drop their pointers in `on_closed`, which is called exactly once.
 class Stream {
  public:
-  /// Bytes are counted in `traffic`, which must outlive the stream, or not at all if it is null.
+  /// Counts bytes in `traffic`, which must outlive the stream; doesn't count if it is null.
   explicit Stream(EventLoop& loop, Traffic* traffic = nullptr) : traffic_(traffic) {
     uv_tcp_init(loop.raw(), &tcp_);
     tcp_.data = this;
@@ -27,6 +27,8 @@
 
   uv_stream_t* raw() { return reinterpret_cast<uv_stream_t*>(&tcp_); }
 
+  /// Connects, starts reading and calls `on_connected`. A failure closes the stream, in some cases
+  /// before `connect` returns.
   void connect(const Endpoint& to) {
     sockaddr_in address{};
     auto* request = new uv_connect_t;
@@ -46,13 +48,13 @@
     }
   }
 
-  /// Starts reading; for accepted connections, as `connect` does it by itself.
+  /// Starts reading. Only for accepted connections: `connect` starts reading by itself.
   void start() {
     uv_tcp_nodelay(&tcp_, 1);
     uv_read_start(
         raw(),
         [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
-          // Shared by all connections: a loop reads from one at a time.
+          // All connections share one buffer, because the loop reads from one at a time.
           static char shared[64 * 1024];
           *buffer = uv_buf_init(shared, sizeof shared);
         },
@@ -66,7 +68,7 @@
         });
   }
 
-  /// Sends what the system takes at once, and queues the rest.
+  /// Writes as much as the system accepts at once and queues the rest. A failure closes the stream.
   void write(std::string bytes) {
     if (closing_) return;
     if (traffic_ != nullptr) traffic_->bytes_out += bytes.size();
@@ -89,10 +91,11 @@
     }
   }
 
-  /// Queued bytes.
+  /// The number of queued bytes.
   [[nodiscard]] std::size_t backlog() const { return tcp_.write_queue_size; }
   [[nodiscard]] bool closing() const { return closing_; }
 
+  /// Calls `on_closed` and closes the connection; does nothing if it is closing already.
   void close() {
     if (closing_) return;
     closing_ = true;
--- a/src/transport/traffic.hpp
+++ b/src/transport/traffic.hpp
@@ -1,11 +1,11 @@
-// Counters of what a group of connections has carried.
+// Message and byte counters of a group of connections.
 #pragma once
 
 #include <cstdint>
 
 namespace sailreel {
 
-/// Since the start. A message is a whole request or response.
+/// Totals since the counters were created. A message is a complete request or response.
 struct Traffic {
   std::uint64_t messages_in = 0, messages_out = 0;
   std::uint64_t bytes_in = 0, bytes_out = 0;
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -18,7 +18,7 @@
 constexpr std::int64_t kPatienceMs = 20'000;
 constexpr std::size_t kBacklog = std::size_t{1} << 20;
 
-/// An address that no other process uses: test cases run in parallel.
+/// A loopback address that depends on the process id, because test cases run as parallel processes.
 std::string own_address(const char* port) {
   const int pid = getpid();
   return "127.88." + std::to_string(pid / 250 % 250) + "." + std::to_string(pid % 250 + 1) + port;
@@ -39,7 +39,7 @@
              [](std::uint64_t) {}}),
         alarm_(loop_, [this] { ring(); }),
         link_(from_.connect(own_address(":18082"))) {
-    // The first frame waits for the connection; from then on writes are counted.
+    // The first frame is sent once the connection is established; `writes` counts from then on.
     from_.send(link_, "0");
     wait_for("0");
     received_.clear();
@@ -56,7 +56,8 @@
     set_alarm(span_ms);
     while (!rang_) uv_run(loop_.raw(), UV_RUN_ONCE);
   }
-  /// Runs until that has arrived, or a time limit is over.
+  /// Runs until that number of bytes has arrived or kPatienceMs have passed, and expects the
+  /// received bytes to equal `bytes`.
   void wait_for(const std::string& bytes) {
     set_alarm(kPatienceMs);
     while (!rang_ && received_.size() < bytes.size()) uv_run(loop_.raw(), UV_RUN_ONCE);
@@ -68,8 +69,9 @@
     rang_ = false;
     alarm_.set(span_ms);
   }
-  /// An alarm that is due as a turn of the loop begins must end that turn: with no other timer set,
-  /// the loop would go on to wait for the sockets without an end (docs/incidents/hanging-test.md).
+  /// An alarm that is due at the start of an iteration of the loop must end that iteration:
+  /// without another timer, the loop would go on to wait for the sockets without a time limit
+  /// (docs/incidents/hanging-test.md).
   void ring() {
     rang_ = true;
     uv_stop(loop_.raw());
@@ -84,8 +86,8 @@
   const std::uint64_t link_;
 };
 
-// A ceiling on the cost of a forwarded heartbeat: 20 of them took 20 writes before, and take one
-// now.
+// Guards the processor time of forwarded heartbeats: without batching, 20 of them take 20 writes;
+// in a batch, they take one.
 TEST(PeerLink, FramesThatMayWaitLeaveTogether) {
   PeerLinkPair links({30, 30});
   std::string sent;
@@ -111,7 +113,7 @@
   links.wait_for("report;question;submission;answer;");
 }
 
-// A slow leader must not get more packets before it has responded to the last ones.
+// A slow leader must not receive another batch before it has responded to the last one.
 TEST(PeerLink, BatchesGrowWhileTheOtherSideIsSlow) {
   PeerLinkPair links({5, kPatienceMs * 10});
   links.send("1", Urgency::MayWait);
@@ -142,7 +144,8 @@
   return {};
 }
 
-// For any sequence of urgencies, every frame arrives, once and in order.
+// For any sequence of sends with any urgency, flushes and responses, every frame arrives once and
+// in order.
 TEST(PeerLink, NoFrameIsLostOrOvertaken) {
   fix_cases(200);
   const bool held = rc::check("frames arrive in order", [] {
@@ -168,7 +171,7 @@
       if (step == Step::Response) links.respond();
       if (step == Step::Run) links.run_for(1);
     }
-    // Nothing but a flush may be needed, and that only for a frame which asked for one.
+    // Only frames that were sent with Urgency::UntilFlush may still need a flush.
     if (held) links.flush();
     links.wait_for(sent);
     RC_ASSERT(links.received() == sent);
--- a/tests/smoke_test.sh
+++ b/tests/smoke_test.sh
@@ -1,14 +1,16 @@
 #!/bin/sh
-# Starts the real program on loopback, and asks it what it can answer by itself: there is no state
-# service, so nobody leads. Waits are bounded by counts, never judged by the clock.
+# Runs the program on loopback and checks its command line and the responses that need no leader:
+# without a state service, no controller becomes the leader. The wait for the start is limited by a
+# number of attempts, not by a deadline.
 set -eu
 program=$1
 dir=$(mktemp -d)
 pid=
 trap 'test -z "$pid" || kill "$pid" 2>/dev/null || true; rm -rf "$dir"' EXIT
 
-# Two ports of its own: runs side by side have other process ids, and the kernel gives connections ports
-# from 32768 on. With 20000 + pid % 20000 a run took the port that its neighbour's links listened on.
+# Two ports that parallel runs don't use: each run has another process id, and the kernel assigns
+# ports to outgoing connections from 32768 on. With 20000 + pid % 20000, a run's port could be the
+# peer port of the run with the preceding process id.
 base=$((10000 + 2 * ($$ % 10000)))
 cat > "$dir/settings.json" <<JSON
 {"label":"n0","area":"a","listen":"127.0.0.1:$base","peer_listen":"127.0.0.1:$((base + 1))",
@@ -20,26 +22,26 @@
 JSON
 fail() { echo "FAIL: $1"; exit 1; }
 
-"$program" --version | grep -q '^sailreel [0-9]' || fail "--version"
-"$program" --help | grep -q -- --options || fail "--help"
-"$program" --config "$dir/settings.json" --check-config | grep -q valid || fail "--check-config"
+"$program" --version | grep -q '^sailreel [0-9]' || fail "--version prints no version"
+"$program" --help | grep -q -- --options || fail "--help doesn't list --options"
+"$program" --config "$dir/settings.json" --check-config | grep -q valid || fail "--check-config rejects valid settings"
 
 status=0; "$program" --config "$dir/none.json" 2> "$dir/err" || status=$?
-test "$status" = 2 || fail "a missing file exits $status"
+test "$status" = 2 || fail "a missing settings file gives exit status $status, not 2"
 sed 's/"lease_s":10,//' "$dir/settings.json" > "$dir/bad.json"
 status=0; "$program" --config "$dir/bad.json" 2> "$dir/err" || status=$?
-test "$status" = 2 || fail "a missing field exits $status"
-grep -q 'settings.workers.lease_s' "$dir/err" || fail "the field isn't named"
-test "$(wc -l < "$dir/err")" = 1 || fail "more than one line of complaint"
+test "$status" = 2 || fail "a missing field gives exit status $status, not 2"
+grep -q 'settings.workers.lease_s' "$dir/err" || fail "the error doesn't name the missing field"
+test "$(wc -l < "$dir/err")" = 1 || fail "a missing field: the error isn't exactly one line"
 echo 'headroom_ratio: 0.2' > "$dir/options"
-"$program" --options "$dir/options" --config "$dir/settings.json" --check-config > "$dir/out" || fail "--options"
-# A federation that can't be: one line, exit status 2.
+"$program" --options "$dir/options" --config "$dir/settings.json" --check-config > "$dir/out" || fail "--check-config rejects valid options"
+# Checks that an invalid federation is reported in one line, with exit status 2.
 bad_federation() {
   printf 'federation { region: "north" %s }\n' "$1" > "$dir/options"
   status=0; "$program" --options "$dir/options" --config "$dir/settings.json" --check-config 2> "$dir/err" || status=$?
-  test "$status" = 2 || fail "federation with $2 exits $status"
-  test "$(wc -l < "$dir/err")" = 1 || fail "federation with $2: more than one line"
-  grep -q "$3" "$dir/err" || fail "federation with $2: the fault isn't named"
+  test "$status" = 2 || fail "federation with $2 gives exit status $status, not 2"
+  test "$(wc -l < "$dir/err")" = 1 || fail "federation with $2: the error isn't exactly one line"
+  grep -q "$3" "$dir/err" || fail "federation with $2: the error doesn't contain '$3'"
 }
 north='regions { name: "north" }'
 south='regions { name: "south" address: "10.8.0.1:8081" }'
@@ -52,13 +54,13 @@
 bad_federation "$north $south share { team: \"t\" region: \"south\" gpus: 9 }" "too large a share" 'above its limit'
 bad_federation "" "no regions" 'no regions'
 printf 'federation { region: "north" %s %s share { team: "t" region: "south" gpus: 8 } }\n' "$north" "$south" > "$dir/options"
-"$program" --options "$dir/options" --config "$dir/settings.json" --check-config > "$dir/out" || fail "a federation"
+"$program" --options "$dir/options" --config "$dir/settings.json" --check-config > "$dir/out" || fail "--check-config rejects a valid federation"
 echo 'headroom: 0.2' > "$dir/options"
 status=0; "$program" --options "$dir/options" --config "$dir/settings.json" --check-config 2> "$dir/err" || status=$?
-test "$status" = 2 || fail "an unknown option exits $status"
-grep -q headroom "$dir/err" || fail "the unknown option isn't named"
+test "$status" = 2 || fail "an unknown option gives exit status $status, not 2"
+grep -q headroom "$dir/err" || fail "the error doesn't name the unknown option"
 status=0; LOG_LEVEL=loud "$program" --config "$dir/settings.json" --check-config 2> "$dir/err" || status=$?
-test "$status" = 2 || fail "a bad LOG_LEVEL exits $status"
+test "$status" = 2 || fail "a bad LOG_LEVEL gives exit status $status, not 2"
 
 "$program" --config "$dir/settings.json" 2> "$dir/log" &
 pid=$!
@@ -66,10 +68,10 @@
 code() { curl -s -o "$dir/body" -w '%{http_code}' --max-time 5 "$@" || true; }
 tries=0
 until test "$(code "$url/nowhere")" = 404; do
-  tries=$((tries + 1)); test "$tries" -lt 200 || fail "never listens"
+  tries=$((tries + 1)); test "$tries" -lt 200 || fail "the program doesn't respond"
   sleep 0.05
 done
-expect() { want=$1; shift; got=$(code "$@"); test "$got" = "$want" || fail "$* gives $got, not $want"; }
+expect() { want=$1; shift; got=$(code "$@"); test "$got" = "$want" || fail "curl $* gives status $got, not $want"; }
 expect 405 -X DELETE "$url/v1/jobs"
 expect 404 "$url/v1/jobs/not-a-job"
 expect 400 -d 'not a report' "$url/hello"
@@ -77,6 +79,6 @@
 head -c 70000 /dev/zero | tr '\0' x > "$dir/big"
 expect 400 --data-binary "@$dir/big" "$url/v1/jobs"
 expect 503 "$url/v1/jobs/job-1"
-kill -0 "$pid" || fail "it ended"
-grep -q event=started "$dir/log" || fail "no log line"
+kill -0 "$pid" || fail "the program ended"
+grep -q event=started "$dir/log" || fail "event=started is missing in the log"
 echo "smoke test passed"
