--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -20,13 +20,13 @@
 namespace {
 
 /// Client connections without an open request are closed after this time.
-constexpr std::int64_t kIdleMs = 60'000;
+constexpr std::int64_t kIdleTimeoutMs = 60'000;
 /// The interval at which outgoing requests are checked for timeouts.
-constexpr std::int64_t kSweepMs = 50;
+constexpr std::int64_t kSweepIntervalMs = 50;
 /// The server's connections are checked for idleness once in this many checks of requests.
 constexpr std::uint64_t kSweepsPerServerSweep = 64;
 
-std::uint64_t seed() {
+std::uint64_t random_seed() {
   std::random_device device;
   return (std::uint64_t{device()} << 32) ^ device();
 }
@@ -37,19 +37,19 @@
  public:
   Impl(const Settings& settings, const Options& options)
       : settings_(settings),
-        controller_(settings, options, seed()),
+        controller_(settings, options, random_seed()),
         sockets_(share_sockets(settings, PeerNetwork::region_link_count(options.federation))),
-        client_(loop_, sockets_.services),
-        workers_(loop_, sockets_.worker_calls),
-        server_(loop_, settings.listen, sockets_.server, kMaxBody, kIdleMs,
-                [this](ServerRequest request) { serve(std::move(request)); }),
-        peers_(loop_, settings_, options.federation, sockets_.links,
-               {[this](std::uint64_t link, PeerMessage message) {
-                  handle_peer_message(link, std::move(message));
-                },
-                [this](std::size_t peer) { feed(PeerDisconnected{peer}); }}),
-        tick_(loop_, [this] { feed(Tick{}); }),
-        sweep_(loop_, [this] { sweep(); }) {}
+        service_client_(loop_, sockets_.services),
+        worker_client_(loop_, sockets_.worker_calls),
+        server_(loop_, settings.listen, sockets_.server, kMaxBody, kIdleTimeoutMs,
+                [this](ServerRequest request) { handle_http_request(std::move(request)); }),
+        peer_network_(loop_, settings_, options.federation, sockets_.links,
+                      {[this](std::uint64_t link, PeerMessage message) {
+                         handle_peer_message(link, std::move(message));
+                       },
+                       [this](std::size_t peer) { feed(PeerDisconnected{peer}); }}),
+        tick_timer_(loop_, [this] { feed(Tick{}); }),
+        sweep_timer_(loop_, [this] { sweep(); }) {}
 
   void run() {
     spdlog::info("event=started node={} zone={} listen={}", settings_.name, settings_.zone,
@@ -64,24 +64,24 @@
 
   void feed(Input input) {
     for (Action& action : controller_.step(clock(), std::move(input)))
-      std::visit([this](auto& output) { this->act(output); }, action);
+      std::visit([this](auto& output) { this->execute(output); }, action);
   }
 
   void sweep() {
-    client_.sweep();
-    workers_.sweep();
-    if (++sweeps_ % kSweepsPerServerSweep == 0) server_.sweep();
-    sweep_.set(kSweepMs);
+    service_client_.sweep();
+    worker_client_.sweep();
+    if (++sweep_count_ % kSweepsPerServerSweep == 0) server_.close_idle();
+    sweep_timer_.set(kSweepIntervalMs);
   }
 
   // ---- actions ----
 
   // Returns whether an action is no longer valid. The process may have been suspended since the
   // controller decided on the action.
-  static bool late(Time valid_until) { return EventLoop::now_ms() >= valid_until; }
+  static bool expired(Time valid_until) { return EventLoop::now_ms() >= valid_until; }
 
-  void act(const Response& action) {
-    if (late(action.valid_until))
+  void execute(const Response& action) {
+    if (expired(action.valid_until))
       respond(action.source, 503, encode_error("leadership may have ended"), 1);
     else
       respond(action.source, action.status, action.body, action.retry_after_s, action.valid_until);
@@ -98,25 +98,25 @@
       if (valid_until != kNever)
         message.response.valid_ms = static_cast<std::uint32_t>(
             std::clamp<Time>(valid_until - EventLoop::now_ms(), 0, UINT32_MAX - 1));
-      peers_.respond(source.link, message);
+      peer_network_.respond(source.link, message);
     }
   }
 
   // A response that can't be decoded is treated like a missing one (status 0): in both cases it is
   // unknown whether the request was carried out.
 
-  void act(const CallKvStore& action) {
+  void execute(const CallKvStore& action) {
     const HttpRequest http = encode_kv_request(action.request);
-    client_.request(
+    service_client_.request(
         settings_.state, http.method, http.path, http.body, action.timeout_ms, true,
         [this, call = action.call, request = action.request](int status, std::string_view body) {
           feed(KvResponseReceived{call, decode_kv_response(request, status, body).value_or({})});
         });
   }
 
-  void act(const CallCloud& action) {
+  void execute(const CallCloud& action) {
     const HttpRequest http = encode_cloud_request(action.request);
-    client_.request(
+    service_client_.request(
         settings_.cloud, http.method, http.path, http.body, action.timeout_ms, true,
         [this, call = action.call, request = action.request](int status, std::string_view body) {
           feed(CloudResponseReceived{call,
@@ -124,29 +124,29 @@
         });
   }
 
-  void act(const CallWorker& action) {
-    if (late(action.valid_until)) return feed(WorkerResponseReceived{action.call, 0, {}});
-    workers_.request(action.address, "POST", "/do", action.body, action.timeout_ms, false,
-                     [this, call = action.call](int status, std::string_view body) {
-                       std::optional<Heartbeat> heartbeat;
-                       if (status == 200 || status == 409)
-                         heartbeat = decode_heartbeat(body).to_optional();
-                       feed(WorkerResponseReceived{call, status, std::move(heartbeat)});
-                     });
+  void execute(const CallWorker& action) {
+    if (expired(action.valid_until)) return feed(WorkerResponseReceived{action.call, 0, {}});
+    worker_client_.request(action.address, "POST", "/do", action.body, action.timeout_ms, false,
+                           [this, call = action.call](int status, std::string_view body) {
+                             std::optional<Heartbeat> heartbeat;
+                             if (status == 200 || status == 409)
+                               heartbeat = decode_heartbeat(body).to_optional();
+                             feed(WorkerResponseReceived{call, status, std::move(heartbeat)});
+                           });
   }
 
-  void act(const SendPeer& action) { peers_.send_to_peer(action.peer, action.message); }
+  void execute(const SendPeer& action) { peer_network_.send_to_peer(action.peer, action.message); }
 
-  void act(const SendRegion& action) {
+  void execute(const SendRegion& action) {
     PeerMessage message;
     message.kind = PeerMessage::Kind::Region;
     message.region = action.message;
-    peers_.send_to_region(action.region, message);
+    peer_network_.send_to_region(action.region, message);
   }
 
-  void act(const ArmTimer& action) { tick_.set(action.in_ms); }
+  void execute(const ArmTimer& action) { tick_timer_.set(action.in_ms); }
 
-  static void act(const Log& action) {
+  static void execute(const Log& action) {
     const auto level = action.level == Log::Level::Debug     ? spdlog::level::debug
                        : action.level == Log::Level::Info    ? spdlog::level::info
                        : action.level == Log::Level::Warning ? spdlog::level::warn
@@ -156,37 +156,38 @@
 
   // ---- inputs ----
 
-  void serve(ServerRequest request) {
+  void handle_http_request(ServerRequest request) {
     const RequestSource source{RequestSource::Kind::Local, request.connection, 0};
-    const auto error = [&](int status, const char* text) {
+    const auto respond_error = [&](int status, const char* text) {
       respond(source, status, encode_error(text), 0);
     };
-    if (request.oversize) return error(400, "body too large");
+    if (request.body_too_large) return respond_error(400, "body too large");
     const std::string_view path = std::string_view(request.path).substr(0, request.path.find('?'));
     if (path == "/hello") {
-      if (request.method != "POST") return error(405, "method not allowed");
+      if (request.method != "POST") return respond_error(405, "method not allowed");
       auto heartbeat = decode_heartbeat(request.body);
-      if (!heartbeat) return error(400, "not a report");
+      if (!heartbeat) return respond_error(400, "not a report");
       return feed(HeartbeatReceived{source, std::move(*heartbeat), std::move(request.body)});
     }
     if (path == "/healthz") {
-      if (request.method != "GET") return error(405, "method not allowed");
-      const bool ok = controller_.healthy(EventLoop::now_ms());
-      return respond(source, ok ? 200 : 503, ok ? "{}" : encode_error("no leader"), 0);
+      if (request.method != "GET") return respond_error(405, "method not allowed");
+      const bool healthy = controller_.healthy(EventLoop::now_ms());
+      return respond(source, healthy ? 200 : 503, healthy ? "{}" : encode_error("no leader"), 0);
     }
-    constexpr std::string_view kJobs = "/v1/jobs";
-    if (path == kJobs) {
-      if (request.method != "POST") return error(405, "method not allowed");
+    constexpr std::string_view kJobsPath = "/v1/jobs";
+    if (path == kJobsPath) {
+      if (request.method != "POST") return respond_error(405, "method not allowed");
       return feed(UserRequest{source, UserOp::Submit, {}, std::move(request.body)});
     }
-    if (!path.starts_with("/v1/jobs/")) return error(404, "no such path");
-    std::string_view id = path.substr(kJobs.size() + 1);
-    constexpr std::string_view kWithdraw = "/withdraw";
-    const bool cancel = id.ends_with(kWithdraw);
-    if (cancel) id.remove_suffix(kWithdraw.size());
-    if (id.find('/') != std::string_view::npos) return error(404, "no such path");
-    if (request.method != (cancel ? "POST" : "GET")) return error(405, "method not allowed");
-    if (!valid_job_id(id)) return error(404, "no such job");
+    if (!path.starts_with("/v1/jobs/")) return respond_error(404, "no such path");
+    std::string_view id = path.substr(kJobsPath.size() + 1);
+    constexpr std::string_view kWithdrawSuffix = "/withdraw";
+    const bool cancel = id.ends_with(kWithdrawSuffix);
+    if (cancel) id.remove_suffix(kWithdrawSuffix.size());
+    if (id.find('/') != std::string_view::npos) return respond_error(404, "no such path");
+    if (request.method != (cancel ? "POST" : "GET"))
+      return respond_error(405, "method not allowed");
+    if (!valid_job_id(id)) return respond_error(404, "no such job");
     feed(UserRequest{source, cancel ? UserOp::Cancel : UserOp::Query, std::string(id), {}});
   }
 
@@ -208,7 +209,7 @@
             HeartbeatReceived{source, std::move(*heartbeat), std::move(message.request.body)});
       }
       case PeerMessage::Kind::Response:
-        if (const std::size_t peer = peers_.peer_of(link); peer < peers_.peer_count())
+        if (const std::size_t peer = peer_network_.peer_of(link); peer < peer_network_.peer_count())
           feed(PeerMessageReceived{peer, std::move(message)});
         return;
       case PeerMessage::Kind::Region:
@@ -221,11 +222,11 @@
   EventLoop loop_;
   Controller controller_;
   const SocketShares sockets_;
-  HttpClient client_, workers_;
+  HttpClient service_client_, worker_client_;
   HttpServer server_;
-  PeerNetwork peers_;
-  std::uint64_t sweeps_ = 0;
-  Timer tick_, sweep_;
+  PeerNetwork peer_network_;
+  std::uint64_t sweep_count_ = 0;
+  Timer tick_timer_, sweep_timer_;
 };
 
 Daemon::Daemon(const Settings& settings, const Options& options)
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int kBadUsage = 2;
+constexpr int kExitInvalidInput = 2;
 
 sailreel::Settings load_settings(const std::string& path) {
   std::ifstream file(path);
@@ -27,8 +27,9 @@
   auto logger = spdlog::stderr_logger_st("sailreel");
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   spdlog::set_default_logger(logger);
-  const char* wanted = std::getenv("LOG_LEVEL");
-  const std::string level = wanted == nullptr || *wanted == '\0' ? "info" : wanted;
+  const char* configured_level = std::getenv("LOG_LEVEL");
+  const std::string level =
+      configured_level == nullptr || *configured_level == '\0' ? "info" : configured_level;
   if (level == "error")
     spdlog::set_level(spdlog::level::err);
   else if (level == "info")
@@ -47,15 +48,15 @@
   CLI::App app{"sailreel: a scheduler for fleets that serve language models"};
   app.set_version_flag("--version", "sailreel " SAILREEL_VERSION);
   std::string config, options_path;
-  bool check = false;
+  bool check_only = false;
   app.add_option("--config", config, "Path of the platform's settings file (JSON)")->required();
   app.add_option("--options", options_path,
                  "Path of the operators' options file (protobuf text format)");
-  app.add_flag("--check-config", check, "Validate both files and exit");
+  app.add_flag("--check-config", check_only, "Validate both files and exit");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? 0 : kBadUsage;
+    return app.exit(error) == 0 ? 0 : kExitInvalidInput;
   }
   // A write to a closed connection returns an error, so the signal is not needed.
   std::signal(SIGPIPE, SIG_IGN);
@@ -65,14 +66,14 @@
     const sailreel::Options options =
         options_path.empty() ? sailreel::Options{} : sailreel::load_options(options_path);
     sailreel::check_federation(options.federation, settings);
-    if (check) {
+    if (check_only) {
       std::cout << "settings of " << settings.name << " are valid\n";
       return 0;
     }
     sailreel::Daemon(settings, options).run();
   } catch (const sailreel::SettingsError& error) {
     std::cerr << "sailreel: " << error.what() << '\n';
-    return kBadUsage;
+    return kExitInvalidInput;
   } catch (const std::exception& error) {
     std::cerr << "sailreel: " << error.what() << '\n';
     return 1;
--- a/src/app/peer_network.cpp
+++ b/src/app/peer_network.cpp
@@ -7,27 +7,27 @@
 namespace {
 
 /// The least time between two attempts to connect to the same address.
-constexpr std::int64_t kReconnectMs = 500;
+constexpr std::int64_t kReconnectIntervalMs = 500;
 /// The share of a controller's memory that a link's unsent bytes may take; the limit is at least
 /// one MiB.
 constexpr double kLinkMemoryShare = 1.0 / 32;
-constexpr double kMiB = 1024.0 * 1024;
-/// Batches of forwarded heartbeats and queries per heartbeat interval. The first number applies if
-/// the leader has responded to the last batch; it makes frames wait as long as a placement pass
-/// waits for heartbeats that arrive close together. Otherwise the second, smaller number applies,
-/// which makes them wait longer.
-constexpr double kBatchesPerHeartbeat = 40, kSlowBatchesPerHeartbeat = 8;
-
-std::size_t link_backlog(const Settings& settings) {
+constexpr double kBytesPerMiB = 1024.0 * 1024;
+/// Batches of forwarded heartbeats and queries per heartbeat interval. The maximum applies if the
+/// leader has responded to the last batch; frames then wait as long as a placement pass waits for
+/// heartbeats that arrive close together. The minimum applies otherwise; frames then wait longer.
+constexpr double kMaxBatchesPerHeartbeat = 40, kMinBatchesPerHeartbeat = 8;
+
+std::size_t max_backlog_bytes(const Settings& settings) {
   return static_cast<std::size_t>(std::max(1.0, settings.limits.memory_mb * kLinkMemoryShare) *
-                                  kMiB);
+                                  kBytesPerMiB);
 }
 
 PeerLinks::Batching batching(const Settings& settings) {
-  const auto part = [&](double parts) {
-    return std::max<std::int64_t>(1, ms(settings.workers.heartbeat_interval_s / parts));
+  const auto delay_ms = [&](double batches_per_heartbeat) {
+    return std::max<std::int64_t>(
+        1, ms(settings.workers.heartbeat_interval_s / batches_per_heartbeat));
   };
-  return {part(kBatchesPerHeartbeat), part(kSlowBatchesPerHeartbeat)};
+  return {delay_ms(kMaxBatchesPerHeartbeat), delay_ms(kMinBatchesPerHeartbeat)};
 }
 
 // Workers' heartbeats and users' queries may wait: the sender's next one follows only seconds
@@ -43,13 +43,13 @@
 
 std::vector<std::vector<PeerNetwork::OutgoingLink>> PeerNetwork::region_links(
     const FederationOptions& options) {
-  std::vector<std::vector<OutgoingLink>> out;
+  std::vector<std::vector<OutgoingLink>> links;
   for (const FederatedRegion& region : options.regions) {
     if (region.name == options.region) continue;
-    out.emplace_back();
-    for (const std::string& address : region.addresses) out.back().push_back({address});
+    links.emplace_back();
+    for (const std::string& address : region.addresses) links.back().push_back({address});
   }
-  return out;
+  return links;
 }
 
 std::size_t PeerNetwork::region_link_count(const FederationOptions& options) {
@@ -59,10 +59,10 @@
 }
 
 PeerNetwork::PeerNetwork(EventLoop& loop, const Settings& settings,
-                         const FederationOptions& options, std::size_t max_incoming, Events events)
+                         const FederationOptions& options, std::size_t max_links, Events events)
     : loop_(loop),
       events_(std::move(events)),
-      links_(loop, settings.peer_listen, max_incoming, link_backlog(settings), batching(settings),
+      links_(loop, settings.peer_listen, max_links, max_backlog_bytes(settings), batching(settings),
              {[this](std::uint64_t link, std::string_view bytes) { return receive(link, bytes); },
               [this](std::uint64_t link) { handle_closed(link); }}),
       regions_(region_links(options)) {
@@ -77,13 +77,13 @@
   for (OutgoingLink& link : regions_[region]) send(link, message);
 }
 
-void PeerNetwork::send(OutgoingLink& to, const PeerMessage& message) {
-  if (to.link == 0) {
-    if (EventLoop::now_ms() < to.retry_at) return;
-    to.retry_at = EventLoop::now_ms() + kReconnectMs;
-    to.link = links_.connect(to.address);
+void PeerNetwork::send(OutgoingLink& target, const PeerMessage& message) {
+  if (target.link == 0) {
+    if (EventLoop::now_ms() < target.retry_at) return;
+    target.retry_at = EventLoop::now_ms() + kReconnectIntervalMs;
+    target.link = links_.connect(target.address);
   }
-  links_.send(to.link, encode_peer(message), urgency_of(message));
+  links_.send(target.link, encode_peer(message), urgency_of(message));
 }
 
 void PeerNetwork::respond(std::uint64_t link, const PeerMessage& response) {
@@ -93,8 +93,8 @@
 }
 
 std::size_t PeerNetwork::peer_of(std::uint64_t link) const {
-  const auto leads_there = [link](const OutgoingLink& peer) { return peer.link == link; };
-  return static_cast<std::size_t>(std::find_if(peers_.begin(), peers_.end(), leads_there) -
+  const auto is_link = [link](const OutgoingLink& peer) { return peer.link == link; };
+  return static_cast<std::size_t>(std::find_if(peers_.begin(), peers_.end(), is_link) -
                                   peers_.begin());
 }
 
@@ -115,21 +115,22 @@
 void PeerNetwork::handle_closed(std::uint64_t link) {
   readers_.erase(link);
   for (auto& links : regions_)
-    for (OutgoingLink& region : links)
-      if (region.link == link) region.link = 0;
+    for (OutgoingLink& outgoing : links)
+      if (outgoing.link == link) outgoing.link = 0;
   for (std::size_t peer = 0; peer < peers_.size(); ++peer)
     if (peers_[peer].link == link) {
       peers_[peer].link = 0;
-      lost_peers_.push_back(peer);
+      disconnected_peers_.push_back(peer);
     }
-  if (lost_peers_.empty()) return;
+  if (disconnected_peers_.empty()) return;
   // The timer delays the report to the loop's next iteration, because a link may be closed during a
   // step of the controller, and the report starts another step.
-  if (!lost_timer_)
-    lost_timer_ = std::make_unique<Timer>(loop_, [this] {
-      for (const std::size_t peer : std::exchange(lost_peers_, {})) events_.disconnected(peer);
+  if (!disconnect_timer_)
+    disconnect_timer_ = std::make_unique<Timer>(loop_, [this] {
+      for (const std::size_t peer : std::exchange(disconnected_peers_, {}))
+        events_.disconnected(peer);
     });
-  lost_timer_->set(0);
+  disconnect_timer_->set(0);
 }
 
 }  // namespace sailreel
--- a/src/app/peer_network.hpp
+++ b/src/app/peer_network.hpp
@@ -30,9 +30,9 @@
   };
 
   /// Throws std::runtime_error if it cannot listen on `Settings::peer_listen`. The loop must
-  /// outlive the network. For `max_incoming` see PeerLinks.
+  /// outlive the network. For `max_links` see PeerLinks.
   PeerNetwork(EventLoop& loop, const Settings& settings, const FederationOptions& options,
-              std::size_t max_incoming, Events events);
+              std::size_t max_links, Events events);
 
   /// The number of links with controllers of other regions, in both directions.
   static std::size_t region_link_count(const FederationOptions& options);
@@ -59,7 +59,7 @@
   };
 
   static std::vector<std::vector<OutgoingLink>> region_links(const FederationOptions& options);
-  void send(OutgoingLink& to, const PeerMessage& message);
+  void send(OutgoingLink& target, const PeerMessage& message);
   bool receive(std::uint64_t link, std::string_view bytes);
   void handle_closed(std::uint64_t link);
 
@@ -70,8 +70,8 @@
   std::vector<std::vector<OutgoingLink>> regions_;
   std::unordered_map<std::uint64_t, PeerReader> readers_;
   std::uint64_t reading_link_ = 0;  // link whose messages are being handled; 0: none
-  std::vector<std::size_t> lost_peers_;
-  std::unique_ptr<Timer> lost_timer_;
+  std::vector<std::size_t> disconnected_peers_;
+  std::unique_ptr<Timer> disconnect_timer_;
 };
 
 }  // namespace sailreel
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -12,31 +12,31 @@
  public:
   Connection(HttpClient& client, std::string address)
       : Stream(client.loop_, &client.traffic_), client_(client), address_(std::move(address)) {
-    ++client_.open_;
+    ++client_.connection_count_;
     http_parser_init(&parser_, HTTP_RESPONSE);
     parser_.data = this;
   }
 
-  void send(std::string request, bool keep, Done done) {
+  void send(std::string request, bool keep_alive, ResponseCallback on_response) {
     ++client_.traffic_.messages_out;
-    done_ = std::move(done);
-    keep_ = keep;
+    on_response_ = std::move(on_response);
+    keep_alive_ = keep_alive;
     body_.clear();
     if (connected_)
       write(std::move(request));
     else
-      waiting_ = std::move(request);
+      unsent_request_ = std::move(request);
   }
 
  protected:
   void on_connected() override {
     connected_ = true;
-    write(std::move(waiting_));
+    write(std::move(unsent_request_));
   }
 
   void on_bytes(std::string_view bytes) override {
-    if (!done_) return close();  // unexpected: no request is open
-    http_parser_execute(&parser_, &handlers(), bytes.data(), bytes.size());
+    if (!on_response_) return close();  // unexpected: no request is open
+    http_parser_execute(&parser_, &parser_settings(), bytes.data(), bytes.size());
     if (closing()) return;
     if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) {
       http_parser_pause(&parser_, 0);
@@ -47,24 +47,24 @@
   }
 
   void on_closed() override {
-    --client_.open_;
+    --client_.connection_count_;
     client_.busy_.erase(this);
     if (const auto it = client_.idle_.find(address_); it != client_.idle_.end())
       std::erase(it->second, this);
-    if (done_) {
-      auto done = std::move(done_);
-      done_ = nullptr;
-      done(0, {});
+    if (on_response_) {
+      auto on_response = std::move(on_response_);
+      on_response_ = nullptr;
+      on_response(0, {});
     }
   }
 
  private:
-  static const http_parser_settings& handlers() {
-    static const http_parser_settings kHandlers = [] {
+  static const http_parser_settings& parser_settings() {
+    static const http_parser_settings kParserSettings = [] {
       http_parser_settings settings;
       http_parser_settings_init(&settings);
-      settings.on_body = [](http_parser* parser, const char* at, std::size_t length) {
-        static_cast<Connection*>(parser->data)->body_.append(at, length);
+      settings.on_body = [](http_parser* parser, const char* data, std::size_t length) {
+        static_cast<Connection*>(parser->data)->body_.append(data, length);
         return 0;
       };
       settings.on_message_complete = [](http_parser* parser) {
@@ -73,40 +73,40 @@
       };
       return settings;
     }();
-    return kHandlers;
+    return kParserSettings;
   }
 
   void finish() {
     ++client_.traffic_.messages_in;
-    auto done = std::move(done_);
-    done_ = nullptr;
+    auto on_response = std::move(on_response_);
+    on_response_ = nullptr;
     const auto status = static_cast<int>(parser_.status_code);
     const std::string body = std::move(body_);
     body_.clear();
     client_.busy_.erase(this);
-    if (keep_ && http_should_keep_alive(&parser_) != 0)
+    if (keep_alive_ && http_should_keep_alive(&parser_) != 0)
       client_.idle_[address_].push_back(this);
     else
       close();
-    done(status, body);
+    on_response(status, body);
   }
 
   HttpClient& client_;
-  std::string address_, waiting_, body_;
+  std::string address_, unsent_request_, body_;
   http_parser parser_{};
-  Done done_;
-  bool connected_ = false, keep_ = true;
+  ResponseCallback on_response_;
+  bool connected_ = false, keep_alive_ = true;
 };
 
 HttpClient::~HttpClient() = default;
 
 void HttpClient::request(const std::string& address, const std::string& method,
                          const std::string& path, const std::string& body, std::int64_t timeout_ms,
-                         bool keep, Done done) {
+                         bool keep_alive, ResponseCallback on_response) {
   std::string text;
   text.reserve(128 + path.size() + body.size());
   text.append(method).append(" ").append(path).append(" HTTP/1.1\r\nHost: ").append(address);
-  if (!keep) text.append("\r\nConnection: close");
+  if (!keep_alive) text.append("\r\nConnection: close");
   if (method != "GET")
     text.append("\r\nContent-Type: application/json\r\nContent-Length: ")
         .append(std::to_string(body.size()));
@@ -119,15 +119,15 @@
     idle.pop_back();
   } else {
     const auto endpoint = parse_endpoint(address);
-    if (!endpoint || open_ >= max_connections_) return done(0, {});
+    if (!endpoint || connection_count_ >= max_connections_) return on_response(0, {});
     connection = new Connection(*this, address);
     busy_[connection] = EventLoop::now_ms() + timeout_ms;
-    connection->send(std::move(text), keep, std::move(done));
+    connection->send(std::move(text), keep_alive, std::move(on_response));
     connection->connect(*endpoint);
     return;
   }
   busy_[connection] = EventLoop::now_ms() + timeout_ms;
-  connection->send(std::move(text), keep, std::move(done));
+  connection->send(std::move(text), keep_alive, std::move(on_response));
 }
 
 void HttpClient::close_idle(const std::string& address) {
@@ -142,7 +142,7 @@
   std::vector<Connection*> timed_out;
   for (const auto& [connection, times_out_at] : busy_)
     if (times_out_at <= now) timed_out.push_back(connection);
-  // Closing a connection calls its `Done` callback, which may close other connections.
+  // Closing a connection calls its `ResponseCallback`, which may close other connections.
   for (Connection* connection : timed_out)
     if (busy_.contains(connection)) connection->close();
 }
--- a/src/transport/http_server.hpp
+++ b/src/transport/http_server.hpp
@@ -19,7 +19,7 @@
   std::uint64_t connection = 0;
   std::string method, path, body;
   /// The body is longer than the server accepts; `body` holds its beginning at most.
-  bool oversize = false;
+  bool body_too_large = false;
 };
 
 /// Accepts connections and passes each request to a handler. Must be used on the loop's thread
@@ -29,17 +29,18 @@
   /// Called once per request; the owner answers it through `respond`.
   using Handler = std::function<void(ServerRequest)>;
   /// Throws std::runtime_error if it cannot listen on the address. Connections above
-  /// `max_connections` are closed at once. `max_body` is in bytes. `sweep` closes connections that
-  /// have been idle for more than `idle_ms`.
+  /// `max_connections` are closed at once. A body larger than `max_body_bytes` is discarded (see
+  /// `ServerRequest::body_too_large`). `close_idle` closes connections that have been idle for more
+  /// than `idle_ms`.
   HttpServer(EventLoop& loop, const std::string& address, std::size_t max_connections,
-             std::size_t max_body, std::int64_t idle_ms, Handler handler);
+             std::size_t max_body_bytes, std::int64_t idle_ms, Handler handler);
   ~HttpServer();
 
   /// Responds to the connection's open request; does nothing if the connection has been closed.
   /// `retry_after_s` is the value of the Retry-After header, which is omitted for 0.
   void respond(std::uint64_t connection, int status, const std::string& body, int retry_after_s);
   /// Closes idle connections. The owner must call it at regular intervals.
-  void sweep();
+  void close_idle();
   /// The number of open connections.
   [[nodiscard]] std::size_t connections() const { return connections_.size(); }
   [[nodiscard]] const Traffic& traffic() const { return traffic_; }
@@ -49,10 +50,10 @@
   void accept(uv_stream_t* server);
 
   EventLoop& loop_;
-  std::size_t max_connections_, max_body_;
+  std::size_t max_connections_, max_body_bytes_;
   std::int64_t idle_ms_;
   Handler handler_;
-  std::uint64_t next_ = 1;
+  std::uint64_t next_id_ = 1;
   Traffic traffic_;
   std::unordered_map<std::uint64_t, Connection*> connections_;
   Listener listener_;
--- a/src/transport/loop.cpp
+++ b/src/transport/loop.cpp
@@ -23,11 +23,11 @@
 
 struct Timer::Handle {
   uv_timer_t timer{};
-  std::function<void()> fire;
+  std::function<void()> callback;
 };
 
-Timer::Timer(EventLoop& loop, std::function<void()> fire) : handle_(new Handle) {
-  handle_->fire = std::move(fire);
+Timer::Timer(EventLoop& loop, std::function<void()> callback) : handle_(new Handle) {
+  handle_->callback = std::move(callback);
   handle_->timer.data = handle_;
   uv_timer_init(loop.raw(), &handle_->timer);
 }
@@ -37,11 +37,11 @@
            [](uv_handle_t* handle) { delete static_cast<Handle*>(handle->data); });
 }
 
-void Timer::set(std::int64_t in_ms) {
+void Timer::set(std::int64_t delay_ms) {
   uv_update_time(handle_->timer.loop);
   uv_timer_start(
-      &handle_->timer, [](uv_timer_t* timer) { static_cast<Handle*>(timer->data)->fire(); },
-      static_cast<std::uint64_t>(in_ms < 0 ? 0 : in_ms), 0);
+      &handle_->timer, [](uv_timer_t* timer) { static_cast<Handle*>(timer->data)->callback(); },
+      static_cast<std::uint64_t>(delay_ms < 0 ? 0 : delay_ms), 0);
 }
 
 }  // namespace sailreel
--- a/src/transport/loop.hpp
+++ b/src/transport/loop.hpp
@@ -30,16 +30,17 @@
   uv_loop_t loop_{};
 };
 
-/// A one-shot timer that calls `fire` once after `set`. Setting a pending timer replaces its time.
+/// A one-shot timer that calls `callback` once after `set`. Setting a pending timer replaces its
+/// time.
 class Timer {
  public:
-  Timer(EventLoop& loop, std::function<void()> fire);
+  Timer(EventLoop& loop, std::function<void()> callback);
   ~Timer();
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
   /// Starts the timer; a negative delay counts as 0.
-  void set(std::int64_t in_ms);
+  void set(std::int64_t delay_ms);
 
  private:
   struct Handle;
--- a/src/transport/peer_link.hpp
+++ b/src/transport/peer_link.hpp
@@ -40,17 +40,17 @@
   /// How long frames wait to be sent together, in milliseconds.
   struct Batching {
     /// The delay of a batch if bytes have been received since the last one.
-    std::int64_t least_ms = 1;
+    std::int64_t min_delay_ms = 1;
     /// The least time from one batch to the next if no bytes have been received in between, which
     /// indicates that the other side is slow.
-    std::int64_t most_ms = 1;
+    std::int64_t max_delay_ms = 1;
   };
-  /// An incoming connection is closed at once if it would make more than `max_incoming` links,
-  /// outgoing ones included. A link with more than `max_backlog` unsent bytes is closed, because
-  /// its frames are too old to be of use. Throws std::runtime_error if it cannot listen on
+  /// An incoming connection is closed at once if it would make more than `max_links` links,
+  /// outgoing ones included. A link with more than `max_backlog_bytes` unsent bytes is closed,
+  /// because its frames are too old to be of use. Throws std::runtime_error if it cannot listen on
   /// `listen`.
-  PeerLinks(EventLoop& loop, const std::string& listen, std::size_t max_incoming,
-            std::size_t max_backlog, Batching batching, Events events);
+  PeerLinks(EventLoop& loop, const std::string& listen, std::size_t max_links,
+            std::size_t max_backlog_bytes, Batching batching, Events events);
   ~PeerLinks();
 
   /// Opens a connection and returns its link number, which `Events` refer to. A failure is reported
@@ -72,15 +72,15 @@
   void send_batches();
 
   EventLoop& loop_;
-  std::size_t max_incoming_, max_backlog_;
+  std::size_t max_links_, max_backlog_bytes_;
   Batching batching_;
   Events events_;
   std::uint64_t writes_ = 0;
   /// Links in the next batch, without duplicates. Some may have been flushed or closed since they
   /// were added.
-  std::vector<std::uint64_t> waiting_links_;
+  std::vector<std::uint64_t> batched_links_;
   Timer batch_timer_;
-  std::uint64_t next_ = 1;
+  std::uint64_t next_link_ = 1;
   std::unordered_map<std::uint64_t, Connection*> links_;
   Listener listener_;
 };
--- a/src/transport/stream.hpp
+++ b/src/transport/stream.hpp
@@ -29,15 +29,15 @@
 
   /// Connects, starts reading and calls `on_connected`. A failure closes the stream, in some cases
   /// before `connect` returns.
-  void connect(const Endpoint& to) {
+  void connect(const Endpoint& endpoint) {
     sockaddr_in address{};
     auto* request = new uv_connect_t;
     request->data = this;
-    if (uv_ip4_addr(to.host.c_str(), to.port, &address) != 0 ||
+    if (uv_ip4_addr(endpoint.host.c_str(), endpoint.port, &address) != 0 ||
         uv_tcp_connect(request, &tcp_, reinterpret_cast<const sockaddr*>(&address),
-                       [](uv_connect_t* connected, int status) {
-                         auto* self = static_cast<Stream*>(connected->data);
-                         delete connected;
+                       [](uv_connect_t* connect_request, int status) {
+                         auto* self = static_cast<Stream*>(connect_request->data);
+                         delete connect_request;
                          if (self->closing_) return;
                          if (status != 0) return self->close();
                          self->start();
@@ -55,8 +55,8 @@
         raw(),
         [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
           // All connections share one buffer, because the loop reads from one at a time.
-          static char shared[64 * 1024];
-          *buffer = uv_buf_init(shared, sizeof shared);
+          static char shared_buffer[64 * 1024];
+          *buffer = uv_buf_init(shared_buffer, sizeof shared_buffer);
         },
         [](uv_stream_t* stream, ssize_t length, const uv_buf_t* buffer) {
           auto* self = static_cast<Stream*>(stream->data);
@@ -72,20 +72,22 @@
   void write(std::string bytes) {
     if (closing_) return;
     if (traffic_ != nullptr) traffic_->bytes_out += bytes.size();
-    uv_buf_t now = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
-    const int sent = uv_stream_get_write_queue_size(raw()) == 0 ? uv_try_write(raw(), &now, 1) : 0;
+    uv_buf_t unsent = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
+    const int sent =
+        uv_stream_get_write_queue_size(raw()) == 0 ? uv_try_write(raw(), &unsent, 1) : 0;
     if (sent == static_cast<int>(bytes.size())) return;
-    auto* pending = new Pending;
+    auto* pending = new PendingWrite;
     pending->bytes = std::move(bytes);
     if (sent > 0) pending->bytes.erase(0, static_cast<std::size_t>(sent));
     pending->request.data = pending;
-    uv_buf_t rest =
+    uv_buf_t remainder =
         uv_buf_init(pending->bytes.data(), static_cast<unsigned>(pending->bytes.size()));
-    if (uv_write(&pending->request, raw(), &rest, 1, [](uv_write_t* written, int status) {
-          auto* stream = static_cast<Stream*>(written->handle->data);
-          delete static_cast<Pending*>(written->data);
-          if (status != 0) stream->close();
-        }) != 0) {
+    if (uv_write(&pending->request, raw(), &remainder, 1,
+                 [](uv_write_t* write_request, int status) {
+                   auto* stream = static_cast<Stream*>(write_request->handle->data);
+                   delete static_cast<PendingWrite*>(write_request->data);
+                   if (status != 0) stream->close();
+                 }) != 0) {
       delete pending;
       close();
     }
@@ -110,7 +112,7 @@
   virtual void on_closed() = 0;
 
  private:
-  struct Pending {
+  struct PendingWrite {
     uv_write_t request{};
     std::string bytes;
   };
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -15,11 +15,11 @@
 namespace sailreel {
 namespace {
 
-constexpr std::int64_t kPatienceMs = 20'000;
-constexpr std::size_t kBacklog = std::size_t{1} << 20;
+constexpr std::int64_t kTimeoutMs = 20'000;
+constexpr std::size_t kMaxBacklogBytes = std::size_t{1} << 20;
 
 /// A loopback address that depends on the process id, because test cases run as parallel processes.
-std::string own_address(const char* port) {
+std::string process_address(const char* port) {
   const int pid = getpid();
   return "127.88." + std::to_string(pid / 250 % 250) + "." + std::to_string(pid % 250 + 1) + port;
 }
@@ -28,67 +28,67 @@
 class PeerLinkPair {
  public:
   explicit PeerLinkPair(PeerLinks::Batching batching)
-      : from_(loop_, own_address(":18081"), 8, kBacklog, batching,
-              {[](std::uint64_t, std::string_view) { return true; }, [](std::uint64_t) {}}),
-        to_(loop_, own_address(":18082"), 8, kBacklog, batching,
-            {[this](std::uint64_t link, std::string_view bytes) {
-               back_ = link;
-               received_.append(bytes);
-               return true;
-             },
-             [](std::uint64_t) {}}),
-        alarm_(loop_, [this] { ring(); }),
-        link_(from_.connect(own_address(":18082"))) {
+      : sender_(loop_, process_address(":18081"), 8, kMaxBacklogBytes, batching,
+                {[](std::uint64_t, std::string_view) { return true; }, [](std::uint64_t) {}}),
+        receiver_(loop_, process_address(":18082"), 8, kMaxBacklogBytes, batching,
+                  {[this](std::uint64_t link, std::string_view bytes) {
+                     return_link_ = link;
+                     received_.append(bytes);
+                     return true;
+                   },
+                   [](std::uint64_t) {}}),
+        alarm_(loop_, [this] { on_alarm(); }),
+        link_(sender_.connect(process_address(":18082"))) {
     // The first frame is sent once the connection is established; `writes` counts from then on.
-    from_.send(link_, "0");
+    sender_.send(link_, "0");
     wait_for("0");
     received_.clear();
-    writes_before_ = from_.writes();
+    writes_before_ = sender_.writes();
   }
 
-  void send(const std::string& frame, Urgency urgency) { from_.send(link_, frame, urgency); }
-  void flush() { from_.flush(link_); }
-  void respond() { to_.send(back_, "answer"); }
-  [[nodiscard]] std::uint64_t writes() const { return from_.writes() - writes_before_; }
+  void send(const std::string& frame, Urgency urgency) { sender_.send(link_, frame, urgency); }
+  void flush() { sender_.flush(link_); }
+  void respond() { receiver_.send(return_link_, "answer"); }
+  [[nodiscard]] std::uint64_t writes() const { return sender_.writes() - writes_before_; }
   [[nodiscard]] const std::string& received() const { return received_; }
 
-  void run_for(std::int64_t span_ms) {
-    set_alarm(span_ms);
-    while (!rang_) uv_run(loop_.raw(), UV_RUN_ONCE);
+  void run_for(std::int64_t duration_ms) {
+    set_alarm(duration_ms);
+    while (!alarm_fired_) uv_run(loop_.raw(), UV_RUN_ONCE);
   }
-  /// Runs until that number of bytes has arrived or kPatienceMs have passed, and expects the
+  /// Runs until that number of bytes has arrived or kTimeoutMs have passed, and expects the
   /// received bytes to equal `bytes`.
   void wait_for(const std::string& bytes) {
-    set_alarm(kPatienceMs);
-    while (!rang_ && received_.size() < bytes.size()) uv_run(loop_.raw(), UV_RUN_ONCE);
+    set_alarm(kTimeoutMs);
+    while (!alarm_fired_ && received_.size() < bytes.size()) uv_run(loop_.raw(), UV_RUN_ONCE);
     EXPECT_EQ(received_, bytes);
   }
 
  private:
-  void set_alarm(std::int64_t span_ms) {
-    rang_ = false;
-    alarm_.set(span_ms);
+  void set_alarm(std::int64_t duration_ms) {
+    alarm_fired_ = false;
+    alarm_.set(duration_ms);
   }
   /// An alarm that is due at the start of an iteration of the loop must end that iteration:
   /// without another timer, the loop would go on to wait for the sockets without a time limit
   /// (docs/incidents/hanging-test.md).
-  void ring() {
-    rang_ = true;
+  void on_alarm() {
+    alarm_fired_ = true;
     uv_stop(loop_.raw());
   }
 
   EventLoop loop_;
-  PeerLinks from_, to_;
+  PeerLinks sender_, receiver_;
   Timer alarm_;
-  bool rang_ = false;
+  bool alarm_fired_ = false;
   std::string received_;
-  std::uint64_t back_ = 0, writes_before_ = 0;
+  std::uint64_t return_link_ = 0, writes_before_ = 0;
   const std::uint64_t link_;
 };
 
 // Guards the processor time of forwarded heartbeats: without batching, 20 of them take 20 writes;
 // in a batch, they take one.
-TEST(PeerLink, FramesThatMayWaitLeaveTogether) {
+TEST(PeerLink, FramesThatMayWaitAreSentInOneWrite) {
   PeerLinkPair links({30, 30});
   std::string sent;
   for (int frame = 0; frame < 20; ++frame) {
@@ -100,8 +100,8 @@
   EXPECT_EQ(links.writes(), 1U);
 }
 
-TEST(PeerLink, AnUrgentFrameIsSentTogetherWithThoseThatWait) {
-  PeerLinkPair links({kPatienceMs, kPatienceMs});
+TEST(PeerLink, UrgentFrameIsSentTogetherWithWaitingFrames) {
+  PeerLinkPair links({kTimeoutMs, kTimeoutMs});
   links.send("report;", Urgency::MayWait);
   links.send("question;", Urgency::MayWait);
   links.send("submission;", Urgency::Now);
@@ -114,8 +114,8 @@
 }
 
 // A slow leader must not receive another batch before it has responded to the last one.
-TEST(PeerLink, BatchesGrowWhileTheOtherSideIsSlow) {
-  PeerLinkPair links({5, kPatienceMs * 10});
+TEST(PeerLink, BatchWaitsForTheResponseOfASlowPeer) {
+  PeerLinkPair links({5, kTimeoutMs * 10});
   links.send("1", Urgency::MayWait);
   links.wait_for("1");
   links.send("2", Urgency::MayWait);
@@ -127,7 +127,7 @@
   EXPECT_EQ(links.writes(), 2U);
 }
 
-TEST(PeerLink, ABatchIsSentWithoutAResponseInTheEnd) {
+TEST(PeerLink, BatchIsSentAfterMaxDelayWithoutResponse) {
   PeerLinkPair links({5, 50});
   links.send("1", Urgency::MayWait);
   links.wait_for("1");
@@ -135,49 +135,49 @@
   links.wait_for("12");
 }
 
-enum class Step : std::uint8_t { SendNow, SendLater, SendHeld, Flush, Response, Run };
+enum class Step : std::uint8_t { SendNow, SendMayWait, SendUntilFlush, Flush, Response, Run };
 
 std::optional<Urgency> urgency_of(Step step) {
   if (step == Step::SendNow) return Urgency::Now;
-  if (step == Step::SendLater) return Urgency::MayWait;
-  if (step == Step::SendHeld) return Urgency::UntilFlush;
+  if (step == Step::SendMayWait) return Urgency::MayWait;
+  if (step == Step::SendUntilFlush) return Urgency::UntilFlush;
   return {};
 }
 
 // For any sequence of sends with any urgency, flushes and responses, every frame arrives once and
 // in order.
-TEST(PeerLink, NoFrameIsLostOrOvertaken) {
+TEST(PeerLink, FramesArriveOnceAndInOrder) {
   fix_cases(200);
-  const bool held = rc::check("frames arrive in order", [] {
+  const bool passed = rc::check("frames arrive in order", [] {
     const auto steps = *rc::gen::container<std::vector<Step>>(
-        rc::gen::element(Step::SendNow, Step::SendLater, Step::SendLater, Step::SendHeld,
+        rc::gen::element(Step::SendNow, Step::SendMayWait, Step::SendMayWait, Step::SendUntilFlush,
                          Step::Flush, Step::Response, Step::Run));
     PeerLinkPair links({1, 4});
     std::string sent;
-    int next = 0;
-    bool held = false;
+    int next_frame = 0;
+    bool needs_flush = false;
     for (const Step step : steps) {
-      const std::string frame = std::to_string(next) + ";";
+      const std::string frame = std::to_string(next_frame) + ";";
       if (const auto urgency = urgency_of(step)) {
         links.send(frame, *urgency);
-        held = urgency == Urgency::UntilFlush;
+        needs_flush = urgency == Urgency::UntilFlush;
         sent += frame;
-        ++next;
+        ++next_frame;
       }
       if (step == Step::Flush) {
         links.flush();
-        held = false;
+        needs_flush = false;
       }
       if (step == Step::Response) links.respond();
       if (step == Step::Run) links.run_for(1);
     }
     // Only frames that were sent with Urgency::UntilFlush may still need a flush.
-    if (held) links.flush();
+    if (needs_flush) links.flush();
     links.wait_for(sent);
     RC_ASSERT(links.received() == sent);
-    RC_ASSERT(links.writes() <= static_cast<std::uint64_t>(next));
+    RC_ASSERT(links.writes() <= static_cast<std::uint64_t>(next_frame));
   });
-  EXPECT_TRUE(held);
+  EXPECT_TRUE(passed);
 }
 
 }  // namespace
--- a/tests/smoke_test.sh
+++ b/tests/smoke_test.sh
@@ -11,9 +11,9 @@
 # Two ports that parallel runs don't use: each run has another process id, and the kernel assigns
 # ports to outgoing connections from 32768 on. With 20000 + pid % 20000, a run's port could be the
 # peer port of the run with the preceding process id.
-base=$((10000 + 2 * ($$ % 10000)))
+port=$((10000 + 2 * ($$ % 10000)))
 cat > "$dir/settings.json" <<JSON
-{"label":"n0","area":"a","listen":"127.0.0.1:$base","peer_listen":"127.0.0.1:$((base + 1))",
+{"label":"n0","area":"a","listen":"127.0.0.1:$port","peer_listen":"127.0.0.1:$((port + 1))",
  "siblings":[],"external":{"cloud":"127.0.0.1:1","state":"127.0.0.1:1"},
  "settings":{"zones":["a"],"teams":[{"name":"t","cpus":0,"cpus_max":0,"gpus":4,"gpus_max":8}],
  "workers":{"report_s":1,"lease_s":10,"cancel_s":30},
@@ -64,14 +64,14 @@
 
 "$program" --config "$dir/settings.json" 2> "$dir/log" &
 pid=$!
-url="http://127.0.0.1:$base"
-code() { curl -s -o "$dir/body" -w '%{http_code}' --max-time 5 "$@" || true; }
+url="http://127.0.0.1:$port"
+http_status() { curl -s -o "$dir/body" -w '%{http_code}' --max-time 5 "$@" || true; }
 tries=0
-until test "$(code "$url/nowhere")" = 404; do
+until test "$(http_status "$url/nowhere")" = 404; do
   tries=$((tries + 1)); test "$tries" -lt 200 || fail "the program doesn't respond"
   sleep 0.05
 done
-expect() { want=$1; shift; got=$(code "$@"); test "$got" = "$want" || fail "curl $* gives status $got, not $want"; }
+expect() { expected=$1; shift; actual=$(http_status "$@"); test "$actual" = "$expected" || fail "curl $* gives status $actual, not $expected"; }
 expect 405 -X DELETE "$url/v1/jobs"
 expect 404 "$url/v1/jobs/not-a-job"
 expect 400 -d 'not a report' "$url/hello"
--- a/tests/start_cost_test.sh
+++ b/tests/start_cost_test.sh
@@ -5,8 +5,8 @@
 # instructions.
 set -euo pipefail
 program=$1
-most_relocations=200
-most_libraries=4
+max_relocations=200
+max_libraries=4
 
 fail() { echo "FAILED: $*"; exit 1; }
 
@@ -14,6 +14,6 @@
   sed -n 's/.*final number of relocations: *//p')
 [ -n "$relocations" ] || fail "the dynamic linker printed no statistics"
 libraries=$(ldd "$program" | grep -c '=>')
-echo "relocations $relocations (at most $most_relocations), libraries $libraries (at most $most_libraries)"
-[ "$relocations" -le "$most_relocations" ] || fail "too many relocations"
-[ "$libraries" -le "$most_libraries" ] || fail "too many libraries"
+echo "relocations $relocations (at most $max_relocations), libraries $libraries (at most $max_libraries)"
+[ "$relocations" -le "$max_relocations" ] || fail "too many relocations"
+[ "$libraries" -le "$max_libraries" ] || fail "too many libraries"
