--- a/sim/checker.cpp
+++ b/sim/checker.cpp
@@ -20,7 +20,7 @@
   if (!job.final_state.empty() && !is_final && asked < job.final_at) return;
   if (job.final_state.empty()) {
     if (state == "done" && job.completed.size() < job.spec->tasks) add_violation("not_done", id);
-    if (state == "cancelled" && !job.asked) add_violation("went_back", id + " cancelled by nobody");
+    if (state == "cancelled" && !job.asked) add_violation("went_back", id + " cancelled unasked");
     if (is_final) {
       job.final_state = state;
       job.final_at = now;
@@ -34,7 +34,7 @@
   const auto it = jobs_.find(id);
   if (it != jobs_.end() && it->second.accepted && asked >= it->second.accepted_at &&
       (poll ? status == 404 : status != 404))
-    add_violation("forgotten", id + " answered " + std::to_string(status));
+    add_violation("forgotten", id + " got status " + std::to_string(status));
 }
 
 void Checker::cancel_answered(const std::string& id, const std::string& state) {
@@ -67,11 +67,11 @@
   if (faults_are_over() &&
       now - std::max(job.last_known, faults_ended_at_) > kPatienceAfterFaults) {
     job.failing = true;
-    return add_violation("forgotten", id + " unanswered after the faults");
+    return add_violation("forgotten", id + " without response after the faults");
   }
   if (now - job.last_known > kPatience && now - last_answer_ < kOthersWithin) {
     job.failing = true;
-    add_violation("forgotten", id + " unanswered");
+    add_violation("forgotten", id + " without response");
   }
 }
 
@@ -95,9 +95,10 @@
        it != running_on_.end() && it->first.starts_with(of_job); ++it)
     if (it->first != task)
       for (const auto& [machine, other] : it->second) ++zones[other.zone];
-  if (spec.one_zone && zones.size() > 1) add_violation("wrong_place", task + " not together");
+  if (spec.one_zone && zones.size() > 1)
+    add_violation("wrong_place", task + " not in its job's zone");
   if (spec.spread && zones[location.zone] > (spec.tasks + 1) / 2)
-    add_violation("wrong_place", task + " not spread");
+    add_violation("wrong_place", task + " not spread over zones");
   where[location.machine] = location;
   ++tasks_running_;
   Resources& used = used_[spec.team];
--- a/sim/checker.hpp
+++ b/sim/checker.hpp
@@ -1,5 +1,5 @@
-// Checks a simulation against the rules of the protocol, and names every violation. It knows what
-// really happens on machines and what users are told, and nothing of the controllers' state.
+// Checks a simulation against the rules of the protocol and records every violation. The checker
+// observes what happens on machines and what users are told, but not the controllers' state.
 #pragma once
 
 #include <cstdint>
@@ -14,24 +14,32 @@
 
 namespace sailreel::sim {
 
+/// The machine on which a task runs.
 struct TaskLocation {
   std::string machine, type, zone;
   bool spot = false;
 };
 
+/// Collects the violations of one simulation. All times are in simulated milliseconds.
 class Checker {
  public:
+  /// Tasks of a cancelled job must be gone within `cancel_ms` after a user was told so.
   Checker(std::vector<Team> teams, Time cancel_ms)
       : teams_(std::move(teams)), cancel_within_(cancel_ms) {}
 
+  /// A user submits a job. Called before the first request for the job is sent.
   void submitted(const JobSpec& spec) { jobs_[spec.id].spec = spec; }
+  /// A user requests the cancellation of a job.
   void cancel_asked(const std::string& id) { jobs_[id].asked = true; }
 
-  /// A user was told a job's state: "pending", "running", "done", "cancelled". What one controller
-  /// responds binds the responses to all requests that are sent later.
+  /// A user was told a job's state at `now`: "pending", "running", "done" or "cancelled". A
+  /// response of one controller binds the responses of all controllers to requests that are sent
+  /// later; `asked` is the time at which this response's request was sent, by default `now`.
   void told(const std::string& id, const std::string& state, Time now);
   void told(const std::string& id, const std::string& state, Time now, Time asked);
-  /// A user got a permanent rejection: 404 to a poll, 400 or 422 to a submission.
+  /// A user got a permanent rejection: 404 to a poll, 400 or 422 to a submission. That is a
+  /// violation if the request was sent after the job had been accepted; `asked` is the time of
+  /// sending.
   void refused(const std::string& id, int status, bool poll) { refused(id, status, poll, kNever); }
   void refused(const std::string& id, int status, bool poll, Time asked);
 
@@ -39,47 +47,54 @@
   void faults_ended(Time now) { faults_ended_at_ = now; }
   [[nodiscard]] bool faults_are_over() const { return faults_ended_at_ != kNever; }
 
-  /// A cancellation got 200, which may say cancelled or done only.
+  /// A cancellation got 200 with this job state, which must be "cancelled" or "done".
   void cancel_answered(const std::string& id, const std::string& state);
 
-  /// A job that can't run, or whose submission lacks a field, was accepted.
+  /// A job was accepted although it can't run or its submission lacks a field.
   void accepted_unfit(const std::string& id) { add_violation("accepted_unfit", id); }
 
   /// A worker has accepted a start command.
   void start_taken(const std::string& id);
 
-  /// Whether a job waits although some machine has room for it and its team is under its quota
-  /// limit.
+  /// Reports regularly whether a job waits although some machine has room for it and its team is
+  /// under its quota limit. After the faults have ended, that may last 90 s at the most.
   void waiting(const std::string& id, bool possible, Time now);
 
-  /// A poll of a job failed. If that goes on for long while other jobs get responses, or at all
-  /// after the faults have ended, the job counts as forgotten.
+  /// A poll of a job failed. The job counts as forgotten if its polls fail for 90 s while other
+  /// jobs get responses, or for 75 s after the faults have ended.
   void unanswered(const std::string& id, Time now);
 
-  /// A task has its image and is on its machine from now on.
+  /// A task has its image and occupies its machine from now on.
   void started(const TaskKey& key, const TaskLocation& location, Time now);
+  /// A task no longer occupies its machine; `completed` if it ran to its end.
   void ended(const TaskKey& key, const std::string& machine, bool completed);
   /// All tasks of a gang complete together.
   void gang_completed(const std::string& id);
-  /// To be called after each step of the simulation.
+  /// Checks the tasks that run at `now`. Must be called after each step of the simulation.
   void step(Time now);
-  /// To be called at the end, when all faults have ended.
+  /// Checks that at least one task has started. Must be called at the end, when all faults have
+  /// ended.
   void end();
-  /// The same, and that the scheduler starved nobody: of each class, of each team and of each
-  /// class's largest jobs at least half were served, and the largest began within four minutes.
-  /// Jobs that were cancelled before they began don't count.
+  /// Checks the same as `end`, and that the scheduler starved no group of jobs: of each class, of
+  /// each team and of each class's largest jobs at least half were served, and each of the largest
+  /// began within four minutes after it was accepted. Jobs that were cancelled before they began
+  /// don't count.
   void end_served();
 
+  /// The cases in which each rule was broken, by the rule's name.
   [[nodiscard]] const std::map<std::string, std::vector<std::string>>& violations() const;
+  /// One line: each broken rule with its number of cases and the first of them; empty if none.
   [[nodiscard]] std::string summary() const;
+  /// The number of task starts so far.
   [[nodiscard]] std::uint64_t starts() const { return starts_; }
-  /// Tasks that are on a machine.
+  /// The number of tasks that occupy a machine at this moment.
   [[nodiscard]] std::uint32_t tasks_running() const { return tasks_running_; }
-  /// What a team's tasks use at this moment.
+  /// The resources that a team's tasks use at this moment.
   [[nodiscard]] Resources used_by(const std::string& team) const;
   [[nodiscard]] std::size_t jobs() const { return jobs_.size(); }
+  /// The number of jobs that a user was told to be done or cancelled.
   [[nodiscard]] std::size_t jobs_over() const;
-  /// Accepted jobs that no user was told the end of, though they end by themselves.
+  /// Accepted arrays and gangs, which end by themselves, whose end no user has been told.
   [[nodiscard]] std::vector<std::string> unfinished_arrays() const;
 
  private:
--- a/sim/fake_cloud.cpp
+++ b/sim/fake_cloud.cpp
@@ -74,7 +74,7 @@
   while (lists_.size() > 1 && lists_.front().taken_at < now - wanted_age) lists_.pop_front();
 }
 
-// Pages follow the order of names, so that `after` can be a name which is gone meanwhile.
+// Pages are ordered by name, so that `after` may name a machine that no longer exists.
 CloudResponse FakeCloud::list_page(const CloudRequest& request) const {
   CloudResponse page;
   page.status = 200;
--- a/sim/fake_cloud.hpp
+++ b/sim/fake_cloud.hpp
@@ -1,4 +1,4 @@
-// The cloud provider as controllers see it, by its published protocol: scale-out requests that may
+// A fake of the cloud provider that implements its published protocol: scale-out requests that may
 // be repeated, instances that boot slowly or never, and lists that are some seconds old.
 #pragma once
 
@@ -14,7 +14,8 @@
 
 namespace sailreel::sim {
 
-/// Instances of one zone and kind: the cloud's capacity is counted for each pool by itself.
+/// The instances of one zone that are either all spot or all on-demand. The cloud's capacity is
+/// counted separately for each pool.
 struct InstancePool {
   std::string zone;
   bool spot = false;
@@ -24,13 +25,15 @@
   }
 };
 
+/// A launched machine. `up` is set once it has booted; a `broken` one never boots. Times are in
+/// simulated milliseconds: `boots` is when the machine comes up.
 struct CloudMachine {
   std::string name, address, type, zone;
   bool spot = false, up = false, broken = false;
   Time launched = 0, boots = 0;
 };
 
-/// What the cloud calls the `number`th machine that it launches.
+/// The name that the cloud gives to the `number`th machine that it launches.
 std::string machine_name(std::size_t number);
 
 class FakeCloud {
@@ -38,22 +41,28 @@
   explicit FakeCloud(std::uint64_t seed) : random_(seed) {}
 
   std::vector<MachineType> types;
+  /// The largest number of machines in each pool.
   std::map<InstancePool, std::uint32_t> capacity;
+  /// The machines that are launched and not terminated, by name.
   std::map<std::string, CloudMachine> machines;
+  /// While this is set, all requests get 503.
   bool outage = false;
-  /// One in so many launched machines stays booting for ever; 0: none.
+  /// On average, one in this many launched machines never finishes booting; 0 means none.
   std::uint32_t one_in_never_up = 25;
-  /// Each machine gets an address of its own below this; empty: a made-up one.
+  /// Start of the address that each machine gets for itself; empty: addresses are made up.
   std::string address_prefix;
   std::function<void(const CloudMachine&)> on_launched;
   std::function<void(const std::string&)> on_terminated;
 
+  /// Executes a request and returns its response.
   CloudResponse handle(const CloudRequest& request, Time now);
 
-  /// Keeps what lists show: some seconds old, at times older than the one before.
+  /// Records a snapshot of the machines. Lists show a snapshot whose age varies between about `lag`
+  /// and twice as much, in milliseconds.
   void tick(Time now, Time lag);
 
  private:
+  /// The list of all machines at one time.
   struct ListSnapshot {
     Time taken_at = 0;
     CloudResponse list;
@@ -66,7 +75,7 @@
 
   pcg32 random_;
   std::size_t next_ = 1;
-  /// Names by request: a repeated request gets the machines that it got before.
+  /// The machines launched for each scale-out request; a repeated request gets the same ones.
   std::map<std::string, std::vector<std::string>> requests_;
   std::list<ListSnapshot> lists_;
 };
--- a/sim/fake_kv_store.hpp
+++ b/sim/fake_kv_store.hpp
@@ -1,4 +1,4 @@
-// The consensus-backed key-value store as controllers see it, by its published protocol: revisions,
+// A fake of the consensus-backed key-value store that implements its published protocol: revisions,
 // leases, compare-and-swap, watches and rate limits.
 #pragma once
 
@@ -17,25 +17,30 @@
  public:
   using Reply = std::function<void(KvResponse)>;
 
-  /// While it lasts, requests get 503, watches get nothing and no lease expires.
+  /// While this is set, requests get 503, watches get no response and no lease expires.
   bool outage = false;
+  /// Limits of a value in bytes and of the operations in a transaction.
   std::size_t value_limit = std::size_t{8} * 1024, ops_limit = 16;
-  std::size_t largest_watch = 0;  // in bytes of values
-  std::uint64_t malformed = 0;    // requests beyond the limits; ours must never be
-  std::uint64_t refused_writes = 0;
+  std::size_t largest_watch = 0;     // bytes of values in the largest response to a watch
+  std::uint64_t malformed = 0;       // requests beyond the limits; controllers must send none
+  std::uint64_t refused_writes = 0;  // requests that got 429 because of the rate of writes
 
-  /// Above these limits requests get 429; both allow bursts of one second's worth.
+  /// Requests above these rates get 429. Both rates allow bursts of one second's worth.
   void limit_rates(double requests_per_second, double writes_per_second);
 
-  /// Responds at once; a watch gets its response when a key changes or its wait is over.
+  /// Responds at once; a watch gets its response when a key changes or its wait is over. A request
+  /// that is to be `rejected` gets 503, and a watch no response.
   void handle(const KvRequest& request, bool rejected, Time now, Reply reply);
 
-  /// Damages a stored value; false if there is none.
+  /// Replaces a stored value by an unreadable one; false if the key doesn't exist.
   bool corrupt(const std::string& key);
+  /// The value of a key; empty if the key doesn't exist.
   [[nodiscard]] std::string value_of(const std::string& key) const;
 
+  /// Expires leases and sends the responses to watches that are due.
   void tick(Time now);
-  /// All leases run their full time from now on, as in the real store after it had no quorum.
+  /// Ends an outage. All leases run their full time from now on, as in the real store after it has
+  /// lost its quorum and regained it.
   void outage_over(Time now);
 
  private:
@@ -68,7 +73,7 @@
   std::map<std::string, StoredValue> keys_;
   std::map<std::uint64_t, Lease> leases_;
   std::uint64_t revision_ = 0, last_lease_ = 0;
-  std::vector<KvItem> changes_;  // since the beginning, for watches
+  std::vector<KvItem> changes_;  // all changes since the start, from which watches are served
   std::list<Watch> watches_;
 };
 
--- a/sim/fault_injection.cpp
+++ b/sim/fault_injection.cpp
@@ -1,4 +1,4 @@
-// Faults of the simulated region, and the seeded plans of jobs and faults.
+// Fault injection of the simulated region, and the seeded plans of jobs and faults.
 #include <cmath>
 
 #include "sim/simulated_region.hpp"
@@ -6,7 +6,8 @@
 namespace sailreel::sim {
 namespace {
 
-// Both are drawn by number: an entry that moves or is inserted changes every seeded plan.
+// Seeded plans draw the values of both enums by number, so moving or inserting an entry changes
+// every plan.
 enum class SingleFault : std::uint32_t {
   KillController,
   KillAllControllers,
@@ -21,7 +22,7 @@
   BlockInbound,
   PreemptMachines,
   CutMachine,
-  CutMachineToo,  // so that it is drawn twice as often as the others
+  CutMachineToo,  // the same fault once more, so that it is drawn twice as often as the others
   CutZone,
   FreezeController
 };
@@ -150,8 +151,8 @@
 void SimulatedRegion::hang_machine(const std::string& name, Time for_ms) {
   Worker& hung = workers_[name];
   hung.hang_until = now_ + for_ms;
-  // After lease expiry, counted from the last heartbeat that got a response, a machine that hangs
-  // counts as having lost its tasks: it ends them before it does anything else.
+  // Once the lease has expired, counted from the last heartbeat that got a response, the tasks of a
+  // machine that hangs count as ended: the worker ends them before it does anything else.
   const double lease = settings_[0].workers.lease_s * 1000;
   at(hung.last_ok_sent + static_cast<Time>(std::ceil(lease / hung.drift)) + 1,
      [this, name, until = hung.hang_until] {
@@ -236,7 +237,7 @@
   std::set<std::string> ids;
   for (std::uint32_t n = 0; n < plan_.jobs; ++n) {
     JobSpec spec;
-    // In random order, so that nothing can rely on ids that ascend; and unique.
+    // IDs are unique and in random order, so that no code can rely on ascending ones.
     do spec.id = "job-" + std::to_string(100'000 + random_(900'000));
     while (!ids.insert(spec.id).second);
     spec.job_class = n % 3 == 0 ? "batch" : "serve";
@@ -283,8 +284,9 @@
   spec.save_s = 1;
 }
 
-// Operators saw rules broken where faults overlap. So two or three begin within seconds of each
-// other, while users poll closely and cancel jobs; four such combinations in a simulation.
+// In operation, rules were broken where faults overlapped. Each simulation therefore has four
+// combinations of two or three faults that begin within 2.5 s of each other, while users poll
+// closely and cancel jobs.
 void SimulatedRegion::plan_fault_pairs() {
   const Time span = plan_.faults_until - plan_.faults_from;
   at(plan_.faults_from, [this, span] {
@@ -352,7 +354,7 @@
       return;
     case OverlappingFault::CutLeaderFromKvStore:
       return cut(nodes_[target].name, kKvStoreHost, longer, hold);
-    case OverlappingFault::CutHalfOfMachines:  // beyond lease expiry; what they sent is held
+    case OverlappingFault::CutHalfOfMachines:  // longer than the lease; messages are held
       return cut_machines(0.5, lease + longer / 2, true);
   }
 }
@@ -434,7 +436,7 @@
   }
 }
 
-// One machine is preempted; in large fleets, several at once.
+// Preempts one machine; in large fleets, about as many at once as the plan's scale.
 void SimulatedRegion::preempt_machines(const std::string& machine) {
   const auto up = machines_up();
   for (std::size_t k = 0; k < up.size(); k += std::max<std::size_t>(1, up.size() / plan_.scale))
--- a/sim/gangs.cpp
+++ b/sim/gangs.cpp
@@ -1,4 +1,4 @@
-// Gangs on the workers of the simulated region, by the phases that the protocol's table gives.
+// Gangs on the simulated workers, which follow the protocol's table of gang phases.
 #include "sim/simulated_region.hpp"
 
 namespace sailreel::sim {
@@ -12,7 +12,8 @@
   return out;
 }
 
-// Tasks of the attempt that are on a machine which executes them.
+// Counts the attempt's tasks that occupy a machine which is up and doesn't hang; with `saved_only`,
+// those that have saved their checkpoints.
 std::uint32_t SimulatedRegion::gang_tasks_present(const User& user, std::uint64_t attempt,
                                                   bool saved_only) const {
   std::uint32_t present = 0;
@@ -39,7 +40,8 @@
   run.done_at = now_ + progress.total_ms - progress.saved_ms;
 }
 
-// A task of a running gang is gone: all progress since the last periodic checkpoint is lost.
+// Ends an attempt of which a running task is gone. Of the progress, only that up to the last
+// periodic checkpoint is kept.
 void SimulatedRegion::break_gang(const User& user, GangRun& run) {
   if (run.broken_at > 0) return;
   run.broken_at = now_;
@@ -88,7 +90,7 @@
   const bool all_here = gang_tasks_present(user, status.attempt, false) == user.spec.tasks;
   const bool all_saved = gang_tasks_present(user, status.attempt, true) == user.spec.tasks;
   if (run.stopped_at > 0 && all_saved && run.broken_at == 0) {
-    // The checkpoint is safe as soon as the first task exits.
+    // All tasks have saved, so the first one may exit, and from then on the checkpoint is valid.
     progress.saved_ms += run.stopped_at - run.started_at;
     run.broken_at = now_;
     run.stop_failed = false;
@@ -106,8 +108,8 @@
     }
     return;
   }
-  // A task notices within the time that the settings give that its peers are gone. If it isn't told
-  // to stop in time, the checkpoint fails.
+  // A running task notices within `gang_peer_s` that its peers are gone. The checkpoint fails if
+  // the task isn't told to stop within that time of the first one.
   const bool told_too_late = run.stopped_at > 0 && now_ >= run.stopped_at + peer;
   if (told_too_late) run.stop_failed = true;
   if (told_too_late ||
--- a/sim/network_cuts.hpp
+++ b/sim/network_cuts.hpp
@@ -12,42 +12,45 @@
 
 namespace sailreel::sim {
 
-/// Hosts that are neither a controller nor a machine.
+/// Names of the hosts that are neither a controller nor a machine.
 inline constexpr const char* kKvStoreHost = "kv-store";
 inline constexpr const char* kCloudHost = "cloud";
 inline constexpr const char* kUsersHost = "users";
 
+/// An interruption of the network that ends at `until`.
 struct NetworkCut {
   Time until = 0;
-  /// Whether what is sent meanwhile arrives afterwards, or is lost.
+  /// Whether messages sent during the cut arrive after it; otherwise they are lost.
   bool hold = false;
 
-  /// By its end; of two that end together, the one that holds is the larger.
+  /// Orders cuts by their end; of two that end together, one that holds messages is the larger.
   bool operator<(const NetworkCut& other) const {
     return std::tie(until, hold) < std::tie(other.until, other.hold);
   }
 };
 
+/// The cuts between hosts and around zones.
 class NetworkCuts {
  public:
-  /// The empty zone for hosts that are in none.
+  /// Returns the zone of a host; empty for hosts that are in none.
   using ZoneOf = std::function<std::string(const std::string& host)>;
 
   explicit NetworkCuts(ZoneOf zone_of) : zone_of_(std::move(zone_of)) {}
 
-  /// Replaces an earlier cut between the two.
+  /// Cuts two hosts off from each other. Replaces an earlier cut between them.
   void cut(const std::string& a, const std::string& b, NetworkCut cut);
-  /// The zone loses everything outside of it.
+  /// Cuts a zone off from everything outside of it. Replaces an earlier cut of the zone.
   void cut_zone(const std::string& zone, NetworkCut cut) { zones_[zone] = cut; }
 
-  /// The cut between two hosts that lasts longest; it may be over.
+  /// The cut between two hosts that ends last; it may already be over.
   [[nodiscard]] NetworkCut between(const std::string& a, const std::string& b) const;
-  /// When a held message arrives that is ready at `earliest`: not before those sent before it.
+  /// When a held message that is ready at `earliest` arrives: not before the messages that were
+  /// held earlier between the same sender and receiver.
   Time arrival_of_held(const std::string& from, const std::string& to, Time earliest);
 
  private:
   using HostPair = std::pair<std::string, std::string>;
-  /// Cuts work in both directions, so that the order of the hosts doesn't matter.
+  /// Sorts the hosts, because a cut works in both directions and their order doesn't matter.
   static HostPair unordered(const std::string& a, const std::string& b) {
     return std::minmax(a, b);
   }
@@ -55,7 +58,7 @@
   ZoneOf zone_of_;
   std::map<HostPair, NetworkCut> hosts_;
   std::map<std::string, NetworkCut> zones_;
-  /// When the last message that a cut holds arrives, by sender and receiver.
+  /// When the last held message arrives, by sender and receiver.
   std::map<HostPair, Time> last_held_;
 };
 
--- a/sim/processor.cpp
+++ b/sim/processor.cpp
@@ -1,5 +1,5 @@
-// Controllers whose steps take time: inputs queue up, timers fire late, and what a step decides
-// leaves when its time is over.
+// Controllers whose steps take simulated time: inputs queue up, timers fire late, and the actions
+// of a step are carried out when its time is over.
 #include <cmath>
 
 #include "protocol/user_codec.hpp"
@@ -43,7 +43,8 @@
   return controller != nullptr ? controller->examined() : 0;
 }
 
-// As the daemon does it: responses and commands whose leadership guarantee has expired are dropped.
+// Drops responses and commands whose leadership guarantee has expired, as the daemon does: a
+// response is replaced by a 503, and a command fails.
 void SimulatedRegion::act_unless_late(std::size_t node, const Action& action) {
   const auto late = [&](Time valid_until) { return steady_clock(node) >= valid_until; };
   if (const auto* response = std::get_if<Response>(&action);
--- a/sim/simulated_federation.cpp
+++ b/sim/simulated_federation.cpp
@@ -154,8 +154,9 @@
   }
 }
 
-// Once all regions have written their first shares, the shares add up to the limit in force at any
-// moment, and no region uses more than it holds.
+// Checks that the shares of all regions, with those in transit and without the excess, add up to
+// the limit in force, and that no region uses more than its share. The check is skipped until all
+// regions have written their first shares.
 void SimulatedFederation::check_shares(const std::string& team, double limit) {
   for (std::size_t region = 0; region < regions_.size(); ++region) {
     const ShareLedger mine = ledger(region);
--- a/sim/simulated_federation.hpp
+++ b/sim/simulated_federation.hpp
@@ -1,6 +1,6 @@
 // Several simulated regions on one clock, with messages between them that are delayed, lost,
-// duplicated and held by network cuts. Checks what no region can see by itself: what a team uses
-// over all regions, and that quota shares are neither created nor lost.
+// duplicated and held by network cuts. Checks what no single region can observe: that a team's use
+// over all regions stays within its limit, and that quota shares are neither created nor lost.
 #pragma once
 
 #include <map>
@@ -13,49 +13,60 @@
 
 namespace sailreel::sim {
 
+/// Configuration of a simulated federation.
 struct FederationPlan {
   std::uint64_t seed = 1;
   std::size_t regions = 2;
   Time length = 120'000;
+  /// Delay of a message between regions; up to a quarter of it is added at random.
   Time delay_ms = 100;
+  /// Share of messages that are lost.
   double loss = 0.02;
-  /// Share of messages of which a copy comes late, up to a minute.
+  /// Share of messages of which a second copy arrives up to a minute later.
   double repeated = 0.02;
-  /// What each region begins with of a team, in GPUs; the first region has the rest.
+  /// The share of each team's limit, in GPUs, with which every region but the first starts. The
+  /// first region has the rest.
   std::map<std::string, double> first_gpus;
   double reserve_ratio = 0.05;
-  /// Each region keeps a fixed part of each limit, and nothing moves.
+  /// Runs without federation options: each region keeps a fixed part of each limit, and no share
+  /// moves.
   bool fixed_division = false;
+  /// Whether seeded faults are injected.
   bool faults = false;
-  /// Changes the plan of a region's own simulation.
+  /// Changes the plan of one region before it starts.
   std::function<void(std::size_t region, SimulationPlan&)> adjust;
 };
 
+/// Runs the regions of a plan and carries the messages between them.
 class SimulatedFederation {
  public:
   explicit SimulatedFederation(const FederationPlan& plan);
 
+  /// Advances all regions to the given time.
   void run_until(Time time);
   [[nodiscard]] Time now() const { return now_; }
   SimulatedRegion& region(std::size_t region) { return *regions_[region]; }
   [[nodiscard]] std::size_t regions() const { return regions_.size(); }
 
-  /// The two regions lose each other; what is sent meanwhile is held, or lost.
+  /// Cuts two regions off from each other. Messages sent meanwhile are held until the cut ends if
+  /// `hold` is set, and otherwise lost.
   void cut(std::size_t a, std::size_t b, Time for_ms, bool hold);
-  /// A region loses all others.
+  /// Cuts a region off from all others.
   void cut_off(std::size_t region, Time for_ms, bool hold);
-  /// The limit over all regions, from now on.
+  /// Sets the limit of a team over all regions, in GPUs, that is checked from now on.
   void expect_limit(const std::string& team, double gpus) { limits_[team] = gpus; }
 
-  /// What the checkpoint of a region says.
+  /// The share ledger in a region's checkpoint.
   [[nodiscard]] ShareLedger ledger(std::size_t region) const;
+  /// The sum of a team's shares in all regions.
   [[nodiscard]] Amounts held(const std::string& team) const;
+  /// The amounts of a team that were sent to another region and not yet credited there.
   [[nodiscard]] Amounts in_transit(const std::string& team) const;
-  /// What the team's tasks use over all regions.
+  /// The GPUs that the team's tasks use over all regions.
   [[nodiscard]] double used_gpus(const std::string& team) const;
   [[nodiscard]] std::uint64_t messages() const { return messages_; }
   [[nodiscard]] std::uint64_t message_bytes() const { return message_bytes_; }
-  /// All that was broken, in any region or over all of them; empty if nothing was.
+  /// All rules that were broken in any region or over all regions; empty if none was.
   [[nodiscard]] std::string broken() const;
 
  private:
--- a/sim/simulated_region.cpp
+++ b/sim/simulated_region.cpp
@@ -84,7 +84,7 @@
     if (!hold) return;
     return at(cuts_.arrival_of_held(from, to, until + delay()), std::move(arrive));
   }
-  // Over sockets, the network's own delays come with each message.
+  // Over sockets, the real network delays each message.
   if (plan_.over_sockets) return at(now_, std::move(arrive));
   if (random_(1'000'000) < plan_.loss * 1'000'000) return;
   at(now_ + delay(), std::move(arrive));
@@ -99,7 +99,7 @@
   host.drift = 1.0 + static_cast<double>(random_(500)) * 1e-6;
   const std::uint64_t seed = plan_.seed * 1000 + host.incarnation * 10 + node;
   if (plan_.production && !host.upgraded) {
-    // That version knows nothing of lower limits announced for later.
+    // The version in production doesn't know of lower limits that are announced for later.
     Settings settings = settings_[node];
     settings.store = sample_settings(node, plan_.scale).store;
     host.controller = plan_.production(settings, seed);
@@ -157,7 +157,7 @@
   };
 }
 
-// SIM_LOG prints the log, to debug a simulation that fails.
+// Prints the log if the environment variable SIM_LOG is set, to debug a simulation that fails.
 void SimulatedRegion::perform(std::size_t node, const Log& line) {
   static const bool kWanted = std::getenv("SIM_LOG") != nullptr;
   if (kWanted)
@@ -246,11 +246,12 @@
     });
 }
 
-// Encoded and decoded as between real controllers, so that simulations cover the codec too.
+// Encodes and decodes the message as between real controllers, so that simulations cover the codec
+// too.
 void SimulatedRegion::perform(std::size_t node, const SendPeer& peer) {
   const std::string to = settings_[node].peers[peer.peer].name;
   const std::size_t receiver = node_index(to);
-  // The link ends with the process: its number stands for both.
+  // A link ends with the sending process, so its number encodes the node and its incarnation.
   const std::uint64_t link = nodes_[node].incarnation * nodes_.size() + node;
   carry(nodes_[node].name, to, [this, node, receiver, link, bytes = encode_peer(peer.message)] {
     PeerReader reader;
--- a/sim/simulated_region.hpp
+++ b/sim/simulated_region.hpp
@@ -1,6 +1,7 @@
-// A region with its controllers, the fake cloud and key-value store, its workers and users. In
-// tests the controllers run within this process and the clock is simulated, with seeded faults; in
-// a scale run they are processes behind sockets, and the caller advances the clock with real time.
+// A simulated region: controllers, a fake cloud, a fake key-value store, workers and users. In
+// tests, the controllers run within this process, the clock is simulated and faults are seeded. In
+// a scale run, the controllers are processes behind sockets, and the caller advances the clock with
+// real time.
 #pragma once
 
 #include <deque>
@@ -26,6 +27,7 @@
 
 namespace sailreel::sim {
 
+/// All times are in simulated milliseconds.
 class SimulatedRegion {
  public:
   explicit SimulatedRegion(const SimulationPlan& plan);
@@ -33,10 +35,11 @@
 
   // --- Clock ---
 
+  /// Executes all events up to the given time.
   void run_until(Time time);
-  /// Schedules something; at once if the time is past.
+  /// Schedules a call. A time that is past counts as now.
   void at(Time time, std::function<void()> run);
-  /// The whole simulation; the checker says which rules were broken.
+  /// Runs the whole simulation. The checker holds the rules that were broken.
   void run() { run_until(plan_.length); }
   [[nodiscard]] Time now() const { return now_; }
 
@@ -54,135 +57,158 @@
 
   // --- What reaches the region from outside ---
 
-  /// A message of another region reaches all controllers.
+  /// Delivers a message of another region to all controllers.
   void receive_region(const RegionMessage& message);
-  /// Changes a team's quota limit, and restarts the controllers one by one with it.
+  /// Changes a team's quota limit in the settings and restarts the controllers with them, one every
+  /// 4 s.
   void change_team_limit(const std::string& team, double gpus_max);
-  /// What a controller outside of this process has responded to an input.
+  /// Delivers a response of a controller that runs in another process.
   void deliver(std::size_t node, const Response& response) { handle_node_response(node, response); }
-  /// A direct command to a worker; `then` gets the response, if there ever is one.
+  /// Executes a direct command on a worker; `then` gets the response. There is none if the worker
+  /// is down or unreachable.
   void command(const std::string& machine, const std::string& body,
                const std::function<void(int, const Heartbeat&)>& then);
-  /// A worker's status on request.
+  /// Requests a worker's status; `then` gets the response, under the same conditions.
   void inspect(const std::string& machine, const std::function<void(int, const Heartbeat&)>& then);
 
   // --- Faults of controllers ---
 
+  /// Ends the node's controller, which restarts after `for_ms`.
   void kill(std::size_t node, Time for_ms);
-  /// The process ends and comes back with the present version.
+  /// Ends the node's controller, which restarts with the present version after `for_ms`.
   void upgrade(std::size_t node, Time for_ms);
-  /// The controller stands still; what reaches it meanwhile waits.
+  /// Pauses the controller. Inputs that reach it meanwhile wait.
   void freeze(std::size_t node, Time for_ms);
-  /// The controller takes so many times as long for each step.
+  /// Makes each step of the controller take `factor` times as long.
   void slow_down(std::size_t node, double factor, Time for_ms);
 
   // --- Faults of the key-value store ---
 
-  /// Its limits fall, without notice.
+  /// Lowers the store's limits to the plan's next limits, without telling the controllers.
   void lower_limits();
+  /// Makes the store reject all requests.
   void kv_store_outage(Time for_ms);
+  /// Makes the store reject all requests of one node.
   void reject_kv_requests(std::size_t node, Time for_ms);
-  /// Of that share of compare-and-swap requests the response is lost; applied at once, or 2 to 12 s
-  /// late.
+  /// Loses the response to that share of compare-and-swap requests. The store applies the requests
+  /// either at once or 2 to 12 s late.
   void late_writes(double share, Time for_ms, bool at_once);
 
-  // --- Faults of the network: what a cut holds arrives after it, the rest is lost ---
+  // --- Faults of the network: messages that a cut holds arrive after it, others are lost ---
 
+  /// Cuts two hosts off from each other.
   void cut(const std::string& a, const std::string& b, Time for_ms, bool hold);
-  /// The zone's controllers and machines lose everything outside of it.
+  /// Cuts the zone's controllers and machines off from everything outside of the zone.
   void cut_zone(const std::string& zone, Time for_ms, bool hold);
-  /// The machine loses all controllers.
+  /// Cuts the machine off from all controllers.
   void cut_machine(const std::string& machine, Time for_ms, bool hold);
-  /// A share of the machines loses all controllers.
+  /// Cuts that share of the machines off from all controllers.
   void cut_machines(double share, Time for_ms, bool hold);
-  /// The controller loses the key-value store and its peers, not its workers or users.
+  /// Cuts the controller off from the key-value store and its peers, but not from its workers and
+  /// users.
   void isolate(std::size_t node, Time for_ms, bool hold);
-  /// It loses its peers alone.
+  /// Cuts the controller off from its peers only.
   void cut_peers(std::size_t node, Time for_ms, bool hold);
-  /// That share of heartbeats is kept, and reaches every controller as soon as another leads.
+  /// Copies that share of heartbeats and delivers the copies to every controller as soon as a
+  /// leader with a higher epoch than the last one is elected.
   void keep_heartbeats_for_next_leader(double share, Time for_ms);
-  /// Of that share of heartbeats a copy reaches every controller, from 2 s to 2.5 leases later.
+  /// Copies that share of heartbeats and delivers each copy to every controller, with a delay of 2
+  /// s plus up to 2.5 leases.
   void delay_heartbeats(double share, Time for_ms);
-  /// Half of the direct commands, and of their responses, are held for up to six seconds.
+  /// Delays half of the direct commands, and half of their responses, by up to six seconds.
   void slow_commands(Time for_ms);
 
   // --- Faults of machines ---
 
+  /// Ends the machine and all tasks on it for good.
   void kill_machine(const std::string& name);
+  /// Makes the machine hang. Its tasks end if its lease expires meanwhile.
   void hang_machine(const std::string& name, Time for_ms);
-  /// Responses and commands don't reach the machine; its heartbeats still arrive.
+  /// Keeps responses and commands from reaching the machine, while its heartbeats still arrive.
   void block_inbound(const std::string& machine, Time for_ms);
-  /// The machine reaches no controller, while direct commands reach it.
+  /// Keeps the machine's heartbeats from arriving, while direct commands still reach it.
   void block_outbound(const std::string& machine, Time for_ms);
-  /// The cloud takes the machine back after a notice, as it does with spot instances.
+  /// Makes the cloud terminate the machine `in_ms` after a notice, as it does with spot instances.
   void preempt_machine(const std::string& name, Time in_ms);
-  /// Whatever runs there fails.
+  /// Makes every task that runs on the machine fail.
   void make_faulty(const std::string& machine) { faulty_.insert(machine); }
 
   // --- Users ---
 
+  /// Adds a user who submits the job, polls it, and cancels it at `cancel_at` unless that is 0.
   void submit(const JobSpec& spec, Time cancel_at = 0);
-  /// The job fails wherever it runs, until its user cancels it.
+  /// Submits a job whose tasks fail on every machine, until its user cancels it.
   void submit_failing(const JobSpec& spec, Time cancel_at) {
     failing_.insert(spec.id);
     submit(spec, cancel_at);
   }
-  /// A single submission to that node, which is not repeated.
+  /// Submits the job once, to that node, without repetition; `then` gets the response's status.
   void submit_at(const JobSpec& spec, std::size_t node, const std::function<void(int)>& then);
+  /// Makes the job's user cancel it now.
   void cancel(const std::string& id);
-  /// One request in addition to those that the job's user sends by itself.
+  /// Sends one request to that node, in addition to those that the job's user sends.
   void ask(const std::string& id, std::size_t node, UserOp op) { ask_for(id, node, op, {}); }
+  /// Does the same; `then` gets the status of the response.
   void ask_for(const std::string& id, std::size_t node, UserOp op,
                const std::function<void(int)>& then);
-  /// Users cancel so many running jobs; their machines may hang.
+  /// Makes the users of `count` running jobs cancel them within 200 ms. If `hang_ms` is positive, a
+  /// machine of each of the first eight hangs for that time.
   void cancel_now(std::size_t count, Time hang_ms);
-  /// That share of the tasks that complete has its job cancelled at that moment.
+  /// Cancels the jobs of that share of the tasks that begin during `for_ms`, each at about the
+  /// moment at which the task completes.
   void cancel_at_end(double share, Time for_ms);
-  /// Users query all nodes within milliseconds after a job was accepted, ended or cancelled, submit
-  /// it again, and cancel some at once.
+  /// Makes users query all nodes within milliseconds after a job was accepted, ended or cancelled,
+  /// submit it again, and cancel some jobs at once.
   void poll_closely(Time for_ms);
-  /// Repeated submissions, cancellations of jobs that are done, jobs that can't run or lack a
-  /// field, and queries about jobs that nobody submitted.
+  /// Sends repeated submissions, cancellations of jobs that are over, submissions that can't run or
+  /// lack a field, and queries about jobs that were never submitted.
   void send_odd_requests(Time for_ms);
 
-  /// No fault is injected from now on: nothing may be left waiting or unanswered.
+  /// Tells the checker that no fault is injected from now on, so that no job may be left waiting or
+  /// without a response.
   void faults_ended() { checker_.faults_ended(now_); }
 
   // --- Observations ---
 
-  /// The node that leads under the highest epoch; -1: none does.
+  /// The node that leads under the highest epoch; -1 if none leads.
   [[nodiscard]] int leader() const;
+  /// The machines that have booted and still run, also those that hang.
   [[nodiscard]] std::vector<std::string> machines_up() const;
-  /// Where tasks of a job are, whether they run or wait.
+  /// The machines that a job's tasks occupy, whether they run or wait; one entry for each task.
   [[nodiscard]] std::vector<std::string> machines_of(const std::string& job) const;
-  /// Submissions that got no response within their user's patience.
+  /// Submissions, sent to nodes that were up, that got no response within the user's timeout.
   [[nodiscard]] std::uint64_t unanswered_submissions() const { return unanswered_; }
-  /// The same of cancellations, as far as the node they went to was up.
+  /// Cancellations, sent to nodes that were up, that got no response within the user's timeout.
   [[nodiscard]] std::uint64_t unanswered_cancellations() const { return unanswered_cancels_; }
-  /// How long after its first attempt each job that was accepted by then was so.
+  /// For each accepted job, the time from its first submission until its user was told of that.
   [[nodiscard]] const std::vector<Time>& submission_delays() const { return submission_delays_; }
-  /// The longest time for which an input waited for its controller's processor.
+  /// The longest time for which an input has waited for its controller's processor.
   [[nodiscard]] Time longest_input_wait() const { return longest_input_wait_; }
+  /// Resets the longest wait of inputs.
   void forget_input_waits() { longest_input_wait_ = 0; }
+  /// The number of heartbeats that have reached a node.
   [[nodiscard]] std::uint64_t heartbeats() const { return heartbeats_; }
+  /// Successful responses to users that don't hold a job's state.
   [[nodiscard]] std::uint64_t malformed_answers() const { return malformed_; }
-  /// How often a gang has started, and how much of its progress is in checkpoints.
+  /// The number of times that a gang has started.
   [[nodiscard]] std::uint32_t gang_starts(const std::string& job) {
     return gang_progress_[job].starts;
   }
+  /// The progress of a gang that is saved in its checkpoints.
   [[nodiscard]] Time gang_saved_ms(const std::string& job) { return gang_progress_[job].saved_ms; }
 
   // --- Callbacks ---
 
-  /// What a controller sends to another region.
+  /// Called when a controller sends a message to another region, with that region's index in the
+  /// controller's list of the other regions.
   std::function<void(std::size_t region, const RegionMessage&)> on_region_message;
-  /// Called when a task has its image and begins to be on its machine; not for gangs.
+  /// Called when a task has its image and begins to occupy its machine; not called for gangs.
   std::function<void(const TaskKey&)> on_started;
-  /// Called when a worker has completed a task, before anybody hears of it.
+  /// Called when a worker has completed a task, before any controller hears of it.
   std::function<void(const TaskKey&, const std::string& machine)> on_completed;
-  /// Called when a task that had begun to run is on its machine no longer.
+  /// Called when a task that had begun no longer occupies its machine.
   std::function<void(const TaskKey&, const std::string& machine)> on_ended;
-  /// Every command a worker carries out.
+  /// Called for every command that a worker executes.
   std::function<void(const std::string& machine, const Command&)> on_command;
 
  private:
@@ -190,7 +216,7 @@
   struct ControllerHost {
     std::string name;
     std::unique_ptr<SimulatedController> controller;
-    bool upgraded = false;  // where the simulation begins with the version in production
+    bool upgraded = false;  // from the version in production to the present one
     std::uint64_t incarnation = 0;
     double drift = 1.0;
     Time kv_rejected_until = 0, frozen_until = 0;
@@ -198,19 +224,19 @@
       Time since = 0;
       Input input;
     };
-    std::deque<WaitingInput> inbox;  // of a processor that takes time
+    std::deque<WaitingInput> inbox;  // inputs that wait while the processor is busy
     bool busy = false;
     double slowness = 1;
     Time slow_until = 0;
-    std::set<std::uint64_t> direct_calls;  // waiting for a response, each with its socket
+    std::set<std::uint64_t> direct_calls;  // waiting for a response, each on a socket of its own
   };
   /// One attempt of a task on a worker.
   struct WorkTask {
     TaskStatus status;
     Time image_at = 0, done_at = 0, exits_at = 0;
     bool present = false;    // has its image, and occupies the machine
-    Time waiting_since = 0;  // of a gang's task
-    bool saved = false;      // the same: has its checkpoint, and waits for the others
+    Time waiting_since = 0;  // only for gangs: when the task began to wait for the others
+    bool saved = false;      // only for gangs: has saved its checkpoint, and waits for the others
   };
   struct TaskKeyLess {
     bool operator()(const TaskKey& a, const TaskKey& b) const {
@@ -225,14 +251,14 @@
       return std::tie(job, attempt) < std::tie(other.job, other.attempt);
     }
   };
-  /// One attempt of a gang, by the protocol's table of its phases.
+  /// The state of one gang attempt, which follows the protocol's table of gang phases.
   struct GangRun {
     bool started = false, done = false, stop_failed = false;
     Time started_at = 0, done_at = 0;
-    Time broken_at = 0;   // a task of it was lost while it ran; 0: none
-    Time stopped_at = 0;  // first told to stop; 0: not at all
+    Time broken_at = 0;   // when the attempt ended without completing the job; 0: it hasn't
+    Time stopped_at = 0;  // when a running task was first told to stop and save; 0: none was
   };
-  /// What outlives the attempts.
+  /// The progress of a gang, which is kept from one attempt to the next.
   struct GangProgress {
     Time total_ms = 0, saved_ms = 0;
     bool done = false;
@@ -247,56 +273,58 @@
          notice_at = 0;
     Time next_heartbeat = 0, last_heartbeat = 0;
     bool in_flight = false, changed = false;
-    bool connected = false;  // to `node`, since it responded to the previous heartbeat
+    bool connected = false;  // has a connection to `node`, which accepted the previous heartbeat
     std::uint64_t flight = 0;
     double drift = 1.0;
     std::map<TaskKey, std::vector<WorkTask>, TaskKeyLess> tasks;
     std::set<std::string> images, done;
   };
-  /// The client of one job: submits it, polls it, and may cancel it.
+  /// The client of one job, which submits it, polls it, and may cancel it.
   struct User {
     JobSpec spec;
     std::string body;
     bool accepted = false, over = false, cancelling = false;
     Time cancel_at = 0, first = 0, asked = 0;
     std::uint64_t call = 0;
-    std::uint64_t turn = 0;  // of its own requests; those of an older one are dropped
+    std::uint64_t turn = 0;  // number of the latest request; events of older ones are dropped
     std::set<std::uint32_t> completed;
   };
   struct Event {
     Time at;
     std::uint64_t order;
     std::function<void()> run;
-    /// Reversed, as the queue has the largest on top: the earliest event, then the first scheduled.
+    /// Reversed, because the queue has its largest element on top: that must be the earliest event,
+    /// and of two at the same time the one scheduled first.
     bool operator<(const Event& other) const {
       return std::pair(at, order) > std::pair(other.at, other.order);
     }
   };
 
-  /// What a worker has left.
+  /// The free resources of a worker.
   struct Room {
     const Worker* worker = nullptr;
     Resources free;
   };
-  /// What is on the machines, and the room of those that can take tasks.
+  /// The tasks on all machines, and the room on those machines that can take tasks.
   struct Occupancy {
     std::vector<Room> rooms;
-    std::map<std::string, std::map<std::string, std::size_t>> zones;  // of a job's tasks
-    std::map<std::string, std::size_t> tasks;                         // of a job
-    std::map<std::string, Resources> used;                            // by a team
+    std::map<std::string, std::map<std::string, std::size_t>> zones;  // tasks by job and zone
+    std::map<std::string, std::size_t> tasks;                         // tasks by job
+    std::map<std::string, Resources> used;                            // resources by team
   };
-  /// A fault that affects a share of messages or tasks until its end.
+  /// A fault that affects a share of messages or tasks until it ends.
   struct PartialFault {
     double share = 0;
     Time until = 0;
   };
 
+  /// Updates the fake services every 20 ms, and the cloud's lists every second.
   void housekeeping();
 
   // --- Network (simulated_region.cpp) ---
 
-  /// Carries a message between two hosts: delayed, lost, or held by a cut. What a cut holds arrives
-  /// after it, in the order of sending, also when its sender has given up.
+  /// Carries a message between two hosts: it is delayed, lost, or held by a cut. Held messages
+  /// arrive after the cut in the order of sending, even if the sender has given up on them.
   void carry(const std::string& from, const std::string& to, std::function<void()> arrive);
   [[nodiscard]] std::string zone_of(const std::string& host) const;
   [[nodiscard]] Time delay();
@@ -307,14 +335,15 @@
   [[nodiscard]] std::uint32_t node_count() const {
     return static_cast<std::uint32_t>(nodes_.size());
   }
-  /// The number of nodes if none has that name.
+  /// The index of the node with that name; the number of nodes if there is none.
   [[nodiscard]] std::size_t node_index(const std::string& name) const;
-  /// The index of `other` among the peers of `node`, by which the controller there knows it.
+  /// The index of `other` in the list of peers of the controller on `node`.
   [[nodiscard]] std::optional<std::size_t> peer_index(std::size_t node, std::size_t other) const;
-  /// Each node's clock runs a little fast or slow, as real ones do.
+  /// The node's steady clock. Each runs up to 0.05 % fast, because real clocks drift apart.
   [[nodiscard]] Time steady_clock(std::size_t node) const;
-  /// Says later whether the process that runs on the node now still does.
+  /// Returns a function that tells whether the process that now runs on the node still does.
   [[nodiscard]] std::function<bool()> still_alive(std::size_t node) const;
+  /// Passes an input to the node's controller; the input waits if the controller is paused or busy.
   void feed(std::size_t node, Input input);
   std::vector<Action> step(std::size_t node, Input input);
   void take_next_input(std::size_t node);
@@ -347,7 +376,7 @@
   void deliver_heartbeat(Worker& worker, std::function<void()> arrive);
   void handle_heartbeat_response(Worker& worker, std::uint64_t flight, Time sent,
                                  std::uint64_t incarnation, int status, const std::string& body);
-  /// Heartbeats that were kept reach the controllers once another leads.
+  /// Delivers the kept heartbeats to all controllers once a leader with a higher epoch is elected.
   void deliver_copies();
   void deliver_everywhere(const std::string& raw);
   void execute(Worker& worker, const Command& command);
@@ -384,7 +413,8 @@
   [[nodiscard]] const User* user_of(const std::string& job) const;
   void user_tick(std::size_t user);
   void user_next(std::size_t user, Time when);
-  /// Sends a request; `then` gets its response, unless that is lost or late.
+  /// Sends a request and returns the number of the call; `then` gets the response, unless it is
+  /// lost or late.
   std::uint64_t request(std::size_t node, UserOp op, const std::string& id, const std::string& body,
                         std::function<void(int, const std::string&)> then);
   void handle_user_response(std::size_t user, UserOp op, int status, const std::string& body);
@@ -404,7 +434,8 @@
   void preempt_machines(const std::string& machine);
   void plan_fault_pairs();
   void inject_fault(std::uint32_t kind);
-  /// Draws a random number only while the fault lasts.
+  /// Whether the fault affects the next message or task. A random number is drawn only while the
+  /// fault lasts.
   [[nodiscard]] bool affects_next(const PartialFault& fault) {
     return now_ < fault.until && random_(1'000'000) < fault.share * 1'000'000;
   }
--- a/sim/simulation_plan.cpp
+++ b/sim/simulation_plan.cpp
@@ -30,7 +30,7 @@
   settings.cloud_limits.list_lag_s = 5;
   settings.limits.memory_mb = 40;
   settings.limits.sockets = 500;
-  if (scale > 50) {  // what a fleet of many hundred machines comes with
+  if (scale > 50) {  // settings for a fleet of many hundred machines
     settings.workers.heartbeat_interval_s = 2.5;
     settings.store.rps = 900;
     settings.store.write_rps = 90;
@@ -62,7 +62,8 @@
     settings.workers.cancel_s = plan.cancel_s;
     settings.workers.gang_wait_s = plan.gang_wait_s;
     settings.workers.gang_peer_s = plan.gang_peer_s;
-    // As the settings' reader does it: the smaller of both.
+    // Controllers use the smaller of the current and the announced limit, as when settings are
+    // read.
     if (plan.next_value_kb > 0)
       settings.store.value_kb = std::min(settings.store.value_kb, plan.next_value_kb);
     if (plan.next_txn_ops > 0)
--- a/sim/simulation_plan.hpp
+++ b/sim/simulation_plan.hpp
@@ -1,4 +1,5 @@
-// What a simulated region consists of, and what happens in it by itself.
+// Configuration of a simulated region: its controllers and services, and the jobs and faults that
+// are planned from a seed.
 #pragma once
 
 #include <functional>
@@ -18,65 +19,73 @@
 struct Deployment {
   std::vector<Settings> controllers;
   std::vector<MachineType> types;
-  /// Machines that the cloud has.
+  /// The largest number of machines in each pool of the cloud.
   std::map<InstancePool, std::uint32_t> capacity;
+  /// Limits of the key-value store, in requests and writes per second.
   double kv_rps = 1e9, kv_write_rps = 1e9;
-  /// One in so many launched machines stays booting for ever; 0: none.
+  /// On average, one in this many launched machines never finishes booting; 0 means none.
   std::uint32_t one_in_never_up = 25;
-  /// Workers get an address of their own below this; empty: a made-up one.
+  /// Start of the address that each worker gets for itself; empty: addresses are made up.
   std::string worker_address_prefix;
 };
 
-/// What a controller's processor takes for a step, by the step's counted work. None: no time.
+/// Simulated time that a controller's processor takes for a step, computed from the step's counted
+/// work. If both costs are 0, steps take no time.
 struct ProcessorCost {
   double step_ms = 0;
-  /// For each job or machine that is examined.
+  /// Added for each job or machine that the step examines.
   double examine_ms = 0;
 
   [[nodiscard]] bool takes_time() const { return step_ms > 0 || examine_ms > 0; }
 };
 
+/// The seed of a simulation and what is planned in it. Times without a unit are in milliseconds.
 struct SimulationPlan {
   std::uint64_t seed = 1;
   Time length = 240'000;
   Time faults_from = 40'000, faults_until = 170'000;
   std::uint32_t jobs = 40;
   bool faults = true;
-  bool fault_pairs = false;  // faults that overlap, instead of single ones
+  bool fault_pairs = false;  // plans faults that overlap, instead of single ones
   bool gangs = false;        // a third of the jobs are gangs
   double gang_wait_s = 20, gang_peer_s = 2;
-  /// The key-value store's limits fall to these some time; 0: never.
+  /// Lower limits of the key-value store, which are announced in the settings and take effect with
+  /// `SimulatedRegion::lower_limits`; 0 means that none is announced.
   double next_value_kb = 0, next_write_rps = 0;
   std::uint64_t next_txn_ops = 0;
-  /// The simulation begins with controllers of another version, which are upgraded one by one.
+  /// Makes controllers of the version in production, with which the simulation then begins;
+  /// `SimulatedRegion::upgrade` replaces them. Empty: the simulation begins with the present
+  /// version.
   std::function<std::unique_ptr<SimulatedController>(const Settings&, std::uint64_t seed)>
       production;
-  /// Instead of the sample deployment.
+  /// Replaces the sample deployment.
   std::optional<Deployment> deployment;
-  /// Makes each controller; empty: one of the present version within this process.
+  /// Makes each controller; empty: controllers of the present version run within this process.
   std::function<std::unique_ptr<SimulatedController>(std::size_t node, const Settings&,
                                                      std::uint64_t seed)>
       controllers;
-  /// Operators' options of the controllers of the present version.
+  /// The operator's options for the controllers of the present version.
   Options options;
-  /// Messages cross real sockets, which delay and lose them by themselves.
+  /// Messages cross real sockets, which delay and lose them, so that the simulation doesn't.
   bool over_sockets = false;
-  std::uint32_t scale = 1;  // of the capacity and the teams; 12 machines at 1
-  double loss = 0.002;
-  double late_copies = 0.01;
+  std::uint32_t scale = 1;    // of the capacity and the teams; 12 machines at 1
+  double loss = 0.002;        // share of messages that are lost
+  double late_copies = 0.01;  // share of heartbeats of which a copy is sent 1 to 41 s later
   double heartbeat_interval_s = 1, lease_s = 10, cancel_s = 30;
-  /// Of each controller. What reaches it while it is busy waits, and its timers fire late.
+  /// The processor of each controller. Inputs that reach a controller while it is busy wait, and
+  /// its timers fire late.
   ProcessorCost processor;
-  /// Machines are up after so long, whatever their type says; 0: as it says.
+  /// The time that each machine takes to boot; 0 means a random time around that of its type.
   Time boots_ms = 0;
 };
 
 inline std::string node_name(std::size_t node) { return "node-" + std::to_string(node); }
 
+/// Settings of a controller of the sample deployment. Limits of teams grow with `scale`.
 Settings sample_settings(std::size_t node, std::uint32_t scale = 1);
-/// The only type of machine that the sample deployment's cloud offers.
+/// The only machine type that the sample deployment's cloud offers.
 MachineType sample_type();
-/// Three controllers in two zones, changed as the plan says.
+/// Three controllers in two zones, with the capacity and the settings that the plan gives.
 Deployment sample_deployment(const SimulationPlan& plan);
 
 }  // namespace sailreel::sim
--- a/sim/users.cpp
+++ b/sim/users.cpp
@@ -1,4 +1,4 @@
-// The users of the simulated region.
+// The simulated users.
 #include "protocol/fake_server_codec.hpp"
 #include "sim/simulated_region.hpp"
 
@@ -70,7 +70,7 @@
     user.cancelling = true;
     checker_.cancel_asked(user.spec.id);
   } else if (!user.accepted || (user.over && random_(4) == 0)) {
-    op = UserOp::Submit;  // at first, and at times again long after
+    op = UserOp::Submit;  // until the job is accepted, and sometimes again when it is over
   }
   std::vector<std::size_t> healthy;
   for (std::size_t node = 0; node < nodes_.size(); ++node)
@@ -85,7 +85,8 @@
               [this, index, turn, op, asked](int status, const std::string& body) {
                 if (users_[index]->turn == turn)
                   return handle_user_response(index, op, status, body);
-                // The user has sent a newer request meanwhile; this response binds all the same.
+                // The user has sent a newer request since; later responses must agree with this one
+                // all the same.
                 if (accepted(status))
                   checker_.told(users_[index]->spec.id, decode_job_state(body), now_, asked);
               });
@@ -128,7 +129,8 @@
   user_next(index, now_ + pause);
 }
 
-// What one node responds binds all nodes from then on.
+// A response of one node binds the responses of all nodes to later requests, so the checker gets
+// each of them.
 void SimulatedRegion::ask_for(const std::string& id, std::size_t node, UserOp op,
                               const std::function<void(int)>& then) {
   const auto it = by_job_.find(id);
@@ -175,7 +177,7 @@
   at(now_ + 300 + random_(700), [this, until] { send_odd_request(until); });
   const std::size_t node = random_(node_count());
   if (!users_.empty()) {
-    // A repeat of any job's submission, and a cancellation of one that is over.
+    // Repeats the submission of a random job, and cancels the job as well if it is over.
     const User& user = *users_[random_(static_cast<std::uint32_t>(users_.size()))];
     if (user.accepted) ask(user.spec.id, node, UserOp::Submit);
     if (user.over) ask(user.spec.id, random_(node_count()), UserOp::Cancel);
--- a/sim/workers.cpp
+++ b/sim/workers.cpp
@@ -1,4 +1,4 @@
-// The workers of the simulated region, by their published protocol.
+// The simulated workers, which follow the published worker protocol.
 #include <algorithm>
 
 #include "protocol/fake_server_codec.hpp"
@@ -159,9 +159,10 @@
   });
 }
 
-// A cut holds what is sent over a connection that is open. One that is only attempted meanwhile is
-// given up, and doesn't complete later: so it is the heartbeat from before the cut that arrives
-// after it, and none of those that the worker sends to the other controllers in the meantime.
+// A cut holds messages that are sent over an open connection. A connection that is only attempted
+// during the cut fails and doesn't complete later. Therefore only the heartbeat that was sent over
+// the connection from before the cut arrives after it, and none of those that the worker sends to
+// the other controllers in the meantime.
 void SimulatedRegion::deliver_heartbeat(Worker& worker, std::function<void()> arrive) {
   const std::string& node = nodes_[worker.node].name;
   const bool is_cut = now_ < cuts_.between(worker.machine.name, node).until;
@@ -273,7 +274,7 @@
   }
 }
 
-// A direct command, or its response, which may be delayed for seconds.
+// Carries a direct command, or its response, which may be delayed by seconds.
 void SimulatedRegion::carry_command(const std::string& from, const std::string& to,
                                     std::function<void()> arrive) {
   if (affects_next(slow_commands_))
@@ -309,7 +310,7 @@
   const auto it = workers_.find(name);
   if (it == workers_.end() || !it->second.alive || now_ < it->second.inbound_blocked_until) return;
   Worker& worker = it->second;
-  if (now_ < worker.hang_until)  // carried out late
+  if (now_ < worker.hang_until)  // a hung worker executes the command once it recovers
     return at(worker.hang_until + 5, [=, this] { command(name, body, then); });
   int status = 400;
   const auto batch = decode_commands(body);
@@ -336,7 +337,7 @@
   then(200, make_heartbeat(it->second));
 }
 
-// A copy of a heartbeat, to all controllers at once; nobody waits for the response.
+// Delivers a copy of a heartbeat to all controllers at once; its responses go nowhere.
 void SimulatedRegion::deliver_everywhere(const std::string& raw) {
   for (std::size_t node = 0; node < nodes_.size(); ++node)
     if (auto decoded = decode_heartbeat(raw)) feed(node, HeartbeatReceived{{}, *decoded, raw});
@@ -406,8 +407,8 @@
   });
 }
 
-// Gang scheduling needs room for all tasks at once, in one zone if the job says so. Spread gangs
-// aren't judged: where their tasks fit depends on each other.
+// A gang needs room for all its tasks at once, in one zone if the job requires that. Spread gangs
+// aren't checked, because where one of their tasks fits depends on the places of the others.
 bool SimulatedRegion::gang_could_start(const JobSpec& spec, const Occupancy& now) {
   if (spec.spread) return false;
   std::map<std::string, std::uint32_t> slots;
--- a/tests/behaviour_digest.cpp
+++ b/tests/behaviour_digest.cpp
@@ -1,6 +1,6 @@
-// Runs seeded days of a kind and prints one line for each: its seed, and the digest of all outputs
-// of controllers of the present version on it. Equal lines for two versions of the sources mean
-// that both behaved alike on that day.
+// Runs seeded simulations of one kind and prints one line for each: its seed, and the digest of all
+// outputs of its controllers of the present version. Equal lines for two versions of the sources
+// mean that both behaved alike in that simulation.
 #include "support/behaviour_digest.hpp"
 
 #include <CLI/CLI.hpp>
@@ -93,7 +93,8 @@
   day.run_until(230'000);
 }
 
-// Controllers of the version in production are replaced one by one; their outputs aren't recorded.
+// Replaces controllers of the version in production one by one. The outputs of that version aren't
+// recorded.
 #ifdef SAILREEL_HAS_PRODUCTION
 void play_upgrade(std::uint64_t seed, const DigestPointer& digest) {
   SimulationPlan plan = quiet(seed);
@@ -141,7 +142,7 @@
   constexpr int kUsageError = 2;
   std::string kind;
   std::uint64_t first = 1, count = 1;
-  CLI::App app("Digests of what controllers say on seeded days");
+  CLI::App app("Prints digests of the outputs of controllers in seeded simulations");
   app.add_option("--kind", kind, "plain, gangs, large, federated or upgrade")->required();
   app.add_option("--first", first, "first seed");
   app.add_option("--count", count, "number of seeds")->check(CLI::PositiveNumber);
@@ -155,7 +156,7 @@
   }
   const auto player = players().find(kind);
   if (player == players().end()) {
-    std::fprintf(stderr, "behaviour_digest: unknown kind of day '%s'\n", kind.c_str());
+    std::fprintf(stderr, "behaviour_digest: unknown kind of simulation '%s'\n", kind.c_str());
     return kUsageError;
   }
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
--- a/tests/behaviour_digest_test.sh
+++ b/tests/behaviour_digest_test.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# The digest of a day is the same in two processes, differs between seeds, and wrong usage is told in
-# one line with exit code 2.
+# The digest of a simulation is the same in two processes and differs between seeds. Wrong usage is
+# reported in one line with exit code 2.
 set -euo pipefail
 program=$1
 
@@ -13,7 +13,7 @@
   [ "$first" = "$second" ] || fail "$kind differs between two processes: $first / $second"
   digests=$(awk '{print $3}' <<< "$first" | sort -u | wc -l)
   [ "$digests" = 2 ] || fail "$kind: two seeds have the same digest: $first"
-  grep -q "actions=0 " <<< "$first" && fail "$kind: a day without actions: $first"
+  grep -q "actions=0 " <<< "$first" && fail "$kind: a simulation without actions: $first"
 done
 
 expect_usage_error() {
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -1,4 +1,4 @@
-// For each rule: the checker of the simulated days detects a violation, and is silent without one.
+// For each rule, the checker reports a violation in a simulation, and nothing if there is none.
 #include "sim/checker.hpp"
 
 #include <gtest/gtest.h>
@@ -129,7 +129,8 @@
   EXPECT_TRUE(only("went_back"));
 }
 
-// A response of any controller binds responses to later questions, not to those already in flight.
+// A response of any controller binds the responses to later requests, but not those to requests
+// that were already in flight.
 TEST_F(CheckerTest, WentBackAtAnotherNode) {
   checker_.cancel_asked("job-1");
   checker_.told("job-1", "cancelled", 100, 90);
@@ -177,7 +178,7 @@
 TEST_F(CheckerTest, LeftWaiting) {
   checker_.waiting("job-1", true, 0);
   checker_.waiting("job-1", true, 200'000);
-  EXPECT_TRUE(checker_.violations().empty()) << "troubles aren't over";
+  EXPECT_TRUE(checker_.violations().empty()) << "the faults haven't ended";
   checker_.faults_ended(200'000);
   checker_.waiting("job-1", true, 201'000);
   checker_.waiting("job-1", false, 280'000);
@@ -205,7 +206,7 @@
   checker_.told("job-1", "pending", 0);
   checker_.started({"job-1", 0}, a_, 10);
   checker_.end_served();
-  // An array that began and never ended: of its class, its team and the largest.
+  // The array began and never ended. It counts for its class, its team and the largest jobs.
   EXPECT_TRUE(only("not_served"));
   EXPECT_EQ(checker_.violations().at("not_served").size(), 3U);
 }
--- a/tests/compare_digests.sh
+++ b/tests/compare_digests.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Plays the days of tests/fixtures/behaviour_digests.txt once more and shows each that differs.
-# Usage: tests/compare_digests.sh BUILD-FOLDER [KIND...]; exit code 1 if any day differs.
+# Repeats the simulations of tests/fixtures/behaviour_digests.txt and prints the lines that differ.
+# Usage: tests/compare_digests.sh BUILD-FOLDER [KIND...]; exit code 1 if any line differs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 program=$1/tests/behaviour_digest
@@ -18,7 +18,7 @@
 status=0
 for kind in "${kinds[@]}"; do
   if diff <(grep "^$kind " "$written") <(play "$kind"); then
-    echo "$kind: $(grep -c "^$kind " "$written") days as written"
+    echo "$kind: $(grep -c "^$kind " "$written") simulations unchanged"
   else
     status=1
   fi
--- a/tests/support/behaviour_digest.hpp
+++ b/tests/support/behaviour_digest.hpp
@@ -1,5 +1,5 @@
-// Hashes what controllers say to the outside, so that two versions of the sources can be compared:
-// a change that only renames, splits or merges code leaves every digest as it was.
+// Hashes the actions that controllers return, so that two versions of the sources can be compared:
+// a change that only renames, splits or merges code leaves every digest unchanged.
 #pragma once
 
 #include <xxhash.h>
@@ -15,12 +15,13 @@
 
 namespace sailreel::sim {
 
-/// Digest of all actions that controllers return, in their order. The texts of log lines are left
-/// out; their number is counted by level.
+/// Digest of all actions that controllers return, in order. Log lines are not part of the digest;
+/// they are counted by level.
 class BehaviourDigest {
  public:
   BehaviourDigest();
 
+  /// Adds the actions of one step; `controller` is a number that identifies the controller.
   void add(std::uint64_t controller, const std::vector<Action>& actions);
   /// One line: the digest in hexadecimal, the number of actions, and log lines by level.
   [[nodiscard]] std::string summary() const;
--- a/tests/support/controller_driver.hpp
+++ b/tests/support/controller_driver.hpp
@@ -1,5 +1,5 @@
-// Drives one controller without peers against the fake key-value store: the test plays the workers
-// and the cloud, and may write a checkpoint beforehand.
+// Drives one controller without peers against the fake key-value store. The test acts as the
+// workers and the cloud, and may write a checkpoint beforehand.
 #pragma once
 
 #include <functional>
@@ -16,6 +16,7 @@
 
 namespace sailreel::sim {
 
+/// The settings of the sample deployment's first controller, as the only one of its region.
 inline Settings settings_without_peers() {
   Settings settings = sample_settings(0);
   settings.peers.clear();
@@ -36,6 +37,7 @@
   return heartbeat;
 }
 
+/// A controller with its simulated clock, store and responses.
 class ControllerDriver {
  public:
   explicit ControllerDriver(Settings settings) : controller_(std::move(settings), Options{}, 7) {}
@@ -44,7 +46,7 @@
   [[nodiscard]] const std::vector<std::string>& warnings() const { return warnings_; }
   const Controller& controller() const { return controller_; }
 
-  /// Writes a key of the checkpoint, as a former leader would have.
+  /// Writes a key of the checkpoint, as an earlier leader would have.
   void write(const std::string& key, std::string value) {
     KvRequest request;
     request.kind = KvRequest::Kind::Txn;
@@ -52,7 +54,7 @@
     kv_store_.handle(request, false, now_, [](const KvResponse&) {});
   }
 
-  /// Ticks every 50 ms.
+  /// Advances the clock by `span` with a tick every 50 ms.
   void run_for(Time span) {
     for (const Time until = now_ + span; now_ < until;) {
       now_ += 50;
@@ -60,6 +62,7 @@
     }
   }
 
+  /// Passes an input to the controller, and then the responses to its own requests.
   void step(Input input) {
     inputs_.push_back(std::move(input));
     while (!inputs_.empty()) {
@@ -76,28 +79,30 @@
     step(HeartbeatReceived{{RequestSource::Kind::Local, call, 0}, std::move(heartbeat), {}});
     return answers_[call];
   }
-  /// The same, of which only the commands matter.
+  /// Sends a heartbeat and returns the body of its response, which holds the commands.
   std::string heartbeat(Heartbeat heartbeat) { return response_to(std::move(heartbeat)).body; }
 
-  /// What the worker at an address answers to a direct command; nothing if this is empty.
+  /// Returns the response of the worker at an address to a direct command. Without this function,
+  /// or if it returns nothing, the command fails.
   std::function<std::optional<Heartbeat>(const std::string& address)> on_direct;
 
-  /// The machine types that the cloud names.
+  /// Sets the machine types that the cloud lists. All other requests to the cloud get 503.
   void set_types(std::vector<MachineType> types) { types_ = std::move(types); }
 
-  /// Submits a job and returns the answer's status; 0: none yet.
+  /// Submits a job and returns the status of the response; 0 if there is none yet.
   int submit(const std::string& body) {
     const std::uint64_t call = ++next_request_;
     step(UserRequest{{RequestSource::Kind::Local, call, 0}, UserOp::Submit, {}, body});
     return answers_[call].status;
   }
+  /// Cancels a job and returns the status of the response; 0 if there is none yet.
   int cancel(const std::string& id) {
     const std::uint64_t call = ++next_request_;
     step(UserRequest{{RequestSource::Kind::Local, call, 0}, UserOp::Cancel, id, {}});
     return answers_[call].status;
   }
 
-  /// The checkpoint as another node would read it.
+  /// Reads the checkpoint from the store, as another controller would.
   Snapshot checkpoint() {
     KvRequest list;
     list.kind = KvRequest::Kind::List;
@@ -140,7 +145,8 @@
   Controller controller_;
   FakeKvStore kv_store_;
   std::vector<MachineType> types_;
-  /// What is still to be fed. A watch may be answered long after the step that opened it.
+  /// Inputs that the controller hasn't got yet. The response to a watch may come long after the
+  /// step that opened the watch.
   std::vector<Input> inputs_;
   Time now_ = 1'000;
   std::uint64_t next_request_ = 0;
--- a/tests/support/count_allocations.cpp
+++ b/tests/support/count_allocations.cpp
@@ -1,5 +1,6 @@
-// Counts the program's allocations. It is linked with `--wrap` for the functions below, so that the
-// calls of all its parts come here; those of shared libraries don't.
+// Counts the program's allocations. The program is linked with `--wrap` for the functions below, so
+// that calls from its object files and static libraries come here; calls from shared libraries
+// don't.
 #include <cstdlib>
 #include <new>
 
@@ -25,7 +26,8 @@
   if (void* memory = std::malloc(size)) return memory;
   throw std::bad_alloc();
 }
-// The library's own form of this, and the sanitizer's, wouldn't fit the `delete` below.
+// The definitions of this function in the standard library and in the sanitizer wouldn't match the
+// `delete` below.
 void* operator new(std::size_t size, const std::nothrow_t&) noexcept { return std::malloc(size); }
 void operator delete(void* memory) noexcept { std::free(memory); }
 void operator delete(void* memory, std::size_t) noexcept { std::free(memory); }
--- a/tests/support/properties.hpp
+++ b/tests/support/properties.hpp
@@ -1,4 +1,4 @@
-// What property tests share.
+// Helpers for property tests.
 #pragma once
 
 #include <cstdlib>
@@ -6,7 +6,8 @@
 
 namespace sailreel {
 
-/// The properties checked from now on are tried on so many cases, the same ones on every run.
+/// Makes RapidCheck try `count` cases for each property that is checked from now on. The seed is
+/// fixed, so that every run tries the same cases.
 inline void fix_cases(int count) {
   setenv("RC_PARAMS", ("seed=1 max_success=" + std::to_string(count)).c_str(), 1);
 }
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -1,4 +1,4 @@
-// Building blocks of scenarios: jobs, and a simulation without planned faults.
+// Helpers for scenario tests: sample jobs, plans without faults, and checks at the end.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -7,6 +7,7 @@
 
 namespace sailreel::sim {
 
+/// A plan of two minutes without planned jobs or faults.
 inline SimulationPlan quiet(std::uint64_t seed) {
   SimulationPlan plan;
   plan.seed = seed;
@@ -16,6 +17,8 @@
   return plan;
 }
 
+/// An array whose tasks need one GPU each, run for half to one and a half times `run_s`, and may
+/// run on spot machines.
 inline JobSpec array(const std::string& id, std::uint32_t tasks, double run_s) {
   JobSpec spec;
   spec.id = id;
@@ -30,6 +33,7 @@
   return spec;
 }
 
+/// A production service whose replicas need one GPU each and don't run on spot machines.
 inline JobSpec service(const std::string& id, std::uint32_t tasks) {
   JobSpec spec = array(id, tasks, 0);
   spec.kind = JobKind::Service;
@@ -38,7 +42,7 @@
   return spec;
 }
 
-/// A gang whose tasks need so many CPUs each. A machine of the sample deployment has 16.
+/// A gang whose tasks need `cpus` CPUs each. A machine of the sample deployment has 16.
 inline JobSpec gang(const std::string& id, std::uint32_t tasks, double cpus, double run_s) {
   JobSpec spec = array(id, tasks, run_s);
   spec.kind = JobKind::Gang;
@@ -52,7 +56,7 @@
   return spec;
 }
 
-/// What happens in the middle of such a simulation; a case of a test by its name.
+/// A named case of a parameterized test: `play` runs the middle part of a simulation.
 struct Scenario {
   const char* name;
   std::function<void(SimulatedRegion&, std::uint64_t seed)> play;
@@ -66,8 +70,9 @@
 
 inline std::string job_id(std::size_t n) { return "job-" + std::to_string(n); }
 
-/// Jobs of both kinds and teams from `first` on, within half a minute: replicas that stay, arrays
-/// of one to three tasks that end far apart, some bound to a zone or spread over them.
+/// Submits `count` jobs, numbered from `first`, within half a minute: services that keep running,
+/// and arrays of one to three tasks with run times that differ widely. The jobs belong to two
+/// teams; some are bound to a zone or spread over zones.
 inline void submit_mixed_jobs(SimulatedRegion& region, std::size_t first, std::size_t count,
                               std::uint64_t seed) {
   pcg32 random(seed * 77 + first);
@@ -85,11 +90,13 @@
   }
 }
 
+/// The node that leads; the first node if none does.
 inline std::size_t leader_of(const SimulatedRegion& region) {
   return static_cast<std::size_t>(std::max(0, region.leader()));
 }
 
-/// The end of a simulation: no rule was broken, and nothing is left waiting or unanswered.
+/// Checks, at the end of a simulation, that no rule was broken and that all jobs that end by
+/// themselves are over.
 inline void expect_nothing_left(SimulatedRegion& region, std::uint64_t seed) {
   region.checker().end_served();
   EXPECT_TRUE(region.checker().violations().empty())
@@ -100,8 +107,8 @@
   EXPECT_EQ(region.kv_store().malformed, 0U);
 }
 
-/// The end of a simulation with `submit_mixed_jobs`: some are cancelled, and nothing is left
-/// waiting or unanswered.
+/// Ends a simulation with `submit_mixed_jobs`: no fault is injected any more, every fourth job is
+/// cancelled, and after 160 s all jobs must have been served.
 inline void expect_all_served(SimulatedRegion& region, std::size_t jobs, std::uint64_t seed) {
   region.faults_ended();
   for (std::size_t n = 0; n < jobs; n += 4) region.cancel(job_id(n));
@@ -109,7 +116,7 @@
   expect_nothing_left(region, seed);
 }
 
-/// The machines that the present leader knows to hold tasks.
+/// The machines that hold tasks according to the present leader, which has heard from them.
 inline std::vector<std::string> busy_machines(const SimulatedRegion& region) {
   std::vector<std::string> out;
   if (region.leader() < 0) return out;
--- a/tests/support/work_meter.hpp
+++ b/tests/support/work_meter.hpp
@@ -1,5 +1,5 @@
-// Counts what the steps of simulated controllers take, by input: steps, allocations, and jobs and
-// machines examined. Unlike time, these are the same on every run.
+// Counts the work of simulated controllers by kind of input: steps, allocations, and jobs and
+// machines examined. Unlike times, these counts are the same on every run.
 #pragma once
 
 #include <array>
@@ -12,8 +12,8 @@
 
 namespace sailreel::sim {
 
-/// How many allocations the test program has made, and their bytes. They are counted in programs
-/// that are built with support/count_allocations.cpp.
+/// The number of allocations that the test program has made, and their bytes. They are counted only
+/// in programs that are built with support/count_allocations.cpp.
 struct Allocations {
   std::uint64_t count = 0, bytes = 0;
 
@@ -24,6 +24,7 @@
 };
 inline Allocations allocations;
 
+/// The kinds of input that are counted separately.
 enum class InputKind : std::uint8_t {
   Tick,
   Heartbeat,
@@ -46,7 +47,7 @@
   return request->op == UserOp::Submit ? InputKind::Submission : InputKind::Other;
 }
 
-/// What steps took, added up.
+/// The sum of the work of several steps.
 struct StepWork {
   std::uint64_t steps = 0, allocations = 0, bytes = 0, examined = 0;
 
@@ -58,15 +59,15 @@
   }
 };
 
-/// The work of all controllers of a region, separately for the leader and the followers.
+/// The work of all controllers of a region, counted separately for leaders and followers.
 class WorkMeter {
  public:
   void add(bool leading, InputKind kind, const StepWork& work) { by_kind(leading, kind).add(work); }
   [[nodiscard]] const StepWork& leader(InputKind kind) const { return of_kind(leader_, kind); }
   [[nodiscard]] const StepWork& follower(InputKind kind) const { return of_kind(follower_, kind); }
-  /// Of all inputs.
+  /// The work for all inputs that reached a leader.
   [[nodiscard]] StepWork leader_total() const { return sum(leader_); }
-  /// Of all inputs of all controllers.
+  /// The work for all inputs of all controllers.
   [[nodiscard]] StepWork total() const {
     StepWork total = sum(leader_);
     total.add(sum(follower_));
