--- a/sim/checker.hpp
+++ b/sim/checker.hpp
@@ -25,49 +25,51 @@
  public:
   /// Tasks of a cancelled job must be gone within `cancel_ms` after a user was told so.
   Checker(std::vector<Team> teams, Time cancel_ms)
-      : teams_(std::move(teams)), cancel_within_(cancel_ms) {}
+      : teams_(std::move(teams)), cancel_limit_(cancel_ms) {}
 
   /// A user submits a job. Called before the first request for the job is sent.
   void submitted(const JobSpec& spec) { jobs_[spec.id].spec = spec; }
   /// A user requests the cancellation of a job.
-  void cancel_asked(const std::string& id) { jobs_[id].asked = true; }
+  void cancel_requested(const std::string& id) { jobs_[id].cancel_requested = true; }
 
   /// A user was told a job's state at `now`: "pending", "running", "done" or "cancelled". A
   /// response of one controller binds the responses of all controllers to requests that are sent
-  /// later; `asked` is the time at which this response's request was sent, by default `now`.
-  void told(const std::string& id, const std::string& state, Time now);
-  void told(const std::string& id, const std::string& state, Time now, Time asked);
+  /// later; `requested_at` is the time at which this response's request was sent, by default `now`.
+  void state_reported(const std::string& id, const std::string& state, Time now);
+  void state_reported(const std::string& id, const std::string& state, Time now, Time requested_at);
   /// A user got a permanent rejection: 404 to a poll, 400 or 422 to a submission. That is a
-  /// violation if the request was sent after the job had been accepted; `asked` is the time of
-  /// sending.
-  void refused(const std::string& id, int status, bool poll) { refused(id, status, poll, kNever); }
-  void refused(const std::string& id, int status, bool poll, Time asked);
+  /// violation if the request was sent after the job had been accepted; `requested_at` is the time
+  /// of sending.
+  void rejected(const std::string& id, int status, bool poll) {
+    rejected(id, status, poll, kNever);
+  }
+  void rejected(const std::string& id, int status, bool poll, Time requested_at);
 
   /// No fault is injected from now on.
   void faults_ended(Time now) { faults_ended_at_ = now; }
   [[nodiscard]] bool faults_are_over() const { return faults_ended_at_ != kNever; }
 
   /// A cancellation got 200 with this job state, which must be "cancelled" or "done".
-  void cancel_answered(const std::string& id, const std::string& state);
+  void cancel_state_reported(const std::string& id, const std::string& state);
 
   /// A job was accepted although it can't run or its submission lacks a field.
   void accepted_unfit(const std::string& id) { add_violation("accepted_unfit", id); }
 
   /// A worker has accepted a start command.
-  void start_taken(const std::string& id);
+  void start_accepted(const std::string& id);
 
   /// Reports regularly whether a job waits although some machine has room for it and its team is
   /// under its quota limit. After the faults have ended, that may last 90 s at the most.
-  void waiting(const std::string& id, bool possible, Time now);
+  void waiting_observed(const std::string& id, bool possible, Time now);
 
   /// A poll of a job failed. The job counts as forgotten if its polls fail for 90 s while other
   /// jobs get responses, or for 75 s after the faults have ended.
-  void unanswered(const std::string& id, Time now);
+  void poll_failed(const std::string& id, Time now);
 
   /// A task has its image and occupies its machine from now on.
-  void started(const TaskKey& key, const TaskLocation& location, Time now);
+  void task_started(const TaskKey& key, const TaskLocation& location, Time now);
   /// A task no longer occupies its machine; `completed` if it ran to its end.
-  void ended(const TaskKey& key, const std::string& machine, bool completed);
+  void task_ended(const TaskKey& key, const std::string& machine, bool completed);
   /// All tasks of a gang complete together.
   void gang_completed(const std::string& id);
   /// Checks the tasks that run at `now`. Must be called after each step of the simulation.
@@ -100,17 +102,17 @@
  private:
   struct JobHistory {
     std::optional<JobSpec> spec;
-    bool asked = false, accepted = false, failing = false;
+    bool cancel_requested = false, accepted = false, poll_failure_reported = false;
     std::string final_state;
-    Time final_at = 0, last_known = 0, accepted_at = 0, waiting_since = kNever;
-    std::optional<Time> begun;
-    bool left_waiting = false;
+    Time final_at = 0, last_response_at = 0, accepted_at = 0, waiting_since = kNever;
+    std::optional<Time> started_at;
+    bool waiting_reported = false;
     std::set<std::uint32_t> completed;
   };
   void add_violation(const std::string& rule, const std::string& what);
 
   std::vector<Team> teams_;
-  Time cancel_within_, next_step_ = 0, last_answer_ = 0, faults_ended_at_ = kNever;
+  Time cancel_limit_, next_step_ = 0, last_response_at_ = 0, faults_ended_at_ = kNever;
   std::map<std::string, JobHistory> jobs_;
   std::map<std::string, std::map<std::string, TaskLocation>> running_on_;
   std::map<std::string, Resources> used_;
--- a/sim/fake_cloud.cpp
+++ b/sim/fake_cloud.cpp
@@ -38,22 +38,23 @@
 
 void FakeCloud::scale_out(const CloudRequest& request, Time now, CloudResponse& response) {
   const auto& wanted = request.scale_out;
-  if (const auto earlier = requests_.find(wanted.request); earlier != requests_.end()) {
+  if (const auto earlier = names_by_request_.find(wanted.request);
+      earlier != names_by_request_.end()) {
     response.names = earlier->second;
     return;
   }
   std::uint32_t used = 0;
   for (const auto& [name, machine] : machines)
     used += machine.zone == wanted.zone && machine.spot == wanted.spot ? 1 : 0;
-  const std::uint32_t room = capacity[{wanted.zone, wanted.spot}];
-  if (used >= room) {
+  const std::uint32_t capacity_of_pool = capacity[{wanted.zone, wanted.spot}];
+  if (used >= capacity_of_pool) {
     response.status = 503;
     response.no_capacity = true;
     return;
   }
-  const std::uint32_t granted = std::min(wanted.count, room - used);
+  const std::uint32_t granted = std::min(wanted.count, capacity_of_pool - used);
   for (std::uint32_t i = 0; i < granted; ++i) launch(request, now, response);
-  requests_[wanted.request] = response.names;
+  names_by_request_[wanted.request] = response.names;
 }
 
 void FakeCloud::tick(Time now, Time lag) {
@@ -69,17 +70,18 @@
     listed.age_s = static_cast<double>(now - machine.launched) / 1000.0;
     list.machines.push_back(std::move(listed));
   }
-  lists_.push_back({now, std::move(list)});
+  snapshots_.push_back({now, std::move(list)});
   const Time wanted_age = lag + static_cast<Time>(random_(static_cast<std::uint32_t>(lag)));
-  while (lists_.size() > 1 && lists_.front().taken_at < now - wanted_age) lists_.pop_front();
+  while (snapshots_.size() > 1 && snapshots_.front().taken_at < now - wanted_age)
+    snapshots_.pop_front();
 }
 
 // Pages are ordered by name, so that `after` may name a machine that no longer exists.
 CloudResponse FakeCloud::list_page(const CloudRequest& request) const {
   CloudResponse page;
   page.status = 200;
-  if (lists_.empty()) return page;
-  for (const ListedMachine& listed : lists_.front().list.machines) {
+  if (snapshots_.empty()) return page;
+  for (const ListedMachine& listed : snapshots_.front().list.machines) {
     if (listed.name <= request.after) continue;
     page.more = page.machines.size() >= request.limit;
     if (page.more) break;
@@ -90,23 +92,23 @@
 
 std::string FakeCloud::address_of(std::size_t number) const {
   if (address_prefix.empty()) return "10.1.0.1:" + std::to_string(1000 + number);
-  constexpr std::size_t kHostsPerNet = 250;
+  constexpr std::size_t kHostsPerSubnet = 250;
   constexpr const char* kWorkerPort = ":9000";
-  return address_prefix + std::to_string(number / kHostsPerNet) + "." +
-         std::to_string(1 + number % kHostsPerNet) + kWorkerPort;
+  return address_prefix + std::to_string(number / kHostsPerSubnet) + "." +
+         std::to_string(1 + number % kHostsPerSubnet) + kWorkerPort;
 }
 
 void FakeCloud::launch(const CloudRequest& request, Time now, CloudResponse& response) {
   CloudMachine machine;
-  machine.name = machine_name(next_++);
-  machine.address = address_of(next_);
+  machine.name = machine_name(next_number_++);
+  machine.address = address_of(next_number_);
   machine.type = request.scale_out.type;
   machine.zone = request.scale_out.zone;
   machine.spot = request.scale_out.spot;
   machine.launched = now;
   machine.broken = one_in_never_up > 0 && random_(one_in_never_up) == 0;
-  const double boot = 1000 * types.front().boot_s * (0.6 + random_(90) / 100.0);
-  machine.boots = random_(12) == 0 ? now + 1000 : now + static_cast<Time>(boot);
+  const double boot_ms = 1000 * types.front().boot_s * (0.6 + random_(90) / 100.0);
+  machine.boots_at = random_(12) == 0 ? now + 1000 : now + static_cast<Time>(boot_ms);
   machines[machine.name] = machine;
   response.names.emplace_back(machine.name);
   on_launched(machine);
--- a/sim/fake_cloud.hpp
+++ b/sim/fake_cloud.hpp
@@ -25,12 +25,12 @@
   }
 };
 
-/// A launched machine. `up` is set once it has booted; a `broken` one never boots. Times are in
-/// simulated milliseconds: `boots` is when the machine comes up.
+/// A launched machine. `up` is set once it has booted; a `broken` one never boots. Times are
+/// in simulated milliseconds: `boots_at` is when the machine comes up.
 struct CloudMachine {
   std::string name, address, type, zone;
   bool spot = false, up = false, broken = false;
-  Time launched = 0, boots = 0;
+  Time launched = 0, boots_at = 0;
 };
 
 /// The name that the cloud gives to the `number`th machine that it launches.
@@ -74,10 +74,10 @@
   void launch(const CloudRequest& request, Time now, CloudResponse& response);
 
   pcg32 random_;
-  std::size_t next_ = 1;
+  std::size_t next_number_ = 1;
   /// The machines launched for each scale-out request; a repeated request gets the same ones.
-  std::map<std::string, std::vector<std::string>> requests_;
-  std::list<ListSnapshot> lists_;
+  std::map<std::string, std::vector<std::string>> names_by_request_;
+  std::list<ListSnapshot> snapshots_;
 };
 
 }  // namespace sailreel::sim
--- a/sim/fake_kv_store.cpp
+++ b/sim/fake_kv_store.cpp
@@ -5,8 +5,8 @@
 namespace sailreel::sim {
 
 void FakeKvStore::limit_rates(double requests_per_second, double writes_per_second) {
-  requests_ = RateLimiter(requests_per_second, requests_per_second);
-  writes_ = RateLimiter(writes_per_second, writes_per_second);
+  request_limiter_ = RateLimiter(requests_per_second, requests_per_second);
+  write_limiter_ = RateLimiter(writes_per_second, writes_per_second);
 }
 
 void FakeKvStore::handle(const KvRequest& request, bool rejected, Time now, Reply reply) {
@@ -50,7 +50,7 @@
         lease->second.expires_at = now + lease->second.ttl;
       break;
     case Kind::Revoke:
-      drop_lease(request.lease);
+      remove_lease(request.lease);
       break;
     case Kind::Watch:
       break;
@@ -76,21 +76,21 @@
   serve_watches(now);
 }
 
-void FakeKvStore::outage_over(Time now) {
+void FakeKvStore::end_outage(Time now) {
   outage = false;
   for (auto& [id, lease] : leases_) lease.expires_at = now + lease.ttl;
 }
 
 bool FakeKvStore::within_rates(const KvRequest& request, Time now) {
-  if (!requests_.allows(1, now)) return false;
-  requests_.spend(1, now);
+  if (!request_limiter_.allows(1, now)) return false;
+  request_limiter_.spend(1, now);
   const auto writes = static_cast<double>(request.puts.size() + request.deletes.size());
   if (writes == 0) return true;
-  if (!writes_.allows(writes, now)) {
+  if (!write_limiter_.allows(writes, now)) {
     ++refused_writes;
     return false;
   }
-  writes_.spend(writes, now);
+  write_limiter_.spend(writes, now);
   return true;
 }
 
@@ -113,13 +113,13 @@
 }
 
 bool FakeKvStore::exceeds_limits(const KvRequest& request) const {
-  constexpr std::size_t kBytesLimit = std::size_t{64} * 1024, kBytesPerPut = 40;
+  constexpr std::size_t kMaxTransactionBytes = std::size_t{64} * 1024, kOverheadBytesPerPut = 40;
   std::size_t bytes = 0;
   for (const auto& put : request.puts) {
-    bytes += put.key.size() + put.value.size() + kBytesPerPut;
+    bytes += put.key.size() + put.value.size() + kOverheadBytesPerPut;
     if (put.value.size() > value_limit) return true;
   }
-  return bytes > kBytesLimit || request.puts.size() + request.deletes.size() > ops_limit ||
+  return bytes > kMaxTransactionBytes || request.puts.size() + request.deletes.size() > ops_limit ||
          request.conditions.size() > 4 * ops_limit;
 }
 
@@ -145,16 +145,16 @@
   return 200;
 }
 
-void FakeKvStore::drop_lease(std::uint64_t id) {
+void FakeKvStore::remove_lease(std::uint64_t id) {
   if (leases_.erase(id) == 0) return;
-  bool raised = false;
+  bool revision_raised = false;
   for (auto entry = keys_.begin(); entry != keys_.end();) {
     if (entry->second.lease != id) {
       ++entry;
       continue;
     }
-    if (!raised) ++revision_;
-    raised = true;
+    if (!revision_raised) ++revision_;
+    revision_raised = true;
     changes_.push_back({entry->first, "", revision_, true});
     entry = keys_.erase(entry);
   }
@@ -165,7 +165,7 @@
   std::vector<std::uint64_t> expired;
   for (const auto& [id, lease] : leases_)
     if (now > lease.expires_at) expired.push_back(id);
-  for (const auto id : expired) drop_lease(id);
+  for (const auto id : expired) remove_lease(id);
 }
 
 void FakeKvStore::serve_watches(Time now) {
@@ -177,7 +177,7 @@
     std::size_t bytes = 0;
     if (!watch->rejected)
       for (const KvItem& change : changes_)
-        if (change.version > watch->from && change.key.starts_with(watch->prefix)) {
+        if (change.version > watch->after_revision && change.key.starts_with(watch->prefix)) {
           response.items.push_back(change);
           bytes += change.value.size();
         }
--- a/sim/fake_kv_store.hpp
+++ b/sim/fake_kv_store.hpp
@@ -41,7 +41,7 @@
   void tick(Time now);
   /// Ends an outage. All leases run their full time from now on, as in the real store after it has
   /// lost its quorum and regained it.
-  void outage_over(Time now);
+  void end_outage(Time now);
 
  private:
   struct StoredValue {
@@ -53,7 +53,7 @@
   };
   struct Watch {
     std::string prefix;
-    std::uint64_t from;
+    std::uint64_t after_revision;
     Time until;
     bool rejected;
     Reply reply;
@@ -64,12 +64,12 @@
   void list(const KvRequest& request, KvResponse& response) const;
   int compare_and_swap(const KvRequest& request);
   [[nodiscard]] bool exceeds_limits(const KvRequest& request) const;
-  void drop_lease(std::uint64_t id);
+  void remove_lease(std::uint64_t id);
   void expire_leases(Time now);
   void serve_watches(Time now);
 
-  RateLimiter requests_{1e9, 1e9};
-  RateLimiter writes_{1e9, 1e9};
+  RateLimiter request_limiter_{1e9, 1e9};
+  RateLimiter write_limiter_{1e9, 1e9};
   std::map<std::string, StoredValue> keys_;
   std::map<std::uint64_t, Lease> leases_;
   std::uint64_t revision_ = 0, last_lease_ = 0;
--- a/sim/fault_injection.cpp
+++ b/sim/fault_injection.cpp
@@ -22,11 +22,11 @@
   BlockInbound,
   PreemptMachines,
   CutMachine,
-  CutMachineToo,  // the same fault once more, so that it is drawn twice as often as the others
+  CutMachineAgain,  // the same fault once more, so that it is drawn twice as often as the others
   CutZone,
   FreezeController
 };
-constexpr std::uint32_t kSingleFaults = 16;
+constexpr std::uint32_t kSingleFaultCount = 16;
 
 enum class OverlappingFault : std::uint32_t {
   IsolateLeader,
@@ -47,7 +47,7 @@
   CutLeaderFromKvStore,
   CutHalfOfMachines
 };
-constexpr std::uint32_t kOverlappingFaults = 17;
+constexpr std::uint32_t kOverlappingFaultCount = 17;
 
 bool affects_controllers(SingleFault kind) {
   return kind <= SingleFault::IsolateController || kind == SingleFault::FreezeController;
@@ -81,8 +81,8 @@
   for (std::size_t other = 0; other < nodes_.size(); ++other) {
     if (other == node) continue;
     if (const auto peer = peer_index(other, node))
-      carry(host.name, nodes_[other].name,
-            [this, other, peer = *peer] { feed(other, PeerDisconnected{peer}); });
+      transmit(host.name, nodes_[other].name,
+               [this, other, peer = *peer] { feed(other, PeerDisconnected{peer}); });
   }
   at(now_ + for_ms, [this, node] {
     if (!nodes_[node].controller) start_node(node);
@@ -136,7 +136,7 @@
 
 void SimulatedRegion::kv_store_outage(Time for_ms) {
   kv_store_.outage = true;
-  at(now_ + for_ms, [this] { kv_store_.outage_over(now_); });
+  at(now_ + for_ms, [this] { kv_store_.end_outage(now_); });
 }
 
 void SimulatedRegion::kill_machine(const std::string& name) {
@@ -144,7 +144,7 @@
   if (!worker.alive) return;
   worker.alive = false;
   for (const auto& [key, attempts] : worker.tasks)
-    for (const WorkTask& task : attempts)
+    for (const TaskAttempt& task : attempts)
       if (task.present) task_ended(task.status.key, name, false);
 }
 
@@ -154,12 +154,12 @@
   // Once the lease has expired, counted from the last heartbeat that got a response, the tasks of a
   // machine that hangs count as ended: the worker ends them before it does anything else.
   const double lease = settings_[0].workers.lease_s * 1000;
-  at(hung.last_ok_sent + static_cast<Time>(std::ceil(lease / hung.drift)) + 1,
+  at(hung.last_accepted_sent_at + static_cast<Time>(std::ceil(lease / hung.clock_rate)) + 1,
      [this, name, until = hung.hang_until] {
        Worker& worker = workers_[name];
        if (!worker.alive || now_ >= until) return;
        for (auto& [key, attempts] : worker.tasks)
-         for (WorkTask& task : attempts) {
+         for (TaskAttempt& task : attempts) {
            if (task.present) task_ended(task.status.key, name, false);
            task.present = false;
          }
@@ -193,7 +193,7 @@
 }
 
 void SimulatedRegion::delay_heartbeats(double share, Time for_ms) {
-  late_heartbeats_ = {share, now_ + for_ms};
+  delayed_heartbeats_ = {share, now_ + for_ms};
 }
 
 void SimulatedRegion::slow_commands(Time for_ms) { slow_commands_ = {0.5, now_ + for_ms}; }
@@ -204,7 +204,7 @@
 
 void SimulatedRegion::poll_closely(Time for_ms) { poll_closely_until_ = now_ + for_ms; }
 
-void SimulatedRegion::send_odd_requests(Time for_ms) { send_odd_request(now_ + for_ms); }
+void SimulatedRegion::send_odd_requests(Time for_ms) { send_unusual_request(now_ + for_ms); }
 
 void SimulatedRegion::cancel_now(std::size_t count, Time hang_ms) {
   struct RunningTask {
@@ -214,10 +214,11 @@
   std::vector<RunningTask> running;
   for (const auto& [name, worker] : workers_)
     for (const auto& [key, attempts] : worker.tasks)
-      if (worker.alive && by_job_.contains(key.job)) running.push_back({by_job_.at(key.job), name});
+      if (worker.alive && user_by_job_.contains(key.job))
+        running.push_back({user_by_job_.at(key.job), name});
   std::set<std::size_t> chosen;
-  for (std::size_t tries = 0; tries < 4 * count && chosen.size() < count && !running.empty();
-       ++tries) {
+  for (std::size_t attempt = 0; attempt < 4 * count && chosen.size() < count && !running.empty();
+       ++attempt) {
     const auto& [user, machine] = running[random_(static_cast<std::uint32_t>(running.size()))];
     if (!chosen.insert(user).second) continue;
     at(now_ + random_(200), [this, user = user] { cancel_job_of(user); });
@@ -226,7 +227,7 @@
 }
 
 void SimulatedRegion::preempt_machine(const std::string& name, Time in_ms) {
-  workers_[name].notice_at = now_ + in_ms;
+  workers_[name].preemption_at = now_ + in_ms;
   at(now_ + in_ms, [this, name] {
     cloud_.machines.erase(name);
     kill_machine(name);
@@ -287,7 +288,7 @@
 // In operation, rules were broken where faults overlapped. Each simulation therefore has four
 // combinations of two or three faults that begin within 2.5 s of each other, while users poll
 // closely and cancel jobs.
-void SimulatedRegion::plan_fault_pairs() {
+void SimulatedRegion::plan_overlapping_faults() {
   const Time span = plan_.faults_until - plan_.faults_from;
   at(plan_.faults_from, [this, span] {
     poll_closely(span);
@@ -299,53 +300,54 @@
     const Time when = plan_.faults_from + n * span / kCombinations + random_(4'000);
     const std::uint32_t faults = 2 + random_(2);
     for (std::uint32_t k = 0; k < faults; ++k)
-      at(when + random_(2'500), [this] { inject_fault(random_(kOverlappingFaults)); });
+      at(when + random_(2'500),
+         [this] { inject_overlapping_fault(random_(kOverlappingFaultCount)); });
     at(when + random_(2'500),
        [this] { cancel_now(4, random_(3) == 0 ? 2'000 + random_(12'000) : 0); });
   }
   at(plan_.faults_until + ms(2 * plan_.lease_s), [this] { faults_ended(); });
 }
 
-void SimulatedRegion::inject_fault(std::uint32_t kind) {
+void SimulatedRegion::inject_overlapping_fault(std::uint32_t kind) {
   const int lead = leader();
   const std::size_t target = lead >= 0 ? static_cast<std::size_t>(lead) : random_(3);
   const auto up = machines_up();
   const std::string machine = up.empty() ? "" : up[random_(static_cast<std::uint32_t>(up.size()))];
   const Time lease = ms(plan_.lease_s);
-  const Time longer = lease / 2 + random_(static_cast<std::uint32_t>(lease));
+  const Time duration_ms = lease / 2 + random_(static_cast<std::uint32_t>(lease));
   const bool hold = random_(2) == 0;
   switch (static_cast<OverlappingFault>(kind)) {
     case OverlappingFault::IsolateLeader:
-      return isolate(target, longer, hold);
+      return isolate(target, duration_ms, hold);
     case OverlappingFault::RejectKvRequests:
-      return reject_kv_requests(target, longer);
+      return reject_kv_requests(target, duration_ms);
     case OverlappingFault::KvStoreOutage:
-      return kv_store_outage(longer);
+      return kv_store_outage(duration_ms);
     case OverlappingFault::KillLeader:
       return kill(target, random_(2) == 0 ? 300 : 6'000);
     case OverlappingFault::KillAllControllers:  // one of them restarts within a second
       for (std::size_t node = 0; node < 3; ++node) kill(node, node == target ? 500 : 8'000);
       return;
     case OverlappingFault::LoseWriteResponses:
-      return late_writes(0.4, longer, true);
+      return late_writes(0.4, duration_ms, true);
     case OverlappingFault::DelayWrites:
-      return late_writes(0.3, longer, false);
+      return late_writes(0.3, duration_ms, false);
     case OverlappingFault::KeepHeartbeatsForNextLeader:
-      return keep_heartbeats_for_next_leader(0.3, longer);
+      return keep_heartbeats_for_next_leader(0.3, duration_ms);
     case OverlappingFault::DelayHeartbeats:
-      return delay_heartbeats(0.3, longer);
+      return delay_heartbeats(0.3, duration_ms);
     case OverlappingFault::BlockOutbound:
-      if (!machine.empty()) block_outbound(machine, 2 * longer);
+      if (!machine.empty()) block_outbound(machine, 2 * duration_ms);
       return;
     case OverlappingFault::BlockInbound:
-      if (!machine.empty()) block_inbound(machine, 2 * longer);
+      if (!machine.empty()) block_inbound(machine, 2 * duration_ms);
       return;
     case OverlappingFault::SlowCommands:
-      return slow_commands(longer);
+      return slow_commands(duration_ms);
     case OverlappingFault::FreezeLeader:
-      return freeze(target, longer);
+      return freeze(target, duration_ms);
     case OverlappingFault::CutZone:
-      return cut_zone(random_(2) == 0 ? "za" : "zb", longer, hold);
+      return cut_zone(random_(2) == 0 ? "za" : "zb", duration_ms, hold);
     case OverlappingFault::RepeatedFailovers:
       for (int n = 0; n < 5; ++n)
         at(now_ + Time{3'000} * n, [this] {
@@ -353,9 +355,9 @@
         });
       return;
     case OverlappingFault::CutLeaderFromKvStore:
-      return cut(nodes_[target].name, kKvStoreHost, longer, hold);
+      return cut(nodes_[target].name, kKvStoreHost, duration_ms, hold);
     case OverlappingFault::CutHalfOfMachines:  // longer than the lease; messages are held
-      return cut_machines(0.5, lease + longer / 2, true);
+      return cut_machines(0.5, lease + duration_ms / 2, true);
   }
 }
 
@@ -364,12 +366,12 @@
   const std::uint32_t count = 6 + random_(6);
   for (std::uint32_t n = 0; n < count; ++n) {
     const Time when = plan_.faults_from + random_(span);
-    const std::uint32_t kind = random_(kSingleFaults);
-    at(when, [this, kind] { fault(kind); });
+    const std::uint32_t kind = random_(kSingleFaultCount);
+    at(when, [this, kind] { inject_single_fault(kind); });
   }
 }
 
-void SimulatedRegion::fault(std::uint32_t kind) {
+void SimulatedRegion::inject_single_fault(std::uint32_t kind) {
   const auto node = random_(3);
   const int lead = leader();
   const std::size_t target = lead >= 0 && random_(2) == 0 ? static_cast<std::size_t>(lead) : node;
@@ -378,13 +380,13 @@
   const Time span_ms = 2'000 + random_(25'000);
   const bool hold = random_(2) == 0;
   if (affects_controllers(static_cast<SingleFault>(kind)))
-    controller_fault(kind, target, span_ms, hold);
+    inject_controller_fault(kind, target, span_ms, hold);
   else
-    machine_fault(kind, machine, span_ms, hold);
+    inject_machine_fault(kind, machine, span_ms, hold);
 }
 
-void SimulatedRegion::controller_fault(std::uint32_t kind, std::size_t target, Time span_ms,
-                                       bool hold) {
+void SimulatedRegion::inject_controller_fault(std::uint32_t kind, std::size_t target, Time span_ms,
+                                              bool hold) {
   const std::string name = nodes_[target].name;
   const auto cut_from_workers = [&] {
     for (const auto& machine : machines_up()) cut(name, machine, span_ms, hold);
@@ -415,8 +417,8 @@
   }
 }
 
-void SimulatedRegion::machine_fault(std::uint32_t kind, const std::string& machine, Time span_ms,
-                                    bool hold) {
+void SimulatedRegion::inject_machine_fault(std::uint32_t kind, const std::string& machine,
+                                           Time span_ms, bool hold) {
   if (static_cast<SingleFault>(kind) == SingleFault::CutZone)
     return cut_zone(random_(2) == 0 ? "za" : "zb", span_ms, hold);
   if (machine.empty()) return;
@@ -429,7 +431,7 @@
     case SingleFault::BlockInbound:
       return block_inbound(machine, span_ms);
     case SingleFault::CutMachine:
-    case SingleFault::CutMachineToo:
+    case SingleFault::CutMachineAgain:
       return cut_machine(machine, span_ms, hold);
     default:
       return preempt_machines(machine);
--- a/sim/processor.cpp
+++ b/sim/processor.cpp
@@ -8,7 +8,7 @@
 namespace sailreel::sim {
 
 void SimulatedRegion::slow_down(std::size_t node, double factor, Time for_ms) {
-  nodes_[node].slowness = factor;
+  nodes_[node].slowdown_factor = factor;
   nodes_[node].slow_until = now_ + for_ms;
 }
 
@@ -24,7 +24,7 @@
   const Time done_at = now_ + step_time(node, examined_so_far(node) - examined_before);
   at(done_at, [this, node, actions, alive = still_alive(node)] {
     for (const Action& action : *actions)
-      if (alive()) act_unless_late(node, action);
+      if (alive()) perform_action_unless_expired(node, action);
     if (!alive()) return;
     nodes_[node].busy = false;
     take_next_input(node);
@@ -33,7 +33,7 @@
 
 Time SimulatedRegion::step_time(std::size_t node, std::uint64_t examined) const {
   const ControllerHost& host = nodes_[node];
-  const double factor = now_ < host.slow_until ? host.slowness : 1;
+  const double factor = now_ < host.slow_until ? host.slowdown_factor : 1;
   const ProcessorCost& cost = plan_.processor;
   return std::llround(factor * (cost.step_ms + cost.examine_ms * static_cast<double>(examined)));
 }
@@ -45,15 +45,15 @@
 
 // Drops responses and commands whose leadership guarantee has expired, as the daemon does: a
 // response is replaced by a 503, and a command fails.
-void SimulatedRegion::act_unless_late(std::size_t node, const Action& action) {
-  const auto late = [&](Time valid_until) { return steady_clock(node) >= valid_until; };
+void SimulatedRegion::perform_action_unless_expired(std::size_t node, const Action& action) {
+  const auto expired = [&](Time valid_until) { return steady_clock(node) >= valid_until; };
   if (const auto* response = std::get_if<Response>(&action);
-      response && late(response->valid_until))
-    return act(node, Response{response->source, 503, encode_error("leadership may have ended"), 1,
-                              kNever});
-  if (const auto* call = std::get_if<CallWorker>(&action); call && late(call->valid_until))
+      response && expired(response->valid_until))
+    return perform_action(node, Response{response->source, 503,
+                                         encode_error("leadership may have ended"), 1, kNever});
+  if (const auto* call = std::get_if<CallWorker>(&action); call && expired(call->valid_until))
     return feed(node, WorkerResponseReceived{call->call, 0, {}});
-  act(node, action);
+  perform_action(node, action);
 }
 
 }  // namespace sailreel::sim
--- a/sim/simulated_federation.cpp
+++ b/sim/simulated_federation.cpp
@@ -8,9 +8,9 @@
 namespace sailreel::sim {
 namespace {
 
-constexpr Time kSlice = 5;
-constexpr Time kChecksApart = 50;
-constexpr Time kLateBy = 60'000;
+constexpr Time kStepMs = 5;
+constexpr Time kCheckIntervalMs = 50;
+constexpr Time kMaxCopyDelayMs = 60'000;
 
 std::string region_name(std::size_t region) { return "region-" + std::to_string(region); }
 
@@ -54,15 +54,15 @@
 
 void SimulatedFederation::run_until(Time time) {
   while (now_ < time) {
-    now_ = std::min(time, now_ + kSlice);
+    now_ = std::min(time, now_ + kStepMs);
     for (auto& region : regions_) region->run_until(now_);
     deliver_due();
-    while (!faults_at_.empty() && faults_at_.back() <= now_) {
-      faults_at_.pop_back();
-      fault();
+    while (!fault_times_.empty() && fault_times_.back() <= now_) {
+      fault_times_.pop_back();
+      inject_fault();
     }
     if (now_ < next_check_) continue;
-    next_check_ = now_ + kChecksApart;
+    next_check_ = now_ + kCheckIntervalMs;
     check();
   }
 }
@@ -83,7 +83,7 @@
   }
   constexpr std::uint32_t kMillion = 1'000'000;
   if (random_(kMillion) < plan_.repeated * kMillion)
-    messages_due_.insert({arrives + random_(kLateBy), {to, bytes}});
+    messages_due_.insert({arrives + random_(kMaxCopyDelayMs), {to, bytes}});
   if (random_(kMillion) < plan_.loss * kMillion) return;
   messages_due_.insert({arrives, {to, bytes}});
 }
@@ -147,9 +147,9 @@
 void SimulatedFederation::check() {
   for (const auto& [team, limit] : limits_) {
     if (used_gpus(team) > limit + 1e-6)
-      broken_.try_emplace("quota over all regions", team + " at " + std::to_string(now_) +
-                                                        " uses " + std::to_string(used_gpus(team)) +
-                                                        " of " + std::to_string(limit));
+      violations_.try_emplace("quota over all regions",
+                              team + " at " + std::to_string(now_) + " uses " +
+                                  std::to_string(used_gpus(team)) + " of " + std::to_string(limit));
     if (!plan_.fixed_division) check_shares(team, limit);
   }
 }
@@ -159,24 +159,26 @@
 // regions have written their first shares.
 void SimulatedFederation::check_shares(const std::string& team, double limit) {
   for (std::size_t region = 0; region < regions_.size(); ++region) {
-    const ShareLedger mine = ledger(region);
-    const auto record = mine.teams.find(team);
-    if (record == mine.teams.end()) return;
+    const ShareLedger own_ledger = ledger(region);
+    const auto record = own_ledger.teams.find(team);
+    if (record == own_ledger.teams.end()) return;
     const double share = static_cast<double>(record->second.share.gpus) / 1000;
     if (regions_[region]->checker().used_by(team).gpus > share + 1e-6)
-      broken_.try_emplace("share", team + " in " + names_[region] + " at " + std::to_string(now_));
+      violations_.try_emplace("share",
+                              team + " in " + names_[region] + " at " + std::to_string(now_));
   }
   const Amounts excess = ledger(0).teams[team].excess;
   const double sum = static_cast<double>((held(team) + in_transit(team) - excess).gpus) / 1000;
   const double in_force = static_cast<double>(ledger(0).teams[team].limit.gpus) / 1000;
   if (std::abs(sum - in_force) > 1e-6 || in_force > limit + 1e-6)
-    broken_.try_emplace("shares", team + " add up to " + std::to_string(sum) + " of " +
-                                      std::to_string(in_force) + " at " + std::to_string(now_));
+    violations_.try_emplace("shares", team + " add up to " + std::to_string(sum) + " of " +
+                                          std::to_string(in_force) + " at " + std::to_string(now_));
 }
 
 std::string SimulatedFederation::broken() const {
   std::string out;
-  for (const auto& [rule, what] : broken_) out.append(rule).append(" (").append(what).append(") ");
+  for (const auto& [rule, what] : violations_)
+    out.append(rule).append(" (").append(what).append(") ");
   for (std::size_t region = 0; region < regions_.size(); ++region)
     if (const std::string summary = regions_[region]->checker().summary(); !summary.empty())
       out.append(names_[region]).append(": ").append(summary);
@@ -186,12 +188,12 @@
 void SimulatedFederation::plan_faults() {
   const auto from = static_cast<std::uint32_t>(plan_.length / 6);
   const auto span = static_cast<std::uint32_t>(plan_.length / 2);
-  constexpr int kFaults = 14;
-  for (int n = 0; n < kFaults; ++n) faults_at_.push_back(from + random_(span));
-  std::sort(faults_at_.rbegin(), faults_at_.rend());
+  constexpr int kFaultCount = 14;
+  for (int n = 0; n < kFaultCount; ++n) fault_times_.push_back(from + random_(span));
+  std::sort(fault_times_.rbegin(), fault_times_.rend());
 }
 
-void SimulatedFederation::fault() {
+void SimulatedFederation::inject_fault() {
   const std::size_t target = random_(static_cast<std::uint32_t>(regions_.size()));
   SimulatedRegion& region = *regions_[target];
   const Time span = 3'000 + random_(20'000);
--- a/sim/simulated_federation.hpp
+++ b/sim/simulated_federation.hpp
@@ -79,7 +79,7 @@
   void check();
   void check_shares(const std::string& team, double limit);
   void plan_faults();
-  void fault();
+  void inject_fault();
 
   FederationPlan plan_;
   pcg32 random_;
@@ -88,8 +88,8 @@
   std::map<std::string, double> limits_;
   std::multimap<Time, MessageInTransit> messages_due_;
   std::map<std::pair<std::size_t, std::size_t>, NetworkCut> cuts_;
-  std::vector<Time> faults_at_;
-  std::map<std::string, std::string> broken_;
+  std::vector<Time> fault_times_;
+  std::map<std::string, std::string> violations_;
   Time now_ = 0, next_check_ = 0;
   std::uint64_t messages_ = 0, message_bytes_ = 0;
 };
--- a/sim/simulated_region.cpp
+++ b/sim/simulated_region.cpp
@@ -22,16 +22,16 @@
   cloud_.address_prefix = deployment_.worker_address_prefix;
   cloud_.on_launched = [this](const CloudMachine& machine) {
     if (machine.broken) return;
-    at(plan_.boots_ms > 0 ? now_ + plan_.boots_ms : machine.boots, [this, machine] {
+    at(plan_.boots_ms > 0 ? now_ + plan_.boots_ms : machine.boots_at, [this, machine] {
       const auto it = cloud_.machines.find(machine.name);
       if (it == cloud_.machines.end()) return;
       it->second.up = true;
       Worker& worker = workers_[machine.name];
       worker.machine = machine;
-      worker.last_ok_sent = now_;
+      worker.last_accepted_sent_at = now_;
       worker.node = random_(node_count());
-      worker.drift = 1.0 + (static_cast<double>(random_(1000)) - 500) * 1e-6;
-      by_address_[machine.address] = machine.name;
+      worker.clock_rate = 1.0 + (static_cast<double>(random_(1000)) - 500) * 1e-6;
+      machine_by_address_[machine.address] = machine.name;
       worker_tick(machine.name);
     });
   };
@@ -43,7 +43,7 @@
   housekeeping();
   plan_jobs();
   if (plan.fault_pairs)
-    plan_fault_pairs();
+    plan_overlapping_faults();
   else if (plan.faults)
     plan_faults();
 }
@@ -54,14 +54,14 @@
   kv_store_.tick(now_);
   if (now_ % 1000 == 0) {
     cloud_.tick(now_, ms(settings_[0].cloud_limits.list_lag_s));
-    watch_waiting();
+    report_waiting_jobs();
   }
-  deliver_copies();
+  deliver_kept_heartbeats();
   at(now_ + 20, [this] { housekeeping(); });
 }
 
 void SimulatedRegion::at(Time time, std::function<void()> run) {
-  events_.push({std::max(time, now_), order_++, std::move(run)});
+  events_.push({std::max(time, now_), next_event_order_++, std::move(run)});
 }
 
 void SimulatedRegion::run_until(Time time) {
@@ -77,8 +77,8 @@
 
 Time SimulatedRegion::delay() { return random_(200) == 0 ? 100 + random_(300) : 1 + random_(4); }
 
-void SimulatedRegion::carry(const std::string& from, const std::string& to,
-                            std::function<void()> arrive) {
+void SimulatedRegion::transmit(const std::string& from, const std::string& to,
+                               std::function<void()> arrive) {
   const auto [until, hold] = cuts_.between(from, to);
   if (now_ < until) {
     if (!hold) return;
@@ -96,7 +96,7 @@
   host.direct_calls.clear();
   host.inbox.clear();
   host.busy = false;
-  host.drift = 1.0 + static_cast<double>(random_(500)) * 1e-6;
+  host.clock_rate = 1.0 + static_cast<double>(random_(500)) * 1e-6;
   const std::uint64_t seed = plan_.seed * 1000 + host.incarnation * 10 + node;
   if (plan_.production && !host.upgraded) {
     // The version in production doesn't know of lower limits that are announced for later.
@@ -128,7 +128,7 @@
   const auto actions = step(node, std::move(input));
   const std::uint64_t incarnation = host.incarnation;
   for (const Action& action : actions)
-    if (host.controller && host.incarnation == incarnation) act(node, action);
+    if (host.controller && host.incarnation == incarnation) perform_action(node, action);
 }
 
 std::vector<Action> SimulatedRegion::step(std::size_t node, Input input) {
@@ -138,10 +138,10 @@
 }
 
 Time SimulatedRegion::steady_clock(std::size_t node) const {
-  return static_cast<Time>(static_cast<double>(now_) * nodes_[node].drift) + 1'000'000;
+  return static_cast<Time>(static_cast<double>(now_) * nodes_[node].clock_rate) + 1'000'000;
 }
 
-void SimulatedRegion::act(std::size_t node, const Action& action) {
+void SimulatedRegion::perform_action(std::size_t node, const Action& action) {
   std::visit([this, node](const auto& chosen) { perform(node, chosen); }, action);
 }
 
@@ -159,8 +159,8 @@
 
 // Prints the log if the environment variable SIM_LOG is set, to debug a simulation that fails.
 void SimulatedRegion::perform(std::size_t node, const Log& line) {
-  static const bool kWanted = std::getenv("SIM_LOG") != nullptr;
-  if (kWanted)
+  static const bool kPrintLog = std::getenv("SIM_LOG") != nullptr;
+  if (kPrintLog)
     std::fprintf(stderr, "%8.3f %s %s\n", static_cast<double>(now_) / 1000.0,
                  nodes_[node].name.c_str(), line.text.c_str());
 }
@@ -192,10 +192,10 @@
     return;
   }
   const bool lost = is_write && affects_next(lost_responses_);
-  carry(nodes_[node].name, kKvStoreHost, [this, node, lost, request = call.request, finish] {
+  transmit(nodes_[node].name, kKvStoreHost, [this, node, lost, request = call.request, finish] {
     const bool refused = now_ < nodes_[node].kv_rejected_until;
     kv_store_.handle(request, refused, now_, [this, node, lost, finish](const KvResponse& reply) {
-      if (!lost) carry(kKvStoreHost, nodes_[node].name, [finish, reply] { finish(reply); });
+      if (!lost) transmit(kKvStoreHost, nodes_[node].name, [finish, reply] { finish(reply); });
     });
   });
 }
@@ -208,9 +208,9 @@
     *done = true;
     feed(node, CloudResponseReceived{id, reply});
   };
-  carry(nodes_[node].name, kCloudHost, [this, node, request = call.request, finish] {
+  transmit(nodes_[node].name, kCloudHost, [this, node, request = call.request, finish] {
     const CloudResponse reply = cloud_.handle(request, now_);
-    carry(kCloudHost, nodes_[node].name, [finish, reply] { finish(reply); });
+    transmit(kCloudHost, nodes_[node].name, [finish, reply] { finish(reply); });
   });
   at(now_ + call.timeout_ms, [finish] { finish(CloudResponse{}); });
 }
@@ -223,7 +223,7 @@
   };
   if (nodes_[node].direct_calls.size() >= settings_[node].limits.sockets / 4) return at(now_, fail);
   nodes_[node].direct_calls.insert(call.call);
-  direct(node, call.call, call.address, call.body);
+  send_direct_command(node, call.call, call.address, call.body);
   at(now_ + call.timeout_ms, fail);
 }
 
@@ -237,12 +237,12 @@
 }
 
 void SimulatedRegion::change_team_limit(const std::string& name, double gpus_max) {
-  constexpr Time kApart = 4'000, kDown = 300;
+  constexpr Time kRestartIntervalMs = 4'000, kDowntimeMs = 300;
   for (std::size_t node = 0; node < nodes_.size(); ++node)
-    at(now_ + static_cast<Time>(node) * kApart, [this, node, name, gpus_max] {
+    at(now_ + static_cast<Time>(node) * kRestartIntervalMs, [this, node, name, gpus_max] {
       for (Team& team : settings_[node].teams)
         if (team.name == name) team.gpus_max = gpus_max;
-      kill(node, kDown);
+      kill(node, kDowntimeMs);
     });
 }
 
@@ -253,7 +253,7 @@
   const std::size_t receiver = node_index(to);
   // A link ends with the sending process, so its number encodes the node and its incarnation.
   const std::uint64_t link = nodes_[node].incarnation * nodes_.size() + node;
-  carry(nodes_[node].name, to, [this, node, receiver, link, bytes = encode_peer(peer.message)] {
+  transmit(nodes_[node].name, to, [this, node, receiver, link, bytes = encode_peer(peer.message)] {
     PeerReader reader;
     reader.feed(bytes);
     if (const auto message = reader.next()) receive(node, receiver, link, *message);
@@ -297,14 +297,17 @@
     if (response.valid_until != kNever)
       message.response.valid_ms =
           static_cast<std::uint32_t>(std::max<Time>(0, response.valid_until - steady_clock(node)));
-    carry(nodes_[node].name, nodes_[receiver].name, [this, node, receiver, incarnation, message] {
-      if (nodes_[receiver].incarnation == incarnation) receive_from_peer(receiver, node, message);
-    });
+    transmit(nodes_[node].name, nodes_[receiver].name,
+             [this, node, receiver, incarnation, message] {
+               if (nodes_[receiver].incarnation == incarnation)
+                 receive_from_peer(receiver, node, message);
+             });
     return;
   }
-  if (const auto it = answers_.find(response.source.link); it != answers_.end()) {
+  if (const auto it = response_handlers_.find(response.source.link);
+      it != response_handlers_.end()) {
     const auto then = std::move(it->second);
-    answers_.erase(it);
+    response_handlers_.erase(it);
     then(response.status, response.body);
   }
 }
--- a/sim/simulated_region.hpp
+++ b/sim/simulated_region.hpp
@@ -177,9 +177,9 @@
   /// The machines that a job's tasks occupy, whether they run or wait; one entry for each task.
   [[nodiscard]] std::vector<std::string> machines_of(const std::string& job) const;
   /// Submissions, sent to nodes that were up, that got no response within the user's timeout.
-  [[nodiscard]] std::uint64_t unanswered_submissions() const { return unanswered_; }
+  [[nodiscard]] std::uint64_t unanswered_submissions() const { return unanswered_submissions_; }
   /// Cancellations, sent to nodes that were up, that got no response within the user's timeout.
-  [[nodiscard]] std::uint64_t unanswered_cancellations() const { return unanswered_cancels_; }
+  [[nodiscard]] std::uint64_t unanswered_cancellations() const { return unanswered_cancellations_; }
   /// For each accepted job, the time from its first submission until its user was told of that.
   [[nodiscard]] const std::vector<Time>& submission_delays() const { return submission_delays_; }
   /// The longest time for which an input has waited for its controller's processor.
@@ -189,7 +189,7 @@
   /// The number of heartbeats that have reached a node.
   [[nodiscard]] std::uint64_t heartbeats() const { return heartbeats_; }
   /// Successful responses to users that don't hold a job's state.
-  [[nodiscard]] std::uint64_t malformed_answers() const { return malformed_; }
+  [[nodiscard]] std::uint64_t malformed_answers() const { return malformed_responses_; }
   /// The number of times that a gang has started.
   [[nodiscard]] std::uint32_t gang_starts(const std::string& job) {
     return gang_progress_[job].starts;
@@ -218,7 +218,7 @@
     std::unique_ptr<SimulatedController> controller;
     bool upgraded = false;  // from the version in production to the present one
     std::uint64_t incarnation = 0;
-    double drift = 1.0;
+    double clock_rate = 1.0;
     Time kv_rejected_until = 0, frozen_until = 0;
     struct WaitingInput {
       Time since = 0;
@@ -226,14 +226,14 @@
     };
     std::deque<WaitingInput> inbox;  // inputs that wait while the processor is busy
     bool busy = false;
-    double slowness = 1;
+    double slowdown_factor = 1;
     Time slow_until = 0;
     std::set<std::uint64_t> direct_calls;  // waiting for a response, each on a socket of its own
   };
   /// One attempt of a task on a worker.
-  struct WorkTask {
+  struct TaskAttempt {
     TaskStatus status;
-    Time image_at = 0, done_at = 0, exits_at = 0;
+    Time image_ready_at = 0, completes_at = 0, save_done_at = 0;
     bool present = false;    // has its image, and occupies the machine
     Time waiting_since = 0;  // only for gangs: when the task began to wait for the others
     bool saved = false;      // only for gangs: has saved its checkpoint, and waits for the others
@@ -254,8 +254,8 @@
   /// The state of one gang attempt, which follows the protocol's table of gang phases.
   struct GangRun {
     bool started = false, done = false, stop_failed = false;
-    Time started_at = 0, done_at = 0;
-    Time broken_at = 0;   // when the attempt ended without completing the job; 0: it hasn't
+    Time started_at = 0, completes_at = 0;
+    Time ended_at = 0;    // when the attempt ended without completing the job; 0: it hasn't
     Time stopped_at = 0;  // when a running task was first told to stop and save; 0: none was
   };
   /// The progress of a gang, which is kept from one attempt to the next.
@@ -269,24 +269,25 @@
     bool alive = true;
     std::uint64_t incarnation = 1, seq = 0, fencing_token = 0;
     std::size_t node = 0;
-    Time last_ok_sent = 0, hang_until = 0, inbound_blocked_until = 0, outbound_blocked_until = 0,
-         notice_at = 0;
+    Time last_accepted_sent_at = 0, hang_until = 0, inbound_blocked_until = 0,
+         outbound_blocked_until = 0, preemption_at = 0;
     Time next_heartbeat = 0, last_heartbeat = 0;
-    bool in_flight = false, changed = false;
+    bool heartbeat_in_flight = false, status_changed = false;
     bool connected = false;  // has a connection to `node`, which accepted the previous heartbeat
-    std::uint64_t flight = 0;
-    double drift = 1.0;
-    std::map<TaskKey, std::vector<WorkTask>, TaskKeyLess> tasks;
+    std::uint64_t heartbeat_number = 0;
+    double clock_rate = 1.0;
+    std::map<TaskKey, std::vector<TaskAttempt>, TaskKeyLess> tasks;
     std::set<std::string> images, done;
   };
   /// The client of one job, which submits it, polls it, and may cancel it.
   struct User {
     JobSpec spec;
     std::string body;
-    bool accepted = false, over = false, cancelling = false;
-    Time cancel_at = 0, first = 0, asked = 0;
+    bool accepted = false, ended = false, cancelling = false;
+    Time cancel_at = 0, first_submitted_at = 0, requested_at = 0;
     std::uint64_t call = 0;
-    std::uint64_t turn = 0;  // number of the latest request; events of older ones are dropped
+    /// Number of the latest request; events of older ones are dropped.
+    std::uint64_t request_number = 0;
     std::set<std::uint32_t> completed;
   };
   struct Event {
@@ -325,7 +326,7 @@
 
   /// Carries a message between two hosts: it is delayed, lost, or held by a cut. Held messages
   /// arrive after the cut in the order of sending, even if the sender has given up on them.
-  void carry(const std::string& from, const std::string& to, std::function<void()> arrive);
+  void transmit(const std::string& from, const std::string& to, std::function<void()> arrive);
   [[nodiscard]] std::string zone_of(const std::string& host) const;
   [[nodiscard]] Time delay();
 
@@ -349,8 +350,8 @@
   void take_next_input(std::size_t node);
   [[nodiscard]] Time step_time(std::size_t node, std::uint64_t examined) const;
   [[nodiscard]] std::uint64_t examined_so_far(std::size_t node) const;
-  void act_unless_late(std::size_t node, const Action& action);
-  void act(std::size_t node, const Action& action);
+  void perform_action_unless_expired(std::size_t node, const Action& action);
+  void perform_action(std::size_t node, const Action& action);
   void perform(std::size_t node, const Log& line);
   void perform(std::size_t node, const ArmTimer& timer);
   void perform(std::size_t node, const Response& response);
@@ -366,60 +367,61 @@
   // --- Workers (workers.cpp) ---
 
   void worker_tick(const std::string& name);
-  void advance(Worker& worker, WorkTask& task);
-  void begin_task(Worker& worker, WorkTask& task);
-  void end_task(Worker& worker, WorkTask& task, ExitCause cause);
+  void advance(Worker& worker, TaskAttempt& task);
+  void begin_task(Worker& worker, TaskAttempt& task);
+  void end_task(Worker& worker, TaskAttempt& task, ExitCause cause);
   void task_ended(const TaskKey& key, const std::string& machine, bool completed);
   void expire_lease(Worker& worker);
   Heartbeat make_heartbeat(Worker& worker);
   void send_heartbeat(Worker& worker);
   void deliver_heartbeat(Worker& worker, std::function<void()> arrive);
-  void handle_heartbeat_response(Worker& worker, std::uint64_t flight, Time sent,
+  void handle_heartbeat_response(Worker& worker, std::uint64_t heartbeat_number, Time sent,
                                  std::uint64_t incarnation, int status, const std::string& body);
   /// Delivers the kept heartbeats to all controllers once a leader with a higher epoch is elected.
-  void deliver_copies();
-  void deliver_everywhere(const std::string& raw);
+  void deliver_kept_heartbeats();
+  void deliver_to_all_controllers(const std::string& raw);
   void execute(Worker& worker, const Command& command);
   void start_task(Worker& worker, const Command& command);
-  void stop_work(Worker& worker, WorkTask& task, const Command& command);
-  void direct(std::size_t node, std::uint64_t call, const std::string& address,
-              const std::string& body);
-  void execute_direct(std::size_t node, std::uint64_t call, const std::string& name,
-                      const std::string& body, std::uint64_t incarnation);
-  void carry_command(const std::string& from, const std::string& to, std::function<void()> arrive);
+  void stop_work(Worker& worker, TaskAttempt& task, const Command& command);
+  void send_direct_command(std::size_t node, std::uint64_t call, const std::string& address,
+                           const std::string& body);
+  void execute_direct_command(std::size_t node, std::uint64_t call, const std::string& name,
+                              const std::string& body, std::uint64_t incarnation);
+  void transmit_command(const std::string& from, const std::string& to,
+                        std::function<void()> arrive);
 
   // --- Gangs on workers (gangs.cpp) ---
 
   [[nodiscard]] static bool is_gang(const User* user) {
     return user != nullptr && user->spec.kind == JobKind::Gang;
   }
-  void advance_gang(Worker& worker, WorkTask& task, const User& user);
+  void advance_gang(Worker& worker, TaskAttempt& task, const User& user);
   void start_gang_if_complete(const User& user, std::uint64_t attempt);
-  void break_gang(const User& user, GangRun& run);
-  void stop_gang_task(WorkTask& task, const User& user, double grace_s, Worker& worker);
+  void end_gang_attempt(const User& user, GangRun& run);
+  void stop_gang_task(TaskAttempt& task, const User& user, double grace_s, Worker& worker);
   [[nodiscard]] std::uint32_t gang_tasks_present(const User& user, std::uint64_t attempt,
                                                  bool saved_only) const;
 
   // --- Jobs that are left waiting (workers.cpp) ---
 
-  void watch_waiting();
+  void report_waiting_jobs();
   [[nodiscard]] Occupancy occupancy() const;
-  [[nodiscard]] bool could_start(const User& user, const Occupancy& now) const;
-  [[nodiscard]] static bool gang_could_start(const JobSpec& spec, const Occupancy& now);
-  [[nodiscard]] bool team_allows(const JobSpec& spec, const Occupancy& now) const;
+  [[nodiscard]] bool could_start(const User& user, const Occupancy& current) const;
+  [[nodiscard]] static bool gang_could_start(const JobSpec& spec, const Occupancy& current);
+  [[nodiscard]] bool within_team_limit(const JobSpec& spec, const Occupancy& current) const;
 
   // --- Users (users.cpp): `user` is an index ---
 
   [[nodiscard]] const User* user_of(const std::string& job) const;
   void user_tick(std::size_t user);
-  void user_next(std::size_t user, Time when);
+  void schedule_user_tick(std::size_t user, Time when);
   /// Sends a request and returns the number of the call; `then` gets the response, unless it is
   /// lost or late.
   std::uint64_t request(std::size_t node, UserOp op, const std::string& id, const std::string& body,
                         std::function<void(int, const std::string&)> then);
   void handle_user_response(std::size_t user, UserOp op, int status, const std::string& body);
-  void poll_everywhere(std::size_t user);
-  void send_odd_request(Time until);
+  void poll_all_nodes(std::size_t user);
+  void send_unusual_request(Time until);
   void cancel_job_of(std::size_t user);
   void completed(const TaskKey& key);
 
@@ -428,12 +430,13 @@
   void plan_jobs();
   void make_gang(JobSpec& spec);
   void plan_faults();
-  void fault(std::uint32_t kind);
-  void controller_fault(std::uint32_t kind, std::size_t target, Time span_ms, bool hold);
-  void machine_fault(std::uint32_t kind, const std::string& machine, Time span_ms, bool hold);
+  void inject_single_fault(std::uint32_t kind);
+  void inject_controller_fault(std::uint32_t kind, std::size_t target, Time span_ms, bool hold);
+  void inject_machine_fault(std::uint32_t kind, const std::string& machine, Time span_ms,
+                            bool hold);
   void preempt_machines(const std::string& machine);
-  void plan_fault_pairs();
-  void inject_fault(std::uint32_t kind);
+  void plan_overlapping_faults();
+  void inject_overlapping_fault(std::uint32_t kind);
   /// Whether the fault affects the next message or task. A random number is drawn only while the
   /// fault lasts.
   [[nodiscard]] bool affects_next(const PartialFault& fault) {
@@ -445,7 +448,7 @@
   Deployment deployment_;
   std::vector<Settings> settings_;
   Time now_ = 0;
-  std::uint64_t order_ = 0;
+  std::uint64_t next_event_order_ = 0;
   Time longest_input_wait_ = 0;
   std::priority_queue<Event> events_;
   Checker checker_;
@@ -453,23 +456,24 @@
   FakeCloud cloud_;
   std::vector<ControllerHost> nodes_;
   std::map<std::string, Worker> workers_;
-  std::map<std::string, std::string> by_address_;
+  std::map<std::string, std::string> machine_by_address_;
   std::vector<std::unique_ptr<User>> users_;
-  std::unordered_map<std::string, std::size_t> by_job_;
+  std::unordered_map<std::string, std::size_t> user_by_job_;
   NetworkCuts cuts_{[this](const std::string& host) { return zone_of(host); }};
-  PartialFault late_writes_, lost_responses_, kept_for_next_leader_, late_heartbeats_,
+  PartialFault late_writes_, lost_responses_, kept_for_next_leader_, delayed_heartbeats_,
       cancel_at_end_, slow_commands_;
   Time poll_closely_until_ = 0;
   std::vector<std::string> kept_heartbeats_;
   std::set<std::string> failing_, faulty_;
   std::map<GangAttempt, GangRun> gang_runs_;
   std::map<std::string, GangProgress> gang_progress_;
-  std::uint64_t copied_epoch_ = 0;
-  std::uint64_t next_odd_ = 1;
+  std::uint64_t delivered_epoch_ = 0;
+  std::uint64_t next_unusual_job_ = 1;
   std::uint64_t next_call_ = 1;
-  std::map<std::uint64_t, std::function<void(int, const std::string&)>> answers_;
+  std::map<std::uint64_t, std::function<void(int, const std::string&)>> response_handlers_;
   std::vector<Time> submission_delays_;
-  std::uint64_t malformed_ = 0, unanswered_ = 0, unanswered_cancels_ = 0, heartbeats_ = 0;
+  std::uint64_t malformed_responses_ = 0, unanswered_submissions_ = 0,
+                unanswered_cancellations_ = 0, heartbeats_ = 0;
 };
 
 }  // namespace sailreel::sim
--- a/sim/users.cpp
+++ b/sim/users.cpp
@@ -5,17 +5,19 @@
 namespace sailreel::sim {
 namespace {
 
-constexpr Time kUserPoll = 5'000, kUserWait = 2'000, kSubmitWait = 5'000;
+constexpr Time kPollIntervalMs = 5'000, kQueryTimeoutMs = 2'000, kSubmitTimeoutMs = 5'000;
 
-Time patience(UserOp op) { return op == UserOp::Query ? kUserWait : kSubmitWait; }
+Time response_timeout(UserOp op) {
+  return op == UserOp::Query ? kQueryTimeoutMs : kSubmitTimeoutMs;
+}
 
 bool accepted(int status) { return status == 200 || status == 201; }
 
 }  // namespace
 
 const SimulatedRegion::User* SimulatedRegion::user_of(const std::string& job) const {
-  const auto it = by_job_.find(job);
-  return it == by_job_.end() ? nullptr : users_[it->second].get();
+  const auto it = user_by_job_.find(job);
+  return it == user_by_job_.end() ? nullptr : users_[it->second].get();
 }
 
 void SimulatedRegion::submit(const JobSpec& spec, Time cancel_at) {
@@ -23,8 +25,8 @@
   user->spec = spec;
   user->body = encode_submission(spec);
   user->cancel_at = cancel_at;
-  user->first = now_;
-  by_job_[spec.id] = users_.size();
+  user->first_submitted_at = now_;
+  user_by_job_[spec.id] = users_.size();
   users_.push_back(std::move(user));
   checker_.submitted(spec);
   user_tick(users_.size() - 1);
@@ -41,59 +43,62 @@
                                        const std::string& body,
                                        std::function<void(int, const std::string&)> then) {
   const std::uint64_t call = next_call_++;
-  answers_[call] = [this, node, then = std::move(then)](int status, const std::string& text) {
-    carry(nodes_[node].name, kUsersHost, [then, status, text] { then(status, text); });
+  response_handlers_[call] = [this, node, then = std::move(then)](int status,
+                                                                  const std::string& text) {
+    transmit(nodes_[node].name, kUsersHost, [then, status, text] { then(status, text); });
   };
-  carry(kUsersHost, nodes_[node].name, [this, node, call, op, id, body] {
+  transmit(kUsersHost, nodes_[node].name, [this, node, call, op, id, body] {
     const bool submits = op == UserOp::Submit;
     feed(node,
          UserRequest{
              {RequestSource::Kind::Local, call, 0}, op, submits ? "" : id, submits ? body : ""});
   });
-  at(now_ + patience(op), [this, call] { answers_.erase(call); });
+  at(now_ + response_timeout(op), [this, call] { response_handlers_.erase(call); });
   return call;
 }
 
-void SimulatedRegion::user_next(std::size_t index, Time when) {
-  at(when, [this, index, turn = users_[index]->turn] {
-    if (users_[index]->turn == turn) user_tick(index);
+void SimulatedRegion::schedule_user_tick(std::size_t index, Time when) {
+  at(when, [this, index, request_number = users_[index]->request_number] {
+    if (users_[index]->request_number == request_number) user_tick(index);
   });
 }
 
 void SimulatedRegion::user_tick(std::size_t index) {
   User& user = *users_[index];
-  ++user.turn;
-  if (user.over && now_ - user.first > plan_.length) return;
+  ++user.request_number;
+  if (user.ended && now_ - user.first_submitted_at > plan_.length) return;
   UserOp op = UserOp::Query;
-  if (user.accepted && user.cancel_at > 0 && now_ >= user.cancel_at && !user.over) {
+  if (user.accepted && user.cancel_at > 0 && now_ >= user.cancel_at && !user.ended) {
     op = UserOp::Cancel;
     user.cancelling = true;
-    checker_.cancel_asked(user.spec.id);
-  } else if (!user.accepted || (user.over && random_(4) == 0)) {
+    checker_.cancel_requested(user.spec.id);
+  } else if (!user.accepted || (user.ended && random_(4) == 0)) {
     op = UserOp::Submit;  // until the job is accepted, and sometimes again when it is over
   }
   std::vector<std::size_t> healthy;
   for (std::size_t node = 0; node < nodes_.size(); ++node)
     if (nodes_[node].controller) healthy.push_back(node);
-  if (healthy.empty()) return user_next(index, now_ + 1000);
+  if (healthy.empty()) return schedule_user_tick(index, now_ + 1000);
   const std::size_t node = healthy[random_(static_cast<std::uint32_t>(healthy.size()))];
-  const std::uint64_t turn = user.turn;
-  const Time asked = now_;
-  user.asked = asked;
+  const std::uint64_t request_number = user.request_number;
+  const Time requested_at = now_;
+  user.requested_at = requested_at;
   const std::uint64_t call =
       request(node, op, user.spec.id, user.body,
-              [this, index, turn, op, asked](int status, const std::string& body) {
-                if (users_[index]->turn == turn)
+              [this, index, request_number, op, requested_at](int status, const std::string& body) {
+                if (users_[index]->request_number == request_number)
                   return handle_user_response(index, op, status, body);
                 // The user has sent a newer request since; later responses must agree with this one
                 // all the same.
                 if (accepted(status))
-                  checker_.told(users_[index]->spec.id, decode_job_state(body), now_, asked);
+                  checker_.state_reported(users_[index]->spec.id, decode_job_state(body), now_,
+                                          requested_at);
               });
   user.call = call;
-  at(now_ + patience(op), [this, index, turn, call, op] {
+  at(now_ + response_timeout(op), [this, index, request_number, call, op] {
     User& user = *users_[index];
-    if (user.turn == turn && user.call == call) handle_user_response(index, op, 0, "");
+    if (user.request_number == request_number && user.call == call)
+      handle_user_response(index, op, 0, "");
   });
 }
 
@@ -102,88 +107,88 @@
   User& user = *users_[index];
   if (user.call == 0) return;
   user.call = 0;
-  if (op == UserOp::Submit && status == 0) ++unanswered_;
-  if (op == UserOp::Cancel && status == 0) ++unanswered_cancels_;
+  if (op == UserOp::Submit && status == 0) ++unanswered_submissions_;
+  if (op == UserOp::Cancel && status == 0) ++unanswered_cancellations_;
   if (accepted(status)) {
     const std::string state = decode_job_state(body);
     if (state.empty()) {
-      ++malformed_;
+      ++malformed_responses_;
     } else {
       const bool first = !user.accepted;
-      if (first) submission_delays_.push_back(now_ - user.first);
-      if (op == UserOp::Cancel) checker_.cancel_answered(user.spec.id, state);
+      if (first) submission_delays_.push_back(now_ - user.first_submitted_at);
+      if (op == UserOp::Cancel) checker_.cancel_state_reported(user.spec.id, state);
       user.accepted = true;
-      checker_.told(user.spec.id, state, now_, user.asked);
-      const bool ended = !user.over && (state == "done" || state == "cancelled");
-      user.over = user.over || ended;
-      if ((first || ended) && now_ < poll_closely_until_) poll_everywhere(index);
+      checker_.state_reported(user.spec.id, state, now_, user.requested_at);
+      const bool just_ended = !user.ended && (state == "done" || state == "cancelled");
+      user.ended = user.ended || just_ended;
+      if ((first || just_ended) && now_ < poll_closely_until_) poll_all_nodes(index);
     }
   } else if (op == UserOp::Query && status != 404) {
-    checker_.unanswered(user.spec.id, now_);
+    checker_.poll_failed(user.spec.id, now_);
   } else if (status == 404 || status == 400 || status == 422) {
-    checker_.refused(user.spec.id, status, op != UserOp::Submit, user.asked);
+    checker_.rejected(user.spec.id, status, op != UserOp::Submit, user.requested_at);
   }
-  const Time pause = accepted(status)
-                         ? (user.over ? 20'000 : kUserPoll) + static_cast<Time>(random_(1000))
-                         : 1000 + static_cast<Time>(random_(200));
-  user_next(index, now_ + pause);
+  const Time pause =
+      accepted(status) ? (user.ended ? 20'000 : kPollIntervalMs) + static_cast<Time>(random_(1000))
+                       : 1000 + static_cast<Time>(random_(200));
+  schedule_user_tick(index, now_ + pause);
 }
 
 // A response of one node binds the responses of all nodes to later requests, so the checker gets
 // each of them.
 void SimulatedRegion::ask_for(const std::string& id, std::size_t node, UserOp op,
                               const std::function<void(int)>& then) {
-  const auto it = by_job_.find(id);
-  const std::string body = it == by_job_.end() ? "" : users_[it->second]->body;
-  const Time asked = now_;
-  if (op == UserOp::Cancel) checker_.cancel_asked(id);
+  const auto it = user_by_job_.find(id);
+  const std::string body = it == user_by_job_.end() ? "" : users_[it->second]->body;
+  const Time requested_at = now_;
+  if (op == UserOp::Cancel) checker_.cancel_requested(id);
   request(node, op, id, body, [=, this](int status, const std::string& text) {
     if (then) then(status);
     if (op == UserOp::Cancel && accepted(status))
-      checker_.cancel_answered(id, decode_job_state(text));
+      checker_.cancel_state_reported(id, decode_job_state(text));
     if (accepted(status))
-      checker_.told(id, decode_job_state(text), now_, asked);
+      checker_.state_reported(id, decode_job_state(text), now_, requested_at);
     else if (status == 404 || status == 400 || status == 422)
-      checker_.refused(id, status, op != UserOp::Submit, asked);
+      checker_.rejected(id, status, op != UserOp::Submit, requested_at);
   });
 }
 
-void SimulatedRegion::poll_everywhere(std::size_t index) {
+void SimulatedRegion::poll_all_nodes(std::size_t index) {
   const std::string id = users_[index]->spec.id;
   for (std::size_t repeat = 0; repeat < 3; ++repeat)
     for (std::size_t node = 0; node < nodes_.size(); ++node)
       at(now_ + random_(20) + static_cast<Time>(repeat) * 100,
          [this, id, node] { ask(id, node, UserOp::Query); });
   at(now_ + random_(20), [this, id] { ask(id, random_(node_count()), UserOp::Submit); });
-  if (!users_[index]->over && random_(8) == 0) cancel_job_of(index);
+  if (!users_[index]->ended && random_(8) == 0) cancel_job_of(index);
 }
 
 void SimulatedRegion::cancel_job_of(std::size_t index) {
   User& user = *users_[index];
-  if (!user.accepted || user.over || user.cancelling) return;
+  if (!user.accepted || user.ended || user.cancelling) return;
   user.cancel_at = now_;
   user_tick(index);
 }
 
-void SimulatedRegion::cancel(const std::string& id) { cancel_job_of(by_job_.at(id)); }
+void SimulatedRegion::cancel(const std::string& id) { cancel_job_of(user_by_job_.at(id)); }
 
 void SimulatedRegion::completed(const TaskKey& key) {
-  if (const auto it = by_job_.find(key.job); it != by_job_.end())
+  if (const auto it = user_by_job_.find(key.job); it != user_by_job_.end())
     users_[it->second]->completed.insert(key.index);
 }
 
-void SimulatedRegion::send_odd_request(Time until) {
+void SimulatedRegion::send_unusual_request(Time until) {
   if (now_ >= until) return;
-  at(now_ + 300 + random_(700), [this, until] { send_odd_request(until); });
+  at(now_ + 300 + random_(700), [this, until] { send_unusual_request(until); });
   const std::size_t node = random_(node_count());
   if (!users_.empty()) {
     // Repeats the submission of a random job, and cancels the job as well if it is over.
     const User& user = *users_[random_(static_cast<std::uint32_t>(users_.size()))];
     if (user.accepted) ask(user.spec.id, node, UserOp::Submit);
-    if (user.over) ask(user.spec.id, random_(node_count()), UserOp::Cancel);
+    if (user.ended) ask(user.spec.id, random_(node_count()), UserOp::Cancel);
   }
   JobSpec spec;
-  spec.id = "job-77" + std::to_string(next_odd_++);
+  spec.id = "job-77" + std::to_string(next_unusual_job_++);
   spec.job_class = "batch";
   spec.team = "red";
   spec.tasks = 1;
--- a/sim/workers.cpp
+++ b/sim/workers.cpp
@@ -8,7 +8,7 @@
 namespace sailreel::sim {
 namespace {
 
-constexpr Time kHeartbeatWait = 4'000, kWorkerTick = 100;
+constexpr Time kHeartbeatTimeoutMs = 4'000, kWorkerTickMs = 100;
 
 }  // namespace
 
@@ -22,27 +22,27 @@
   heartbeat.incarnation = worker.incarnation;
   heartbeat.seq = ++worker.seq;
   heartbeat.fencing_token = worker.fencing_token;
-  if (worker.notice_at > 0)
-    heartbeat.notice_s = static_cast<double>(std::max<Time>(0, worker.notice_at - now_)) / 1000;
+  if (worker.preemption_at > 0)
+    heartbeat.notice_s = static_cast<double>(std::max<Time>(0, worker.preemption_at - now_)) / 1000;
   for (const auto& [key, attempts] : worker.tasks)
-    for (const WorkTask& task : attempts) heartbeat.tasks.push_back(task.status);
+    for (const TaskAttempt& task : attempts) heartbeat.tasks.push_back(task.status);
   return heartbeat;
 }
 
 void SimulatedRegion::task_ended(const TaskKey& key, const std::string& machine, bool completed) {
-  checker_.ended(key, machine, completed);
+  checker_.task_ended(key, machine, completed);
   if (on_ended) on_ended(key, machine);
 }
 
 void SimulatedRegion::expire_lease(Worker& worker) {
   for (const auto& [key, attempts] : worker.tasks)
-    for (const WorkTask& task : attempts)
+    for (const TaskAttempt& task : attempts)
       if (task.present) task_ended(task.status.key, worker.machine.name, false);
   worker.tasks.clear();
   ++worker.incarnation;
-  worker.last_ok_sent = now_;
-  worker.in_flight = false;
-  worker.changed = true;
+  worker.last_accepted_sent_at = now_;
+  worker.heartbeat_in_flight = false;
+  worker.status_changed = true;
 }
 
 void SimulatedRegion::worker_tick(const std::string& name) {
@@ -54,41 +54,44 @@
     return;
   }
   const double lease = settings_[0].workers.lease_s * 1000;
-  if (static_cast<double>(now_ - worker.last_ok_sent) * worker.drift > lease) expire_lease(worker);
+  if (static_cast<double>(now_ - worker.last_accepted_sent_at) * worker.clock_rate > lease)
+    expire_lease(worker);
   for (auto& [key, attempts] : worker.tasks)
-    for (WorkTask& task : attempts) advance(worker, task);
-  if (!worker.in_flight &&
-      (now_ >= worker.next_heartbeat || (worker.changed && now_ - worker.last_heartbeat >= 500)))
+    for (TaskAttempt& task : attempts) advance(worker, task);
+  if (!worker.heartbeat_in_flight &&
+      (now_ >= worker.next_heartbeat ||
+       (worker.status_changed && now_ - worker.last_heartbeat >= 500)))
     send_heartbeat(worker);
-  at(now_ + kWorkerTick, [this, name] { worker_tick(name); });
+  at(now_ + kWorkerTickMs, [this, name] { worker_tick(name); });
 }
 
-void SimulatedRegion::advance(Worker& worker, WorkTask& task) {
+void SimulatedRegion::advance(Worker& worker, TaskAttempt& task) {
   TaskStatus& status = task.status;
   const User* user = user_of(status.key.job);
   if (is_gang(user)) return advance_gang(worker, task, *user);
-  if (status.state == RunState::Fetching && now_ >= task.image_at) begin_task(worker, task);
+  if (status.state == RunState::Fetching && now_ >= task.image_ready_at) begin_task(worker, task);
   const bool fails = failing_.contains(status.key.job) || faulty_.contains(worker.machine.name);
-  if (status.state == RunState::Running && now_ >= task.image_at + 300 && fails) {
+  if (status.state == RunState::Running && now_ >= task.image_ready_at + 300 && fails) {
     end_task(worker, task, ExitCause::Error);
-  } else if (status.state == RunState::Running && task.done_at > 0 && now_ >= task.done_at) {
+  } else if (status.state == RunState::Running && task.completes_at > 0 &&
+             now_ >= task.completes_at) {
     worker.done.insert(task_name(status.key));
     end_task(worker, task, ExitCause::Done);
     completed(status.key);
     if (on_completed) on_completed(status.key, worker.machine.name);
   }
-  if (status.state == RunState::Saving && now_ >= task.exits_at) {
+  if (status.state == RunState::Saving && now_ >= task.save_done_at) {
     status.saved = true;
     end_task(worker, task, ExitCause::Stopped);
   }
 }
 
-void SimulatedRegion::begin_task(Worker& worker, WorkTask& task) {
+void SimulatedRegion::begin_task(Worker& worker, TaskAttempt& task) {
   TaskStatus& status = task.status;
   status.state = RunState::Running;
   task.present = true;
-  worker.changed = true;
-  checker_.started(
+  worker.status_changed = true;
+  checker_.task_started(
       status.key,
       {worker.machine.name, worker.machine.type, worker.machine.zone, worker.machine.spot}, now_);
   if (on_started) on_started(status.key);
@@ -96,44 +99,47 @@
   if (user == nullptr) return;
   worker.images.insert(user->spec.image);
   if (user->spec.kind == JobKind::Array)
-    task.done_at = worker.done.contains(task_name(status.key))
-                       ? now_
-                       : now_ + static_cast<Time>(user->spec.estimate_s * (500 + random_(1000)));
-  if (task.done_at > 0 && affects_next(cancel_at_end_))
-    at(task.done_at - 50 + random_(200),
-       [this, id = user->spec.id] { cancel_job_of(by_job_.at(id)); });
+    task.completes_at =
+        worker.done.contains(task_name(status.key))
+            ? now_
+            : now_ + static_cast<Time>(user->spec.estimate_s * (500 + random_(1000)));
+  if (task.completes_at > 0 && affects_next(cancel_at_end_))
+    at(task.completes_at - 50 + random_(200),
+       [this, id = user->spec.id] { cancel_job_of(user_by_job_.at(id)); });
 }
 
-void SimulatedRegion::end_task(Worker& worker, WorkTask& task, ExitCause cause) {
+void SimulatedRegion::end_task(Worker& worker, TaskAttempt& task, ExitCause cause) {
   if (task.present) task_ended(task.status.key, worker.machine.name, cause == ExitCause::Done);
   task.present = false;
   task.status.state = RunState::Exited;
   task.status.cause = cause;
-  worker.changed = true;
+  worker.status_changed = true;
 }
 
 void SimulatedRegion::send_heartbeat(Worker& worker) {
   const std::string name = worker.machine.name;
   const Heartbeat heartbeat = make_heartbeat(worker);
   const Time sent = now_;
-  const std::uint64_t flight = ++worker.flight, incarnation = worker.incarnation;
-  worker.in_flight = true;
-  worker.changed = false;
+  const std::uint64_t heartbeat_number = ++worker.heartbeat_number,
+                      incarnation = worker.incarnation;
+  worker.heartbeat_in_flight = true;
+  worker.status_changed = false;
   worker.last_heartbeat = now_;
   const Time interval = ms(settings_[0].workers.heartbeat_interval_s);
   worker.next_heartbeat = now_ + interval * 3 / 4 +
                           static_cast<Time>(random_(static_cast<std::uint32_t>(interval / 2)));
   const std::size_t node = worker.node;
   const std::uint64_t call = next_call_++;
-  const auto finish = [this, name, flight, sent, incarnation](int status, const std::string& body) {
+  const auto finish = [this, name, heartbeat_number, sent, incarnation](int status,
+                                                                        const std::string& body) {
     const auto it = workers_.find(name);
     if (it == workers_.end() || !it->second.alive || now_ < it->second.inbound_blocked_until)
       return;
     if (now_ < it->second.outbound_blocked_until) return;
-    handle_heartbeat_response(it->second, flight, sent, incarnation, status, body);
+    handle_heartbeat_response(it->second, heartbeat_number, sent, incarnation, status, body);
   };
-  answers_[call] = [this, node, name, finish](int status, const std::string& body) {
-    carry(nodes_[node].name, name, [finish, status, body] { finish(status, body); });
+  response_handlers_[call] = [this, node, name, finish](int status, const std::string& body) {
+    transmit(nodes_[node].name, name, [finish, status, body] { finish(status, body); });
   };
   const std::string raw = encode_heartbeat(heartbeat);
   const auto deliver = [this, node, raw](RequestSource source) {
@@ -145,17 +151,18 @@
     deliver({RequestSource::Kind::Local, call, 0});
   });
   if (random_(1000) < plan_.late_copies * 1000)
-    at(now_ + 1000 + random_(40'000),
-       [this, name, node, deliver] { carry(name, nodes_[node].name, [deliver] { deliver({}); }); });
+    at(now_ + 1000 + random_(40'000), [this, name, node, deliver] {
+      transmit(name, nodes_[node].name, [deliver] { deliver({}); });
+    });
   if (affects_next(kept_for_next_leader_)) kept_heartbeats_.push_back(raw);
-  if (affects_next(late_heartbeats_))
+  if (affects_next(delayed_heartbeats_))
     at(now_ + 2'000 + random_(static_cast<std::uint32_t>(2'500 * plan_.lease_s)),
-       [this, raw] { deliver_everywhere(raw); });
-  at(now_ + kHeartbeatWait, [this, name, call, flight, sent, incarnation] {
-    answers_.erase(call);
+       [this, raw] { deliver_to_all_controllers(raw); });
+  at(now_ + kHeartbeatTimeoutMs, [this, name, call, heartbeat_number, sent, incarnation] {
+    response_handlers_.erase(call);
     const auto it = workers_.find(name);
     if (it != workers_.end() && it->second.alive)
-      handle_heartbeat_response(it->second, flight, sent, incarnation, 0, "");
+      handle_heartbeat_response(it->second, heartbeat_number, sent, incarnation, 0, "");
   });
 }
 
@@ -167,14 +174,14 @@
   const std::string& node = nodes_[worker.node].name;
   const bool is_cut = now_ < cuts_.between(worker.machine.name, node).until;
   if (now_ < worker.outbound_blocked_until || (is_cut && !worker.connected)) return;
-  carry(worker.machine.name, node, std::move(arrive));
+  transmit(worker.machine.name, node, std::move(arrive));
 }
 
-void SimulatedRegion::handle_heartbeat_response(Worker& worker, std::uint64_t flight, Time sent,
-                                                std::uint64_t incarnation, int status,
+void SimulatedRegion::handle_heartbeat_response(Worker& worker, std::uint64_t heartbeat_number,
+                                                Time sent, std::uint64_t incarnation, int status,
                                                 const std::string& body) {
-  if (!worker.in_flight || worker.flight != flight) return;
-  worker.in_flight = false;
+  if (!worker.heartbeat_in_flight || worker.heartbeat_number != heartbeat_number) return;
+  worker.heartbeat_in_flight = false;
   worker.connected = status == 200;
   if (now_ < worker.hang_until) return;
   if (status == 200) {
@@ -182,9 +189,9 @@
     if (!batch || incarnation != worker.incarnation ||
         batch->fencing_token < worker.fencing_token || batch->fencing_token == 0)
       return;
-    if (batch->fencing_token > worker.fencing_token) worker.changed = true;
+    if (batch->fencing_token > worker.fencing_token) worker.status_changed = true;
     worker.fencing_token = batch->fencing_token;
-    worker.last_ok_sent = std::max(worker.last_ok_sent, sent);
+    worker.last_accepted_sent_at = std::max(worker.last_accepted_sent_at, sent);
     for (const Command& command : batch->commands) execute(worker, command);
     return;
   }
@@ -200,7 +207,7 @@
   worker.next_heartbeat = now_ + 1000;
 }
 
-void SimulatedRegion::stop_work(Worker& worker, WorkTask& task, const Command& command) {
+void SimulatedRegion::stop_work(Worker& worker, TaskAttempt& task, const Command& command) {
   if (task.status.state == RunState::Exited) return;
   const User* user = user_of(command.key.job);
   if (is_gang(user)) return stop_gang_task(task, *user, command.grace_s, worker);
@@ -208,19 +215,19 @@
                      user->spec.checkpoint_s > 0 && command.grace_s >= user->spec.save_s;
   if (saves) {
     task.status.state = RunState::Saving;
-    task.exits_at = now_ + ms(user->spec.save_s);
+    task.save_done_at = now_ + ms(user->spec.save_s);
   } else if (task.status.state != RunState::Saving || command.grace_s <= 0) {
     if (task.present) task_ended(command.key, worker.machine.name, false);
     task.present = false;
     task.status.state = RunState::Exited;
     task.status.cause = ExitCause::Stopped;
   }
-  worker.changed = true;
+  worker.status_changed = true;
 }
 
 void SimulatedRegion::start_task(Worker& worker, const Command& command) {
   auto& attempts = worker.tasks[command.key];
-  WorkTask task;
+  TaskAttempt task;
   task.status.key = command.key;
   task.status.attempt = command.attempt;
   const User* user = user_of(command.key.job);
@@ -230,10 +237,10 @@
   };
   Resources used;
   for (const auto& [key, others] : worker.tasks)
-    for (const WorkTask& other : others)
+    for (const TaskAttempt& other : others)
       if (other.status.state != RunState::Exited)
         if (const User* owner = user_of(key.job)) used += owner->spec.need;
-  const bool busy = std::any_of(attempts.begin(), attempts.end(), [](const WorkTask& other) {
+  const bool busy = std::any_of(attempts.begin(), attempts.end(), [](const TaskAttempt& other) {
     return other.status.state != RunState::Exited;
   });
   if (user == nullptr) {
@@ -243,65 +250,66 @@
   } else if (used += user->spec.need; !used.fits_in(cloud_.types.front().size)) {
     reject(ExitCause::NoRoom);
   } else {
-    checker_.start_taken(command.key.job);
-    task.image_at = worker.images.contains(user->spec.image)
-                        ? now_ + 50
-                        : now_ + static_cast<Time>(user->spec.image_gb * 200);
+    checker_.start_accepted(command.key.job);
+    task.image_ready_at = worker.images.contains(user->spec.image)
+                              ? now_ + 50
+                              : now_ + static_cast<Time>(user->spec.image_gb * 200);
   }
   attempts.push_back(task);
-  worker.changed = true;
+  worker.status_changed = true;
 }
 
 void SimulatedRegion::execute(Worker& worker, const Command& command) {
   if (on_command) on_command(worker.machine.name, command);
   auto& attempts = worker.tasks[command.key];
-  const auto same = std::find_if(attempts.begin(), attempts.end(), [&](const WorkTask& task) {
+  const auto attempt = std::find_if(attempts.begin(), attempts.end(), [&](const TaskAttempt& task) {
     return task.status.attempt == command.attempt;
   });
   switch (command.op) {
     case Command::Op::Start:
-      if (same == attempts.end()) start_task(worker, command);
+      if (attempt == attempts.end()) start_task(worker, command);
       return;
     case Command::Op::Stop:
-      if (same != attempts.end()) stop_work(worker, *same, command);
+      if (attempt != attempts.end()) stop_work(worker, *attempt, command);
       return;
     case Command::Op::Forget:
-      if (same != attempts.end() && same->status.state == RunState::Exited) {
-        attempts.erase(same);
-        worker.changed = true;
+      if (attempt != attempts.end() && attempt->status.state == RunState::Exited) {
+        attempts.erase(attempt);
+        worker.status_changed = true;
       }
       return;
   }
 }
 
 // Carries a direct command, or its response, which may be delayed by seconds.
-void SimulatedRegion::carry_command(const std::string& from, const std::string& to,
-                                    std::function<void()> arrive) {
+void SimulatedRegion::transmit_command(const std::string& from, const std::string& to,
+                                       std::function<void()> arrive) {
   if (affects_next(slow_commands_))
     at(now_ + random_(6'000), std::move(arrive));
   else
-    carry(from, to, std::move(arrive));
+    transmit(from, to, std::move(arrive));
 }
 
-void SimulatedRegion::direct(std::size_t node, std::uint64_t call, const std::string& address,
-                             const std::string& body) {
-  const auto known = by_address_.find(address);
-  if (known == by_address_.end()) return;
+void SimulatedRegion::send_direct_command(std::size_t node, std::uint64_t call,
+                                          const std::string& address, const std::string& body) {
+  const auto known = machine_by_address_.find(address);
+  if (known == machine_by_address_.end()) return;
   const std::string name = known->second;
   const std::uint64_t incarnation = nodes_[node].incarnation;
-  const auto execute = [=, this] { execute_direct(node, call, name, body, incarnation); };
-  carry_command(nodes_[node].name, name, execute);
+  const auto execute = [=, this] { execute_direct_command(node, call, name, body, incarnation); };
+  transmit_command(nodes_[node].name, name, execute);
 }
 
-void SimulatedRegion::execute_direct(std::size_t node, std::uint64_t call, const std::string& name,
-                                     const std::string& body, std::uint64_t incarnation) {
+void SimulatedRegion::execute_direct_command(std::size_t node, std::uint64_t call,
+                                             const std::string& name, const std::string& body,
+                                             std::uint64_t incarnation) {
   command(name, body, [=, this](int status, const Heartbeat& heartbeat) {
     const auto response = [this, node, call, incarnation, status, heartbeat] {
       if (nodes_[node].incarnation != incarnation) return;
       nodes_[node].direct_calls.erase(call);
       feed(node, WorkerResponseReceived{call, status, heartbeat});
     };
-    carry_command(name, nodes_[node].name, response);
+    transmit_command(name, nodes_[node].name, response);
   });
 }
 
@@ -320,7 +328,7 @@
             ? 409
             : 200;
     if (status == 200) {
-      if (batch->fencing_token > worker.fencing_token) worker.changed = true;
+      if (batch->fencing_token > worker.fencing_token) worker.status_changed = true;
       worker.fencing_token = batch->fencing_token;
       for (const Command& command : batch->commands) execute(worker, command);
     }
@@ -338,28 +346,29 @@
 }
 
 // Delivers a copy of a heartbeat to all controllers at once; its responses go nowhere.
-void SimulatedRegion::deliver_everywhere(const std::string& raw) {
+void SimulatedRegion::deliver_to_all_controllers(const std::string& raw) {
   for (std::size_t node = 0; node < nodes_.size(); ++node)
     if (auto decoded = decode_heartbeat(raw)) feed(node, HeartbeatReceived{{}, *decoded, raw});
 }
 
-void SimulatedRegion::deliver_copies() {
+void SimulatedRegion::deliver_kept_heartbeats() {
   const int lead = leader();
   if (lead < 0) return;
   const std::uint64_t epoch = nodes_[static_cast<std::size_t>(lead)].controller->epoch();
-  if (epoch <= copied_epoch_) return;
-  copied_epoch_ = epoch;
+  if (epoch <= delivered_epoch_) return;
+  delivered_epoch_ = epoch;
   for (const std::string& raw : kept_heartbeats_)
-    at(now_ + random_(300), [this, raw] { deliver_everywhere(raw); });
+    at(now_ + random_(300), [this, raw] { deliver_to_all_controllers(raw); });
   kept_heartbeats_.clear();
 }
 
 // Tells the checker which jobs wait although a suitable machine has room for a task and the team is
 // under its quota limit.
-void SimulatedRegion::watch_waiting() {
+void SimulatedRegion::report_waiting_jobs() {
   if (!checker_.faults_are_over()) return;
-  const Occupancy now = occupancy();
-  for (const auto& user : users_) checker_.waiting(user->spec.id, could_start(*user, now), now_);
+  const Occupancy current = occupancy();
+  for (const auto& user : users_)
+    checker_.waiting_observed(user->spec.id, could_start(*user, current), now_);
 }
 
 SimulatedRegion::Occupancy SimulatedRegion::occupancy() const {
@@ -368,7 +377,7 @@
     if (!worker.alive || !cloud_.machines.contains(name)) continue;
     Room room{&worker, cloud_.types.front().size};
     for (const auto& [key, attempts] : worker.tasks)
-      for (const WorkTask& task : attempts) {
+      for (const TaskAttempt& task : attempts) {
         const User* user = user_of(key.job);
         if (user == nullptr || task.status.state == RunState::Exited) continue;
         room.free -= user->spec.need;
@@ -378,41 +387,42 @@
       }
     if (now_ >= std::max({worker.hang_until, worker.inbound_blocked_until,
                           worker.outbound_blocked_until}) &&
-        worker.notice_at == 0)
+        worker.preemption_at == 0)
       out.rooms.push_back(room);
   }
   return out;
 }
 
-bool SimulatedRegion::could_start(const User& user, const Occupancy& now) const {
+bool SimulatedRegion::could_start(const User& user, const Occupancy& current) const {
   const JobSpec& spec = user.spec;
-  const auto tasks = now.tasks.find(spec.id);
-  const std::size_t there = tasks == now.tasks.end() ? 0 : tasks->second;
-  const bool wants = user.accepted && !user.over && !user.cancelling &&
-                     (user.cancel_at == 0 || now_ < user.cancel_at) &&
-                     there + user.completed.size() < spec.tasks;
-  if (!wants || !team_allows(spec, now)) return false;
-  if (spec.kind == JobKind::Gang) return there == 0 && gang_could_start(spec, now);
-  const auto found = now.zones.find(spec.id);
-  static const std::map<std::string, std::size_t> kNowhere;
-  const auto& zones = found == now.zones.end() ? kNowhere : found->second;
-  return std::any_of(now.rooms.begin(), now.rooms.end(), [&](const Room& room) {
+  const auto tasks = current.tasks.find(spec.id);
+  const std::size_t placed_tasks = tasks == current.tasks.end() ? 0 : tasks->second;
+  const bool needs_tasks = user.accepted && !user.ended && !user.cancelling &&
+                           (user.cancel_at == 0 || now_ < user.cancel_at) &&
+                           placed_tasks + user.completed.size() < spec.tasks;
+  if (!needs_tasks || !within_team_limit(spec, current)) return false;
+  if (spec.kind == JobKind::Gang) return placed_tasks == 0 && gang_could_start(spec, current);
+  const auto found = current.zones.find(spec.id);
+  static const std::map<std::string, std::size_t> kNoZones;
+  const auto& zones = found == current.zones.end() ? kNoZones : found->second;
+  return std::any_of(current.rooms.begin(), current.rooms.end(), [&](const Room& room) {
     const std::string& zone = room.worker->machine.zone;
-    const auto in = zones.find(zone);
+    const auto in_zone = zones.find(zone);
     if (room.worker->machine.spot && !spec.spot) return false;
     if (!spec.zone.empty() && spec.zone != zone) return false;
-    if (spec.one_zone && !zones.empty() && in == zones.end()) return false;
-    if (spec.spread && in != zones.end() && in->second >= (spec.tasks + 1) / 2) return false;
+    if (spec.one_zone && !zones.empty() && in_zone == zones.end()) return false;
+    if (spec.spread && in_zone != zones.end() && in_zone->second >= (spec.tasks + 1) / 2)
+      return false;
     return spec.need.fits_in(room.free);
   });
 }
 
 // A gang needs room for all its tasks at once, in one zone if the job requires that. Spread gangs
 // aren't checked, because where one of their tasks fits depends on the places of the others.
-bool SimulatedRegion::gang_could_start(const JobSpec& spec, const Occupancy& now) {
+bool SimulatedRegion::gang_could_start(const JobSpec& spec, const Occupancy& current) {
   if (spec.spread) return false;
   std::map<std::string, std::uint32_t> slots;
-  for (Room room : now.rooms) {
+  for (Room room : current.rooms) {
     const std::string& zone = room.worker->machine.zone;
     if ((room.worker->machine.spot && !spec.spot) || (!spec.zone.empty() && spec.zone != zone))
       continue;
@@ -422,9 +432,9 @@
                      [&](const auto& entry) { return entry.second >= spec.tasks; });
 }
 
-bool SimulatedRegion::team_allows(const JobSpec& spec, const Occupancy& now) const {
-  const auto it = now.used.find(spec.team);
-  Resources used = it == now.used.end() ? Resources{} : it->second;
+bool SimulatedRegion::within_team_limit(const JobSpec& spec, const Occupancy& current) const {
+  const auto it = current.used.find(spec.team);
+  Resources used = it == current.used.end() ? Resources{} : it->second;
   if (spec.kind == JobKind::Gang) used += spec.need.times(spec.tasks - 1);
   return std::any_of(settings_[0].teams.begin(), settings_[0].teams.end(), [&](const Team& team) {
     return team.name == spec.team &&
--- a/tests/behaviour_digest.cpp
+++ b/tests/behaviour_digest.cpp
@@ -23,26 +23,26 @@
 
 using DigestPointer = std::shared_ptr<BehaviourDigest>;
 
-void record(SimulationPlan& plan, const DigestPointer& digest) {
+void record_outputs(SimulationPlan& plan, const DigestPointer& digest) {
   plan.controllers = [digest, options = plan.options](std::size_t, const Settings& settings,
                                                       std::uint64_t seed) {
     return std::make_unique<DigestedController>(settings, options, seed, digest);
   };
 }
 
-void play(SimulationPlan plan, const DigestPointer& digest) {
-  record(plan, digest);
+void run_region(SimulationPlan plan, const DigestPointer& digest) {
+  record_outputs(plan, digest);
   SimulatedRegion region(plan);
   region.run();
 }
 
-void play_plain(std::uint64_t seed, const DigestPointer& digest) {
+void run_plain(std::uint64_t seed, const DigestPointer& digest) {
   SimulationPlan plan;
   plan.seed = seed;
-  play(plan, digest);
+  run_region(plan, digest);
 }
 
-void play_gangs(std::uint64_t seed, const DigestPointer& digest) {
+void run_gangs(std::uint64_t seed, const DigestPointer& digest) {
   SimulationPlan plan;
   plan.seed = seed;
   plan.gangs = true;
@@ -50,10 +50,10 @@
   plan.length = 300'000;
   if (seed % 3 == 1) plan.cancel_s = 14;
   if (seed % 4 == 0) plan.boots_ms = 1'500;
-  play(plan, digest);
+  run_region(plan, digest);
 }
 
-void play_large(std::uint64_t seed, const DigestPointer& digest) {
+void run_large(std::uint64_t seed, const DigestPointer& digest) {
   SimulationPlan plan;
   plan.seed = seed;
   plan.scale = 17;
@@ -61,10 +61,10 @@
   plan.length = 200'000;
   plan.faults_until = 130'000;
   plan.fault_pairs = seed % 2 == 0;
-  play(plan, digest);
+  run_region(plan, digest);
 }
 
-void play_federated(std::uint64_t seed, const DigestPointer& digest) {
+void run_federated(std::uint64_t seed, const DigestPointer& digest) {
   constexpr double kRedLimit = 30, kBlueLimit = 12;
   const auto regions = 2 + seed % 2;
   const auto share = [regions](double limit) { return limit / static_cast<double>(regions); };
@@ -74,36 +74,37 @@
   plan.first_gpus = {{"red", share(kRedLimit)}, {"blue", share(kBlueLimit)}};
   plan.length = 240'000;
   plan.faults = true;
-  plan.adjust = [&digest](std::size_t, SimulationPlan& day) {
-    day.faults = true;
-    day.gangs = true;
-    day.jobs = 30;
-    record(day, digest);
+  plan.adjust = [&digest](std::size_t, SimulationPlan& region_plan) {
+    region_plan.faults = true;
+    region_plan.gangs = true;
+    region_plan.jobs = 30;
+    record_outputs(region_plan, digest);
   };
-  SimulatedFederation day(plan);
+  SimulatedFederation federation(plan);
   pcg32 random(seed * 31);
   for (std::size_t n = 0; n < 24; ++n) {
     JobSpec spec = service(job_id(n), 1 + random(8));
     spec.priority = static_cast<Priority>(random(4));
     spec.spot = true;
-    SimulatedRegion& region = day.region(random(static_cast<std::uint32_t>(day.regions())));
+    SimulatedRegion& region =
+        federation.region(random(static_cast<std::uint32_t>(federation.regions())));
     region.submit(spec, region.now() + 10'000 + random(40'000));
-    day.run_until(day.now() + random(8'000));
+    federation.run_until(federation.now() + random(8'000));
   }
-  day.run_until(230'000);
+  federation.run_until(230'000);
 }
 
 // Replaces controllers of the version in production one by one. The outputs of that version aren't
 // recorded.
 #ifdef SAILREEL_HAS_PRODUCTION
-void play_upgrade(std::uint64_t seed, const DigestPointer& digest) {
+void run_upgrade(std::uint64_t seed, const DigestPointer& digest) {
   SimulationPlan plan = quiet(seed);
   plan.length = 300'000;
   plan.next_value_kb = 2;
   plan.next_txn_ops = 5;
   plan.next_write_rps = 20;
   plan.production = make_production_controller;
-  record(plan, digest);
+  record_outputs(plan, digest);
   SimulatedRegion region(plan);
   region.run_until(1'000);
   submit_mixed_jobs(region, 0, 40, seed);
@@ -124,18 +125,18 @@
 }
 #endif
 
-using Player = std::function<void(std::uint64_t seed, const DigestPointer& digest)>;
+using Runner = std::function<void(std::uint64_t seed, const DigestPointer& digest)>;
 
-const std::map<std::string, Player>& players() {
-  static const std::map<std::string, Player> kPlayers = {{"plain", play_plain},
-                                                         {"gangs", play_gangs},
-                                                         {"large", play_large},
-                                                         {"federated", play_federated},
+const std::map<std::string, Runner>& runners() {
+  static const std::map<std::string, Runner> kRunners = {{"plain", run_plain},
+                                                         {"gangs", run_gangs},
+                                                         {"large", run_large},
+                                                         {"federated", run_federated},
 #ifdef SAILREEL_HAS_PRODUCTION
-                                                         {"upgrade", play_upgrade}
+                                                         {"upgrade", run_upgrade}
 #endif
   };
-  return kPlayers;
+  return kRunners;
 }
 
 int run(int argc, char** argv) {
@@ -154,14 +155,14 @@
     std::fprintf(stderr, "behaviour_digest: %s\n", error.what());
     return kUsageError;
   }
-  const auto player = players().find(kind);
-  if (player == players().end()) {
+  const auto runner = runners().find(kind);
+  if (runner == runners().end()) {
     std::fprintf(stderr, "behaviour_digest: unknown kind of simulation '%s'\n", kind.c_str());
     return kUsageError;
   }
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
     const auto digest = std::make_shared<BehaviourDigest>();
-    player->second(seed, digest);
+    runner->second(seed, digest);
     std::printf("%s %llu %s\n", kind.c_str(), static_cast<unsigned long long>(seed),
                 digest->summary().c_str());
     std::fflush(stdout);
--- a/tests/compare_digests.sh
+++ b/tests/compare_digests.sh
@@ -5,20 +5,20 @@
 cd "$(dirname "$0")/.."
 program=$1/tests/behaviour_digest
 shift
-written=tests/fixtures/behaviour_digests.txt
+recorded=tests/fixtures/behaviour_digests.txt
 kinds=("$@")
 if [ "${#kinds[@]}" = 0 ]; then kinds=(plain gangs large federated upgrade); fi
 
-play() {  # KIND
+run_simulations() {  # KIND
   local seeds
-  seeds=$(sed -n "s/^$1 \([0-9]*\) .*/\1/p" "$written")
+  seeds=$(sed -n "s/^$1 \([0-9]*\) .*/\1/p" "$recorded")
   "$program" --kind "$1" --first "$(head -n 1 <<< "$seeds")" --count "$(wc -l <<< "$seeds")"
 }
 
 status=0
 for kind in "${kinds[@]}"; do
-  if diff <(grep "^$kind " "$written") <(play "$kind"); then
-    echo "$kind: $(grep -c "^$kind " "$written") simulations unchanged"
+  if diff <(grep "^$kind " "$recorded") <(run_simulations "$kind"); then
+    echo "$kind: $(grep -c "^$kind " "$recorded") simulations unchanged"
   else
     status=1
   fi
--- a/tests/support/controller_driver.hpp
+++ b/tests/support/controller_driver.hpp
@@ -68,7 +68,8 @@
     while (!inputs_.empty()) {
       Input next = std::move(inputs_.back());
       inputs_.pop_back();
-      for (const Action& action : controller_.step(Clock{now_, now_}, std::move(next))) act(action);
+      for (const Action& action : controller_.step(Clock{now_, now_}, std::move(next)))
+        perform(action);
     }
   }
 
@@ -77,7 +78,7 @@
     const std::uint64_t call = ++next_request_;
     heartbeat.fencing_token = controller_.epoch();
     step(HeartbeatReceived{{RequestSource::Kind::Local, call, 0}, std::move(heartbeat), {}});
-    return answers_[call];
+    return responses_[call];
   }
   /// Sends a heartbeat and returns the body of its response, which holds the commands.
   std::string heartbeat(Heartbeat heartbeat) { return response_to(std::move(heartbeat)).body; }
@@ -93,13 +94,13 @@
   int submit(const std::string& body) {
     const std::uint64_t call = ++next_request_;
     step(UserRequest{{RequestSource::Kind::Local, call, 0}, UserOp::Submit, {}, body});
-    return answers_[call].status;
+    return responses_[call].status;
   }
   /// Cancels a job and returns the status of the response; 0 if there is none yet.
   int cancel(const std::string& id) {
     const std::uint64_t call = ++next_request_;
     step(UserRequest{{RequestSource::Kind::Local, call, 0}, UserOp::Cancel, id, {}});
-    return answers_[call].status;
+    return responses_[call].status;
   }
 
   /// Reads the checkpoint from the store, as another controller would.
@@ -108,17 +109,17 @@
     list.kind = KvRequest::Kind::List;
     list.key = kPrefix;
     list.limit = 1'000;
-    Snapshot image;
+    Snapshot snapshot;
     kv_store_.handle(list, false, now_, [&](const KvResponse& reply) {
-      for (const KvItem& item : reply.items) image.apply(item);
+      for (const KvItem& item : reply.items) snapshot.apply(item);
     });
-    return image;
+    return snapshot;
   }
 
  private:
-  void act(const Action& action) {
+  void perform(const Action& action) {
     if (const auto* response = std::get_if<Response>(&action)) {
-      answers_[response->source.link] = *response;
+      responses_[response->source.link] = *response;
     } else if (const auto* call = std::get_if<CallKvStore>(&action)) {
       kv_store_.handle(call->request, false, now_, [this, id = call->call](KvResponse reply) {
         inputs_.push_back(KvResponseReceived{id, std::move(reply)});
@@ -150,7 +151,7 @@
   std::vector<Input> inputs_;
   Time now_ = 1'000;
   std::uint64_t next_request_ = 0;
-  std::map<std::uint64_t, Response> answers_;
+  std::map<std::uint64_t, Response> responses_;
   std::vector<std::string> warnings_;
 };
 
--- a/tests/support/work_meter.hpp
+++ b/tests/support/work_meter.hpp
@@ -36,7 +36,7 @@
 };
 constexpr std::size_t kInputKinds = 7;
 
-inline InputKind kind_of(const Input& input) {
+inline InputKind input_kind(const Input& input) {
   if (std::holds_alternative<Tick>(input)) return InputKind::Tick;
   if (std::holds_alternative<HeartbeatReceived>(input)) return InputKind::Heartbeat;
   if (std::holds_alternative<KvResponseReceived>(input)) return InputKind::KvResponseReceived;
@@ -62,9 +62,11 @@
 /// The work of all controllers of a region, counted separately for leaders and followers.
 class WorkMeter {
  public:
-  void add(bool leading, InputKind kind, const StepWork& work) { by_kind(leading, kind).add(work); }
-  [[nodiscard]] const StepWork& leader(InputKind kind) const { return of_kind(leader_, kind); }
-  [[nodiscard]] const StepWork& follower(InputKind kind) const { return of_kind(follower_, kind); }
+  void add(bool leading, InputKind kind, const StepWork& work) {
+    mutable_work_for(leading, kind).add(work);
+  }
+  [[nodiscard]] const StepWork& leader(InputKind kind) const { return work_for(leader_, kind); }
+  [[nodiscard]] const StepWork& follower(InputKind kind) const { return work_for(follower_, kind); }
   /// The work for all inputs that reached a leader.
   [[nodiscard]] StepWork leader_total() const { return sum(leader_); }
   /// The work for all inputs of all controllers.
@@ -77,7 +79,7 @@
 
  private:
   using ByKind = std::array<StepWork, kInputKinds>;
-  static const StepWork& of_kind(const ByKind& work, InputKind kind) {
+  static const StepWork& work_for(const ByKind& work, InputKind kind) {
     return work[static_cast<std::size_t>(kind)];
   }
   static StepWork sum(const ByKind& by_kind) {
@@ -85,7 +87,7 @@
     for (const StepWork& work : by_kind) total.add(work);
     return total;
   }
-  StepWork& by_kind(bool leading, InputKind kind) {
+  StepWork& mutable_work_for(bool leading, InputKind kind) {
     return (leading ? leader_ : follower_)[static_cast<std::size_t>(kind)];
   }
   ByKind leader_, follower_;
@@ -99,12 +101,12 @@
       : CurrentController(settings, options, seed), meter_(std::move(meter)) {}
 
   std::vector<Action> step(Clock clock, Input input) override {
-    const bool led = leading();
-    const InputKind kind = kind_of(input);
+    const bool was_leading = leading();
+    const InputKind kind = input_kind(input);
     const Allocations before = allocations;
     const std::uint64_t examined_before = controller()->examined();
     std::vector<Action> actions = CurrentController::step(clock, std::move(input));
-    meter_->add(led, kind,
+    meter_->add(was_leading, kind,
                 {1, allocations.count - before.count, allocations.bytes - before.bytes,
                  controller()->examined() - examined_before});
     return actions;
