--- a/sim/simulated_federation.cpp
+++ b/sim/simulated_federation.cpp
@@ -82,7 +82,7 @@
     arrives = cut->second.until + random_(jitter);
   }
   constexpr std::uint32_t kMillion = 1'000'000;
-  if (random_(kMillion) < plan_.repeated * kMillion)
+  if (random_(kMillion) < plan_.duplicated * kMillion)
     messages_due_.insert({arrives + random_(kMaxCopyDelayMs), {to, bytes}});
   if (random_(kMillion) < plan_.loss * kMillion) return;
   messages_due_.insert({arrives, {to, bytes}});
--- a/sim/simulated_federation.hpp
+++ b/sim/simulated_federation.hpp
@@ -23,7 +23,7 @@
   /// Share of messages that are lost.
   double loss = 0.02;
   /// Share of messages of which a second copy arrives up to a minute later.
-  double repeated = 0.02;
+  double duplicated = 0.02;
   /// The share of each team's limit, in GPUs, with which every region but the first starts. The
   /// first region has the rest.
   std::map<std::string, double> first_gpus;
