--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,5 +1,5 @@
-// More work than room, swarms of small jobs, and machines or zones that are lost or partly
-// unreachable: the rules hold, and once the faults are over nothing is left waiting.
+// Tests with more work than capacity, bursts of small jobs, and machines or zones that are lost or
+// partly unreachable: the rules hold, and no job is left waiting once the faults have ended.
 #include <gtest/gtest.h>
 
 #include "support/scenarios.hpp"
@@ -7,8 +7,8 @@
 namespace sailreel::sim {
 namespace {
 
-// Combination: one-task jobs arrive four a second for minutes, a quarter of them cancelled; the
-// leader ends in the middle of it.
+// Fault combination: one-task jobs arrive at four a second for minutes, a quarter of them are
+// cancelled, and the leader is killed twice meanwhile.
 TEST(Capacity, OneTaskJobsFourASecondForMinutes) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SimulationPlan plan = quiet(seed + 200);
@@ -34,8 +34,8 @@
   }
 }
 
-// Combination: more work than room, urgent and not, over slow links; the largest arrays have to
-// start all the same.
+// Fault combination: more work than capacity, both urgent and not, over slow links. The largest
+// arrays must start nevertheless.
 TEST(Capacity, MoreWorkThanRoomOverSlowLinks) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 300);
@@ -44,7 +44,7 @@
     plan.late_copies = 0.05;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    region.submit(array("job-9000", 60, 8));  // more than the fleet can run
+    region.submit(array("job-9000", 60, 8));  // red's quota limit lets 30 tasks run at once
     for (std::size_t n = 0; n < 90; ++n) {
       JobSpec s = n % 3 == 0 ? service(job_id(n), 2)
                              : array(job_id(n), 1 + static_cast<std::uint32_t>(n % 8), 12);
@@ -62,9 +62,10 @@
   }
 }
 
-// On the operations sites: a guest's array beyond any guaranteed quota filled the expensive
-// machines of the zones. It waits for spot instances; where there are none, it progresses all the
-// same, a few tasks at a time.
+// Guards against launching expensive on-demand machines for an array that exceeds the guaranteed
+// quota and may use spot instances: an array of a guest team once filled those machines in all
+// zones. Such work must wait for spot instances. Where there are none, it must still progress, a
+// few tasks at a time.
 TEST(Capacity, WorkBeyondAGuaranteeWaitsForCheapMachines) {
   for (const bool cheap : {true, false}) {
     SimulationPlan plan = quiet(800);
@@ -79,23 +80,26 @@
     std::size_t most = 0;
     for (Time t = 2'000; t < 200'000; t += 1'000) {
       region.run_until(t);
-      // Once the rest of it fits into the guaranteed quota, it may use machines of any kind.
+      // Stops counting before the remaining tasks fit into the guaranteed quota, because those may
+      // use machines of any kind.
       if (done >= 60) continue;
       std::size_t on_demand = 0;
       for (const auto& [name, m] : region.cloud().machines) on_demand += m.up && !m.spot ? 1 : 0;
       most = std::max(most, on_demand);
     }
-    // One, and one instead of another that was late; its request would take four.
-    EXPECT_LE(most, 2U) << "cheap=" << cheap;
-    EXPECT_TRUE(region.checker().unfinished_arrays().empty()) << "cheap=" << cheap;
+    // The array may get one on-demand machine, and another one in place of a machine that boots
+    // late. The 30 tasks within the quota limit would take four.
+    EXPECT_LE(most, 2U) << "spot instances available: " << cheap;
+    EXPECT_TRUE(region.checker().unfinished_arrays().empty())
+        << "spot instances available: " << cheap;
     region.run();
     EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   }
 }
 
-// On the operations sites: a guest team without a guaranteed quota brings one huge array and a
-// swarm of one-task jobs. Work within a guaranteed quota starts as if they weren't there, and
-// theirs is served too.
+// A guest team without a guaranteed quota submits one huge array and many one-task jobs. Work
+// within another team's guaranteed quota must start as if the guest's jobs did not exist, and the
+// guest's jobs must be served too.
 TEST(Capacity, AGuestDoesNotHoldUpWorkWithinAGuarantee) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 1'000);
@@ -115,7 +119,8 @@
       region.submit(s);
       region.run_until(region.now() + 400);
     }
-    // Machines with images are up by now; the requests fit into red's guaranteed quota.
+    // Machines with cached images are up by now, and these requests fit into red's guaranteed
+    // quota.
     std::map<std::string, Time> asked, begun;
     region.on_command = [&](const std::string&, const Command& c) {
       if (c.op == Command::Op::Start) begun.try_emplace(c.key.job, region.now());
@@ -128,8 +133,8 @@
       region.run_until(region.now() + 5'000);
     }
     region.run_until(region.now() + 30'000);
-    // A start may have to wait for one machine to boot (12 s, at times half as long again), no
-    // more.
+    // A start may have to wait for one machine to boot (12 s, sometimes half as long again), but
+    // not for more.
     for (const auto& [id, when] : asked) {
       ASSERT_TRUE(begun.contains(id)) << seed << " " << id;
       EXPECT_LE(begun[id] - when, 25'000) << seed << " " << id;
@@ -139,8 +144,8 @@
   }
 }
 
-// On the operations sites: machines that never come up. They are terminated after three boot times,
-// others are launched meanwhile, and the cost of unused machines stays bounded.
+// Machines that never come up are terminated after three boot times and replaced by others
+// meanwhile, so that the cost of unused machines stays bounded.
 TEST(Capacity, MachinesThatNeverComeUpAreReplaced) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 1'100);
@@ -155,8 +160,8 @@
       for (const auto& [name, m] : region.cloud().machines)
         if (m.broken) longest = std::max(longest, t - m.launched);
     }
-    // Three boot times of 12 s, and what a lease and a call take.
-    EXPECT_GT(longest, 30'000) << seed << ": none was waited for";
+    // Three boot times of 12 s, plus a lease and a call to the cloud.
+    EXPECT_GT(longest, 30'000) << seed << ": no machine failed to come up";
     EXPECT_LE(longest, 60'000) << seed;
     const Tables& tables = region.controller(leader_of(region))->tables();
     for (const auto& [id, job] : tables.jobs) EXPECT_EQ(job->queued, 0U) << seed << " " << id;
@@ -165,9 +170,9 @@
   }
 }
 
-// On the operations sites: jobs that fail on every machine until their users cancel them. They
-// neither cause machines to be terminated as faulty, nor take room from others by starting again at
-// once; a machine on which everything fails is terminated all the same.
+// Jobs that fail on every machine until their users cancel them must neither cause the termination
+// of healthy machines as faulty, nor take capacity from others by restarting at once. A machine on
+// which every task fails must still be terminated.
 TEST(Capacity, MistakenJobsAreToldFromFaultyMachines) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 700);
@@ -192,7 +197,8 @@
         EXPECT_FALSE(it->second->cordoned && it->second->cordon_cause == CordonCause::Faulty)
             << seed << " " << name;
       }
-    // 20 tasks in 80 s: each fails once at first, and after that one of each job now and then.
+    // 20 tasks in 80 s: each task fails once at first, and after that each job tries one task at a
+    // time with increasing delays.
     EXPECT_LE(starts, 70U) << seed;
     EXPECT_GT(starts, 20U) << seed;
     region.run_until(140'000);
@@ -213,9 +219,10 @@
   }
 }
 
-// Found by reading the code: a heartbeat whose errors show the machine to be faulty had it emptied
-// while the heartbeat was being processed, which moves the attempts that the rest of the heartbeat
-// is compared with. No seed has shown what that leads to.
+// Guards against changing the attempts of a machine while its heartbeat is processed: errors in a
+// heartbeat that showed the machine to be faulty had it drained at once, which moved the attempts
+// that the rest of the heartbeat is compared with. The fault was found by code review, and no seed
+// has reproduced a failure.
 TEST(Capacity, AMachineFoundFaultyByAHeartbeatThatSaysMore) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     SimulationPlan plan = quiet(seed + 900);
@@ -240,7 +247,7 @@
   }
 }
 
-// Combination: jobs bound to one zone, including arrays and gangs of replicas, lose machines of it.
+// Fault combination: services and arrays that are bound to one zone lose machines in that zone.
 TEST(Capacity, JobsBoundToAZoneLoseMachines) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulationPlan plan = quiet(seed + 400);
@@ -276,8 +283,8 @@
   }
 }
 
-// Combination: a zone with workers and a controller is partitioned for longer than a lease, and
-// jobs are cancelled on both sides.
+// Fault combination: a zone with workers and a controller is partitioned for longer than a lease,
+// and jobs on both sides are cancelled.
 TEST(Capacity, AZoneCutOffForLongerThanALease) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulationPlan plan = quiet(seed + 500);
@@ -302,9 +309,10 @@
   }
 }
 
-// Combination: workers can't open connections to any controller, while direct commands still reach
-// them. As it answered inquiries, such a machine once looked usable again and again, and drew the
-// waiting work; a start is only sent with the response to a machine's own heartbeat.
+// Fault combination: workers can't open connections to any controller, while direct commands still
+// reach them. Since such a machine answers inquiries, it used to look usable again and again, and
+// attracted the waiting work. A start command may only be sent with the response to a machine's own
+// heartbeat.
 TEST(Capacity, AMachineThatReachesNoControllerDrawsNoWork) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 600);
@@ -318,7 +326,7 @@
       if (mute.size() < 2) mute.insert(m);
     for (const auto& m : mute) region.block_outbound(m, 70'000);
     if (seed % 2 == 0) region.kill(leader_of(region), 3'000);
-    region.run_until(58'000);  // they have missed their heartbeats by now
+    region.run_until(58'000);  // these machines have missed heartbeats by now
     for (std::size_t n = 20; n < 28; ++n) region.submit(service(job_id(n), 1), 140'000);
     std::size_t kept = 0;
     for (Time t = 59'000; t < 100'000; t += 500) {
--- a/tests/day_test.cpp
+++ b/tests/day_test.cpp
@@ -1,4 +1,5 @@
-// Whole simulated days with seeded faults: the rules are checked after each step.
+// Complete simulations with seeded faults. The checker verifies the protocol's rules after each
+// step.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -8,8 +9,8 @@
 namespace sailreel::sim {
 namespace {
 
-// Runs the rest of the day. Faults end well before it does: by then every array that was accepted
-// is over.
+// Runs the rest of the simulation and expects that no rule is broken. Faults stop well before the
+// end, so every accepted array must be over by then.
 void expect_kept(SimulatedRegion& region, const SimulationPlan& plan) {
   region.run();
   region.checker().end();
@@ -33,7 +34,7 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, SeededDay, ::testing::Range<std::uint64_t>(1, 81),
                          ::testing::PrintToStringParamName());
 
-// The same with a third of gangs: their tasks wait, start and stop together.
+// Like SeededDay, but a third of the jobs are gangs, whose tasks wait, start and stop together.
 class GangDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(GangDay, KeepsTheRules) {
@@ -49,7 +50,8 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, GangDay, ::testing::Range<std::uint64_t>(1, 61),
                          ::testing::PrintToStringParamName());
 
-// Some 200 machines and hundreds of jobs, under crashes, partitions and waves.
+// About 200 machines and hundreds of jobs, with crashes, partitions and preemptions of several
+// machines at once.
 class LargeDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(LargeDay, KeepsTheRules) {
@@ -69,8 +71,8 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, LargeDay, ::testing::Range<std::uint64_t>(1, 4),
                          ::testing::PrintToStringParamName());
 
-// Some 800 machines, under the same faults: the rules hold, and what is examined per heartbeat
-// doesn't grow with the fleet.
+// About 800 machines with the same faults: the rules hold, and the number of jobs and machines
+// examined per heartbeat stays below a fixed bound.
 TEST(FleetDay, KeepsTheRules) {
   SimulationPlan plan;
   plan.seed = 6;
@@ -85,7 +87,7 @@
   const int leader = region.leader();
   ASSERT_GE(leader, 0);
   const std::uint64_t looked = region.controller(static_cast<std::size_t>(leader))->examined();
-  std::printf("machines %zu, looked at per report %.1f\n", region.machines_up().size(),
+  std::printf("machines %zu, examined per heartbeat %.1f\n", region.machines_up().size(),
               static_cast<double>(looked) / static_cast<double>(region.heartbeats()));
   EXPECT_LT(looked, 200 * region.heartbeats());
   expect_kept(region, plan);
--- a/tests/fault_pairs_test.cpp
+++ b/tests/fault_pairs_test.cpp
@@ -1,5 +1,5 @@
-// Seeded days on which faults coincide: two or three begin within seconds of each other, while
-// users poll closely and cancel jobs.
+// Seeded simulations in which faults coincide: two or three begin within seconds of each other,
+// while users poll closely and cancel jobs.
 #include <gtest/gtest.h>
 
 #include "sim/simulated_region.hpp"
@@ -15,7 +15,7 @@
   plan.fault_pairs = true;
   plan.length = 330'000;
   plan.faults_until = 190'000;
-  // Other ratios of lease, cancellation and heartbeat interval.
+  // Some seeds use other ratios of lease, cancellation time and heartbeat interval.
   if (plan.seed % 3 == 1) plan.cancel_s = 14;
   if (plan.seed % 3 == 2) {
     plan.lease_s = 6;
--- a/tests/fixed_limits_test.cpp
+++ b/tests/fixed_limits_test.cpp
@@ -1,5 +1,5 @@
-// Limits that bind as fleets grow follow the settings: pages of lists, sockets, and the warning
-// where the settings' limits can't carry the deployment that they describe.
+// Limits that bind as fleets grow must follow the settings: list pages, sockets, and the warning
+// that is logged if the settings' limits can't carry the deployment that they describe.
 #include <gtest/gtest.h>
 
 #include "controller/capacity_check.hpp"
@@ -10,8 +10,9 @@
 namespace sailreel::sim {
 namespace {
 
-// The list of 1,200 machines has three pages, the cloud takes two requests a second. The list was
-// restarted after each page that the rate limit didn't allow, and its end was never read.
+// The cloud's list of 1,200 machines has three pages, and the cloud accepts two requests a second.
+// Guards against restarting the list after each page that the rate limit delays, so that its end is
+// never read.
 TEST(FixedLimits, AListOfManyPagesIsReadToItsEnd) {
   constexpr std::size_t kUnexpected = 1'200;
   SimulationPlan plan = quiet(31);
@@ -19,7 +20,8 @@
   for (Settings& settings : deployment.controllers) settings.cloud_limits.rps = 2;
   plan.deployment = deployment;
   SimulatedRegion region(plan);
-  // As a scale-out request that is carried out late leaves them; none of them ever comes up.
+  // A scale-out request that the cloud carries out late leaves such machines, which no controller
+  // knows. None of them ever comes up.
   for (std::size_t n = 0; n < kUnexpected; ++n) {
     CloudMachine m;
     m.name = "m-" + std::to_string(500'000 + n);
@@ -32,11 +34,12 @@
   const Tables& tables = region.controller(leader_of(region))->tables();
   EXPECT_EQ(tables.machines.size(), kUnexpected);
   region.run();
-  EXPECT_TRUE(region.cloud().machines.empty()) << region.cloud().machines.size() << " are paid for";
+  EXPECT_TRUE(region.cloud().machines.empty())
+      << region.cloud().machines.size() << " machines still cost money";
 }
 
-// More machines are out of reach than inquiries have sockets. One that dies elsewhere is still
-// asked in its turn, and terminated well before its lease has expired.
+// More machines are unreachable than inquiries have sockets. A machine that dies elsewhere must
+// still be asked in its turn, and be terminated well before its lease expires.
 TEST(FixedLimits, ADeadMachineIsFoundBesideManyOutOfReach) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 40);
@@ -60,10 +63,11 @@
       out_of_reach += cut ? 1 : 0;
       if (!cut) last = name;
     }
-    ASSERT_GT(out_of_reach, 6U) << "a fifth of the sockets";
+    ASSERT_GT(out_of_reach, 6U) << "inquiries have a fifth of the 30 sockets";
     ASSERT_FALSE(last.empty());
     region.kill_machine(last);
-    // Two inquiries that fail, each after two rounds of the others, and a call to the cloud.
+    // Enough time for two failed inquiries, each after two rounds of inquiries to the other
+    // machines, and a call to the cloud.
     region.run_until(region.now() + 14'000);
     const Controller* leader = region.controller(leader_of(region));
     ASSERT_NE(leader, nullptr);
@@ -73,8 +77,8 @@
   }
 }
 
-// As many users wait for a checkpoint commit as have sockets at the controllers, not a fixed
-// number.
+// The number of submissions that may wait for a checkpoint commit follows the number of sockets in
+// the settings instead of being fixed.
 TEST(FixedLimits, AsManySubmissionsWaitAsThereAreSockets) {
   Settings settings = settings_without_peers();
   settings.limits.sockets = 3'000;
@@ -82,17 +86,18 @@
   driver.set_types({sample_type()});
   driver.run_for(2'000);
   ASSERT_TRUE(driver.controller().leading());
-  // All at one moment: once the burst of writes is spent, they wait for the next commit.
+  // All submissions arrive at one moment: once the burst of the write rate limit is spent, they
+  // wait for the next commit.
   const auto body = [](std::size_t n) { return encode_submission(array(job_id(n), 1, 5)); };
   std::size_t refused = 0;
   for (std::size_t n = 0; n < 2'500; ++n) refused += driver.submit(body(n)) == 503 ? 1 : 0;
   EXPECT_EQ(refused, 0U);
   for (std::size_t n = 2'500; n < 4'000; ++n) refused += driver.submit(body(n)) == 503 ? 1 : 0;
-  EXPECT_GT(refused, 0U) << "those beyond the sockets are refused at once";
+  EXPECT_GT(refused, 0U) << "submissions beyond the number of sockets must be rejected at once";
 }
 
-// Attempt numbers of an epoch would run into those of the next. The leader resigns before that, and
-// the work continues under the next epoch.
+// Attempt numbers of one epoch must not overlap those of the next. The leader resigns before its
+// numbers are used up, and the work continues under the next epoch.
 TEST(FixedLimits, UsedUpAttemptNumbersChangeTheLeader) {
   SimulationPlan plan = quiet(51);
   plan.options.attempts_per_epoch = 60;
@@ -103,7 +108,8 @@
     region.run_until(region.now() + 2'000);
   }
   region.run();
-  EXPECT_GE(region.controller(leader_of(region))->epoch(), 3U) << "180 tasks";
+  EXPECT_GE(region.controller(leader_of(region))->epoch(), 3U)
+      << "180 tasks at 60 attempts per epoch";
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   EXPECT_TRUE(region.checker().unfinished_arrays().empty());
 }
@@ -117,7 +123,7 @@
       const SocketShares shares = share_sockets(settings, 0);
       EXPECT_GE(shares.server, sockets / 4) << sockets;
       EXPECT_LE(shares.server + shares.services + shares.worker_calls, sockets);
-      EXPECT_GE(shares.links, 2 * peers) << "one each way for each sibling";
+      EXPECT_GE(shares.links, 2 * peers) << "one link in each direction for each peer";
     }
 }
 
@@ -132,7 +138,7 @@
   EXPECT_NEAR(tightest_limit(settings, {}, 40).machines, 3'600, 100);
   settings.store.write_rps = 5;
   EXPECT_STREQ(tightest_limit(settings, {}, 40).name, "state_writes");
-  // Eight machines a write, nine tenths of the writes, within one boot.
+  // Eight machines per write, at nine tenths of five writes a second, within a boot time of 40 s.
   EXPECT_NEAR(tightest_limit(settings, {}, 40).machines, 1'440, 1);
   settings.limits.memory_mb = 1;
   EXPECT_EQ(tightest_limit(settings, {}, 40).machines, 0);
@@ -148,11 +154,12 @@
   MachineType without_gpus = sample_type();
   without_gpus.size.gpus = 0;
   EXPECT_EQ(described_machines(settings, {sample_type(), without_gpus}), 4'000);
-  EXPECT_GT(described_machines(settings, {without_gpus}), 1e9) << "no number of them is enough";
+  EXPECT_GT(described_machines(settings, {without_gpus}), 1e9)
+      << "no number of machines without GPUs is enough";
 }
 
-// A deployment that its limits can't carry starts all the same, and a warning is logged once per
-// leader.
+// A controller starts even if the settings' limits can't carry the deployment that they describe,
+// and logs one warning per leader.
 TEST(FixedLimits, TooLowALimitIsOneWarningLine) {
   Settings settings = settings_without_peers();
   settings.teams = {{"red", 0, 0, 32'000, 40'000}};
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,5 +1,6 @@
 // Fleets of thousands of machines: the rules hold through a cold start, a failover and the loss of
-// a zone, and what is examined grows with the fleet, not with its square.
+// a zone, and the number of jobs and machines examined grows about linearly with the fleet, not
+// quadratically.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -12,7 +13,8 @@
 
 constexpr std::uint32_t kMachinesPerScale = 12;
 
-/// A day of a fleet of about `machines` machines, whose services have grown with it.
+/// The plan of a simulation with about `machines` machines. The rate limits of the key-value store
+/// and the cloud grow with the fleet.
 SimulationPlan large_day(std::uint32_t machines, std::uint64_t seed) {
   constexpr double kWritesPerMachine = 0.1;
   SimulationPlan plan = quiet(seed);
@@ -32,8 +34,8 @@
   return plan;
 }
 
-/// Two jobs for every three machines within ten seconds: replicas of two priorities, and arrays
-/// that end and are preempted for later jobs.
+/// Submits two jobs for every three machines within ten seconds: replicas of two priorities, and
+/// arrays that end by themselves and are preempted for later jobs.
 void submit_burst(SimulatedRegion& region, std::uint32_t machines, std::uint64_t seed) {
   constexpr std::uint32_t kImages = 6;
   pcg32 random(seed);
@@ -51,6 +53,7 @@
   }
 }
 
+/// The size of a fleet, and how many jobs and machines its leader examined.
 struct Work {
   double machines = 0;
   double examined = 0;
@@ -66,12 +69,13 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   Work work{static_cast<double>(region.machines_up().size()),
             static_cast<double>(region.controller(leader)->examined())};
-  std::printf("machines %.0f, looked at %.0f, %.1f for each report\n", work.machines, work.examined,
+  std::printf("machines %.0f, examined %.0f, %.1f per heartbeat\n", work.machines, work.examined,
               work.examined / static_cast<double>(region.heartbeats()));
   return work;
 }
 
-// A burst of work and its end. With the square of the fleet the slope would be 2.
+// Compares how much a leader examines during a burst of work in fleets of different sizes.
+// Quadratic growth would give a slope of 2 on logarithmic scales.
 TEST(LargeFleet, WorkGrowsWithTheFleetNotWithItsSquare) {
   const Work small = work_of_a_burst(500);
   const Work middle = work_of_a_burst(2'000);
@@ -95,7 +99,8 @@
              : nullptr;
 }
 
-/// The simulated time (ms) until a leader has finished reconciliation.
+/// The simulated time (ms) until a leader has finished reconciliation; at least `most` if none
+/// does.
 Time time_to_reconcile(SimulatedRegion& region, Time most) {
   constexpr Time kStep = 50;
   const Time began = region.now();
@@ -104,8 +109,9 @@
   return region.now() - began;
 }
 
-// Combination: 4,000 machines and more start cold; then the leader ends, and a zone with half of
-// the machines. What may run, runs again once replacement machines are up.
+// Fault combination: more than 4,000 machines start cold, then the leader is killed, and then a
+// zone with half of the machines is lost. All tasks that may run must run again once replacement
+// machines are up.
 TEST(LargeFleet, AColdStartAFailoverAndALostZone) {
   constexpr std::uint32_t kMachines = 6'000;
   SimulationPlan plan = large_day(kMachines, 8);
@@ -118,9 +124,10 @@
   region.kill(leader_of(region), 6'000);
   region.run_until(region.now() + 100);
   const Time reconciled = time_to_reconcile(region, 20'000);
-  std::printf("machines %zu, rebuilt after %lld ms\n", region.machines_up().size(),
+  std::printf("machines %zu, reconciled after %lld ms\n", region.machines_up().size(),
               static_cast<long long>(reconciled));
-  // A lease of a tenth of the workers', the checkpoint, and one look at each machine.
+  // The leader's lease, which is a tenth of a worker's, the time to read the checkpoint, and one
+  // inquiry to each machine.
   EXPECT_LT(reconciled, 5'000);
   for (const std::string& name : region.machines_up())
     if (const auto it = region.cloud().machines.find(name);
@@ -134,8 +141,8 @@
   std::uint32_t running = 0;
   for (const auto& [id, job] : leader->tables().jobs) running += job->running;
   EXPECT_GT(running, kMachines);
-  // Since `faults_ended`: nothing waits that could start within its team's limit. The requests
-  // exceed the limits, so arrays may still wait.
+  // From `faults_ended` on, the checker reports each job that waits although it could start within
+  // the quota limit of its team. The requests exceed these limits, so arrays may still wait.
   region.checker().end();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   EXPECT_EQ(region.malformed_answers(), 0U);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,5 +1,5 @@
-// Checkpoint values under limits that are lower than what is stored, and that are lower than the
-// settings say.
+// Checkpoint values when the key-value store's limits are lower than the size of what is stored, or
+// lower than the settings say.
 #include <gtest/gtest.h>
 
 #include "protocol/fake_server_codec.hpp"
@@ -32,7 +32,7 @@
   return record;
 }
 
-// The former leader's manifest is three times as large as may be written now.
+// The manifest that the former leader wrote is three times as large as the current limit on values.
 TEST(LowerLimits, ALargeHeadIsDividedAndNothingOfItIsLost) {
   constexpr std::uint64_t kLeastOperations = 3;
   Settings settings = low_limits();
@@ -54,13 +54,15 @@
   EXPECT_TRUE(checkpoint.unreadable.empty());
 }
 
-// A stored shard that is too large is left as it is, and a job of it that changes goes to a shard
-// with a higher number: older versions look for the latest record there too.
+// A stored shard that exceeds the limit on values is not rewritten. When one of its jobs changes,
+// the job moves to a shard with a higher number, where older versions look for the latest record
+// too.
 TEST(LowerLimits, AJobOfALargeShardMovesToAHigherOneWhenItChanges) {
   ControllerDriver driver(low_limits());
   std::vector<std::string> records;
   for (std::size_t n = 0; n < 40; ++n) {
-    // Its tasks may be on the machine below, which doesn't respond: a cancellation takes long.
+    // The job's tasks may be on machine m-1 below, which doesn't respond, so a cancellation takes
+    // long.
     JobRecord record = record_of(n, 8);
     record.started = 8;
     records.push_back(encode_record(record));
@@ -83,11 +85,12 @@
     EXPECT_GE(checkpoint.shard_of.at(job_id(n)), 2U) << n;
     moved += checkpoint.shard_of.at(job_id(n)) > 2 ? 1 : 0;
   }
-  EXPECT_GT(moved, 4U);  // the others' changes are still in the manifest
+  EXPECT_GT(moved, 4U);  // the changes of the other jobs are still in the manifest
   EXPECT_FALSE(checkpoint.jobs.at(job_id(35)).cancel_asked);
 }
 
-// A piece of a bitmap in its older form is larger than a value may be.
+// A bitmap piece of the older, regular size exceeds the limit on values, so changes must be written
+// in small pieces.
 TEST(LowerLimits, LargeBitmapsAreWrittenInSmallPieces) {
   ControllerDriver driver(low_limits());
   constexpr std::uint32_t kTasks = 9'000;
@@ -116,8 +119,8 @@
   EXPECT_TRUE(merged.test(3) && merged.test(7) && merged.test(8'500));
 }
 
-// The settings don't say how low the limits are: a rejected checkpoint commit is followed by
-// smaller ones.
+// The store's limits are lower than the settings say. After a checkpoint commit is rejected, the
+// controller must write smaller ones.
 TEST(LowerLimits, ARejectedCommitIsFollowedBySmallerOnes) {
   ControllerDriver driver(settings_without_peers());
   lower_limits(driver);
@@ -154,7 +157,8 @@
   EXPECT_EQ(driver.submit(encode_submission(spec)), 201);
 }
 
-// Names of the greatest permitted length: more than the manifest has room for beside the rest.
+// Names of the greatest permitted length make the description larger than the room that the
+// manifest has beside its other contents.
 TEST(LowerLimits, ALargeDescriptionThatFitsAValueIsTaken) {
   ControllerDriver driver(low_limits());
   driver.set_types({sample_type()});
@@ -176,7 +180,8 @@
   EXPECT_EQ(driver.checkpoint().jobs.size(), 5U);
 }
 
-// While the cloud doesn't respond, scale-out requests pile up; they are stored in the manifest.
+// While the cloud doesn't respond, scale-out requests accumulate in the manifest, which must stay
+// within the limit on values.
 TEST(LowerLimits, OpenRentalsNeverOutgrowTheHead) {
   SimulationPlan plan = quiet(8);
   plan.next_value_kb = 1;
@@ -192,7 +197,7 @@
     region.run_until(region.now() + 600);
   }
   region.cloud().outage = false;
-  // All are accepted all the time, although no instance can be launched.
+  // Submissions are accepted throughout, although no instance can be launched.
   EXPECT_GE(region.submission_delays().size(), 58U);
   region.run_until(110'000);
   EXPECT_EQ(region.kv_store().malformed, 0U);
@@ -204,7 +209,7 @@
   shards.add("job-1", 0, 10);
   shards.add("job-2", 4, 10);
   shards.close(4);
-  EXPECT_EQ(shards.place("job-1", 10), 0U);  // where it is stored
+  EXPECT_EQ(shards.place("job-1", 10), 0U);  // the shard that holds its record
   EXPECT_GT(shards.place("job-2", 10), 4U);
   EXPECT_GT(shards.place("job-3", 10), 4U);
 }
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -1,4 +1,5 @@
-// Named interleavings and incidents, each on a day of its own.
+// Tests of specific interleavings of events and of recorded incidents. Each test runs a simulated
+// region of its own.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -14,8 +15,9 @@
   };
 }
 
-// The design paper's interleaving: a task finishes, the leader is lost before the checkpoint says
-// so, and heartbeats of the old epoch come late. Nothing may run twice, and nothing may be lost.
+// The interleaving that the design paper describes: a task finishes, the leader is lost before the
+// checkpoint records the completion, and heartbeats of the old epoch arrive late. No task may run
+// twice, and none may be lost.
 TEST(Interleaving, FinishThenLeaderLossThenLateAcknowledgement) {
   constexpr int kInjections = 200;
   int injected = 0, violations = 0, unfinished = 0;
@@ -44,8 +46,8 @@
   EXPECT_EQ(unfinished, 0);
 }
 
-// Found on simulated machines: finished jobs were rewritten in the long form with their shard, and
-// counted as unfinished after a failover.
+// Guards against finished jobs that count as unfinished after a failover: they used to be rewritten
+// in the long form when their shard was written.
 TEST(Incident, FinishedJobsStayFinishedAcrossFailovers) {
   SimulationPlan plan = quiet(7);
   plan.jobs = 60;
@@ -58,7 +60,7 @@
     ASSERT_GE(leader, 0);
     unfinished = region.controller(static_cast<std::size_t>(leader))->tables().jobs.size();
     region.kill(static_cast<std::size_t>(leader), 6'000);
-    // Seen at the moment of the failover, before the new leader tidies up.
+    // Stops at the moment of the failover, before the new leader cleans up.
     while (region.leader() < 0) region.run_until(region.now() + 5);
     const int next = region.leader();
     EXPECT_LE(region.controller(static_cast<std::size_t>(next))->tables().jobs.size(), unfinished);
@@ -68,8 +70,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Found on simulated machines: a lookup begun by a candidate was answered 404 from the snapshot
-// that winning had just cleared. Every poll here goes to controllers in the middle of an election.
+// Guards against polls that get 404 for an existing job: a candidate answered a lookup that it had
+// begun before its election from the snapshot that it cleared upon winning. Every poll here goes to
+// controllers in the middle of an election.
 TEST(Incident, PollsDuringAnElectionNeverFindNothing) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedRegion region(quiet(seed));
@@ -85,8 +88,8 @@
   }
 }
 
-// A controller that has lost the key-value store and its peers, but not its workers, must not keep
-// them: once the new leader has reached them, they turn to it within their lease.
+// A controller that has lost the key-value store and its peers, but not its workers, must release
+// the workers: once the new leader reaches them, they switch to it before their leases expire.
 TEST(Incident, AnIsolatedLeaderLetsItsWorkersGo) {
   SimulatedRegion region(quiet(3));
   region.run_until(1'000);
@@ -105,9 +108,10 @@
   EXPECT_EQ(starts, 0) << "replicas were lost and had to be started again";
 }
 
-// Seen on xela-labels-fleet (simulated machines): a zone was partitioned for 2.4 leases, and all of
-// its tasks ended, though a controller in it heard their machines. Whether the leader is in the
-// zone or outside, that controller now keeps them alive, and nobody starts them elsewhere.
+// Guards against an incident on xela-labels-fleet (simulated machines): a zone was partitioned for
+// 2.4 leases, and all of its tasks ended although a controller in the zone heard their machines.
+// That controller must keep the tasks alive, whether the leader is inside or outside of the zone,
+// and no other controller may start them elsewhere.
 TEST(Incident, AZoneThatIsCutOffKeepsItsTasks) {
   constexpr std::uint64_t kSeeds = 12;
   for (std::uint64_t scene = 0; scene < kSeeds * 4; ++scene) {
@@ -139,19 +143,21 @@
   }
 }
 
-// The bound of the above: a zone that stays away is replaced, once nothing can run there any more.
-// The checker would see a task that runs twice.
+// Limits what AZoneThatIsCutOffKeepsItsTasks requires: the tasks of a zone that stays partitioned
+// are replaced elsewhere, but only once nothing can run in the zone any more. The checker reports a
+// task that runs twice.
 TEST(Incident, AZoneThatStaysAwayIsReplaced) {
   SimulationPlan plan = quiet(19);
   plan.length = 160'000;
-  // Two messages lost for good end the lease of a machine within reach as well, as its heartbeats
-  // pass through the partitioned controller; TCP would send them again.
+  // Without random message loss: the heartbeats of a reachable machine may pass through the
+  // partitioned controller, so two lost messages would expire its lease as well. TCP would
+  // retransmit them.
   plan.loss = 0;
   SimulatedRegion region(plan);
   region.run_until(1'000);
   for (int n = 0; n < 12; ++n) {
     JobSpec spec = service("job-" + std::to_string(n), 1 + static_cast<std::uint32_t>(n) % 2);
-    spec.image = "img-" + std::to_string(n);  // so that they don't all go to one machine
+    spec.image = "img-" + std::to_string(n);  // so that the jobs don't all go to one machine
     region.submit(spec);
   }
   region.run_until(50'000);
@@ -174,7 +180,7 @@
   };
   region.cut_zone(away, 100'000, false);
   region.run_until(78'000);
-  EXPECT_EQ(started, 0U) << "before the zone's leases can have run out";
+  EXPECT_EQ(started, 0U) << "tasks were started before the leases of the zone can have expired";
   region.run_until(140'000);
   EXPECT_EQ(lost_within_reach, 0U);
   for (const auto& [id, job] : controller->tables().jobs)
@@ -182,15 +188,15 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// A cancellation is confirmed once its tasks are gone, not before: a machine that can't be reached
-// may be kept alive by others for longer than cancel_s.
+// A cancellation is confirmed only once the job's tasks are gone: other controllers may keep an
+// unreachable machine alive for longer than cancel_s.
 TEST(Incident, ACancellationWaitsForAMachineThatIsNotReached) {
   constexpr std::size_t kJobs = 12;
   SimulatedRegion region(quiet(18));
   region.run_until(1'000);
   for (std::size_t n = 0; n < kJobs; ++n) {
     JobSpec spec = service("job-" + std::to_string(n), 2);
-    spec.spread = true;  // so that one of its tasks is in each zone
+    spec.spread = true;  // so that each zone has one task of the job
     spec.team = n % 2 == 0 ? "red" : "blue";
     region.submit(spec, 52'000);
   }
@@ -203,13 +209,13 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Recorded incident: the leader lost workers and peers, but not the key-value store, so it kept its
-// lease while every worker's expired.
+// Guards against a recorded incident: the leader lost its workers and peers, but not the key-value
+// store, so it kept its own lease while the lease of every worker expired.
 TEST(Incident, ALeaderThatHearsNoWorkerGivesWay) {
   SimulatedRegion region(quiet(8));
   region.run_until(1'000);
   JobSpec spec = service("job-1", 4);
-  spec.spread = true;  // so that there are two machines
+  spec.spread = true;  // so that the job needs two machines
   region.submit(spec);
   region.run_until(40'000);
   const int old_leader = region.leader();
@@ -217,7 +223,8 @@
   const auto name = "node-" + std::to_string(old_leader);
   for (int i = 0; i < 3; ++i)
     if (i != old_leader) region.cut(name, "node-" + std::to_string(i), 60'000, true);
-  // Also from machines that come up later: one that the leader heard made it stay.
+  // Machines that come up later are cut off as well: a leader that hears a single machine does not
+  // resign.
   for (std::size_t m = 1; m < 30; ++m) region.cut(name, machine_name(m), 60'000, true);
   int starts = 0;
   count_starts(region, starts);
@@ -226,7 +233,7 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// An outage of the key-value store that outlasts a worker's lease ends no task.
+// No task ends because of a key-value store outage that lasts longer than the lease of a worker.
 TEST(Incident, AnOutageOfTheStateServiceKeepsTasksAlive) {
   SimulatedRegion region(quiet(4));
   region.run_until(1'000);
@@ -240,9 +247,10 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// In an outage no controller is better off than another, and all stay on the balancer's list: off
-// it, users found no controller for seconds after the outage was over. A controller that alone has
-// lost everything leaves.
+// While the key-value store is down, no controller is better off than another, so all must stay on
+// the load balancer's list. When they were taken off it, users found no controller for seconds
+// after the outage had ended. A controller that alone has lost the store and its peers must leave
+// the list.
 TEST(Incident, NodesStayHealthyInAnOutageNotWhenCutOff) {
   const auto healthy = [](const SimulatedRegion& region, std::size_t node) {
     return region.controller(node)->healthy(region.now() + 1'000'000);
@@ -260,7 +268,8 @@
   EXPECT_TRUE(healthy(region, 1));
 }
 
-// Submissions in an outage of the key-value store are answered at once, and accepted after it.
+// During an outage of the key-value store, submissions get a response at once. Their users repeat
+// them, and they are accepted after the outage.
 TEST(Incident, SubmissionsInAnOutageAreAnsweredAtOnce) {
   SimulatedRegion region(quiet(9));
   region.run_until(5'000);
@@ -276,8 +285,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// A machine that receives nothing loses its tasks when its lease expires, although its heartbeats
-// still arrive. They run elsewhere afterwards, and never at the same time.
+// A machine that receives no messages loses its tasks when its lease expires, although its
+// heartbeats still arrive. The tasks run elsewhere afterwards, and never in two places at the same
+// time.
 TEST(Incident, ADeafMachineIsNotCountedOn) {
   SimulatedRegion region(quiet(5));
   region.run_until(1'000);
@@ -300,8 +310,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Only the first 64 waiting jobs used to be counted: most of a cold start was hidden from the
-// autoscaler, and work of the lowest priority had no instances launched until all else ran.
+// Guards against an autoscaler that counts only the first 64 waiting jobs: it ignored most of the
+// demand of a cold start, and launched no instances for work of the lowest priority until all other
+// work ran.
 TEST(Size, AColdStartScalesOutForAllThatWaits) {
   SimulatedRegion region(quiet(10));
   for (int n = 0; n < 90; ++n) {
@@ -311,8 +322,8 @@
   }
   region.run_until(3'000);
   region.submit(array("job-1", 8, 20));
-  // Before any machine is up: 90 x 0.2 GPUs of services need three machines of 8, with headroom;
-  // the array, which comes last, needs a spot instance.
+  // State before any machine is up. The services' 90 x 0.2 GPUs need three machines of 8 GPUs,
+  // including headroom. The array has the lowest priority and needs a spot instance.
   region.run_until(6'000);
   std::size_t on_demand = 0, cheap = 0;
   for (const auto& [name, m] : region.cloud().machines) ++(m.spot ? cheap : on_demand);
@@ -320,9 +331,9 @@
   EXPECT_GE(cheap, 1U);
 }
 
-// Replicas end here and there, and no machine becomes empty by itself: half the cost of a day's
-// end. Surplus machines are drained, and a migrating replica is down for about a heartbeat
-// interval.
+// Replicas that end are spread over the machines, so no machine becomes empty by itself. Such
+// machines made up half of the cost at the end of a simulated day. Surplus machines must be
+// drained, and a migrating replica must be down for only about one heartbeat interval.
 TEST(Fleet, SurplusMachinesAreEmptied) {
   SimulatedRegion region(quiet(15));
   region.run_until(1'000);
@@ -354,22 +365,23 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// The leader has a small share of a core, and a heartbeat comes from each machine every second: its
-// cost must not grow with the number of waiting jobs. Seen at 200 machines: each waiting task was
-// compared with each machine, in every pass.
+// The leader has a small share of a core and receives a heartbeat from each machine every second,
+// so the cost of a heartbeat must not grow with the number of waiting jobs. Guards against
+// comparing each waiting task with each machine in every pass, which happened at 200 machines.
 TEST(Size, WorkPerHeartbeatDoesNotGrowWithTheJobs) {
   const auto per_heartbeat = [](int jobs) {
     SimulationPlan plan = quiet(11);
     plan.scale = 17;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    // Enough to fill every machine, and more that wait.
+    // Enough jobs to fill every machine, so that some of them wait.
     for (int n = 0; n < jobs; ++n) {
       JobSpec spec = array("job-" + std::to_string(1'000 + n), 20, 30);
       spec.image = "img-" + std::to_string(n % 4);
       spec.team = n % 2 == 0 ? "red" : "blue";
       spec.need.cpus = 1.8 + n % 7 * 0.05;
-      spec.spot = n % 3 == 0;  // beyond their guaranteed quota, all would wait for spot instances
+      // If every job allowed spot instances, all beyond the guaranteed quota would wait for them.
+      spec.spot = n % 3 == 0;
       region.submit(spec);
     }
     region.run_until(60'000);
@@ -382,14 +394,15 @@
            static_cast<double>(region.heartbeats() - heartbeats);
   };
   const double few = per_heartbeat(120), many = per_heartbeat(960);
-  std::printf("looked at per report: %.1f with 120 jobs, %.1f with 960\n", few, many);
+  std::printf("examined per heartbeat: %.1f with 120 jobs, %.1f with 960\n", few, many);
   ASSERT_GT(few, 0);
-  // Eight times the jobs.
+  // The second run has eight times as many jobs, and may take less than four times the work.
   EXPECT_LT(many, 4 * few);
 }
 
-// Recorded incident: a machine that the former leader had terminated, or that died with it, held up
-// reconciliation for its lease and the former leader's grace, 22 s.
+// Guards against a recorded incident: a machine that the former leader had terminated, or that died
+// at the same time as that leader, delayed reconciliation for the machine's lease and the former
+// leader's grace period, 22 s in all.
 TEST(Incident, AMachineThatDiedWithTheLeaderDoesNotHoldUpReconciliation) {
   SimulatedRegion region(quiet(12));
   region.run_until(1'000);
@@ -408,9 +421,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Recorded incident: heartbeats that a partition had delayed arrived at its end, just before those
-// of the machines' new incarnations. The machines were considered unable to receive, and got no
-// work for two leases.
+// Guards against a recorded incident: heartbeats that a partition had delayed arrived at its end,
+// just before those of the machines' new incarnations. The leader considered the machines unable to
+// receive messages, and gave them no work for two leases.
 TEST(Incident, HeartbeatsThatACutHeldBackDoNotMakeAMachineDeaf) {
   SimulatedRegion region(quiet(13));
   region.run_until(1'000);
@@ -423,7 +436,8 @@
   int leader = region.leader();
   ASSERT_GE(leader, 0);
   const Controller* controller = region.controller(static_cast<std::size_t>(leader));
-  // All of one zone: with no other machine of it responding, they aren't considered dead.
+  // Cuts off all machines of one zone: if no other machine of the zone responds, they are not
+  // considered dead.
   std::vector<std::string> cut;
   for (const auto& [name, m] : controller->tables().machines)
     if (m->heard_in_epoch && !m->empty() && m->zone == "za") cut.push_back(name);
@@ -442,9 +456,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// When zones are partitioned, a leader can't reach the machines of the other: a rule by the share
-// of silent machines alone terminated healthy ones. Where others of the zone respond, the silent
-// are dead.
+// While zones are partitioned, a leader can't reach the machines of the other zone. A rule that
+// used only the ratio of silent machines to all machines terminated healthy ones. Silent machines
+// may be considered dead only if other machines of their zone respond.
 TEST(Incident, TheDeadAreToldFromTheUnreached) {
   SimulationPlan plan = quiet(16);
   plan.scale = 6;
@@ -460,7 +474,8 @@
     if (!m->empty()) (m->zone == "za" ? here : there).push_back(name);
   ASSERT_GE(here.size(), 6U);
   ASSERT_GE(there.size(), 6U);
-  // Two die, while one zone can't be reached for less than a lease.
+  // Two machines of zone za die while the machines of zone zb are unreachable for less than a
+  // lease.
   for (const auto& name : there)
     for (int i = 0; i < 3; ++i) region.cut("node-" + std::to_string(i), name, 8'000, true);
   region.kill_machine(here[0]);
@@ -473,8 +488,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// With more machines than sockets for inquiries, those that found none counted as failed: a
-// failover took a second longer, and machines came a step nearer to being considered dead.
+// Guards against counting an inquiry that found no free socket as failed. With more machines than
+// sockets for inquiries, a failover took a second longer, and the machines that were not asked came
+// one step closer to being considered dead.
 TEST(Size, AFailoverWithManyMachinesIsReconciledAtOnce) {
   SimulationPlan plan = quiet(17);
   plan.scale = 17;
@@ -484,7 +500,7 @@
   for (int n = 0; n < 140; ++n) {
     JobSpec spec = array("job-" + std::to_string(1'000 + n), 10, 60);
     spec.team = n % 2 == 0 ? "red" : "blue";
-    spec.spot = false;  // beyond its guaranteed quota, it would wait for spot instances
+    spec.spot = false;  // jobs beyond the guaranteed quota would wait for spot instances
     region.submit(spec);
   }
   region.run_until(45'000);
@@ -499,9 +515,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Seen on simulated machines: 19 MB in a controller that had not looked at the checkpoint for
-// minutes and then requested all changes since. The size of its request must not grow with the
-// time.
+// Guards against a controller whose memory grew to 19 MB: it had not read the checkpoint for
+// minutes, and then requested all changes since. The size of the store's response must not grow
+// with the time since the last read.
 TEST(Incident, ALookUpAfterALongTimeReadsTheKeysNotTheChanges) {
   SimulationPlan plan = quiet(14);
   plan.scale = 17;
@@ -517,12 +533,13 @@
     kill_leader();
   }
   region.run();
-  std::printf("largest answer to a watch: %zu bytes\n", region.kv_store().largest_watch);
+  std::printf("largest response to a watch: %zu bytes\n", region.kv_store().largest_watch);
   EXPECT_LT(region.kv_store().largest_watch, 512U * 1024);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// A job of the largest size goes through the checkpoint and a failover.
+// A job with the largest permitted number of tasks keeps its completed tasks through the checkpoint
+// and a failover.
 TEST(Size, AJobOfAHundredThousandTasks) {
   SimulatedRegion region(quiet(6));
   region.run_until(1'000);
@@ -535,7 +552,7 @@
                                .jobs.at("job-1")
                                ->record.done.count();
   EXPECT_GT(done, 20U);
-  region.run_until(62'000);  // what was done has been written by now
+  region.run_until(62'000);  // the checkpoint contains the completions by now
   region.kill(static_cast<std::size_t>(leader), 6'000);
   region.run_until(75'000);
   const int next = region.leader();
--- a/tests/slow_processor_test.cpp
+++ b/tests/slow_processor_test.cpp
@@ -1,6 +1,6 @@
-// Controllers on a small share of a processor: each step takes time by its counted work, inputs
-// queue up and timers fire late. Users poll closely all the time, at all controllers. The rules
-// hold, and nothing is left waiting or unanswered afterwards.
+// Controllers with a small share of a processor: each step takes simulated time according to its
+// counted work, so inputs queue up and timers fire late. Users poll all controllers closely
+// throughout. The rules must hold, and no job may be left waiting or unanswered afterwards.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,12 +13,13 @@
 
 constexpr std::uint64_t kSeeds = 4;
 constexpr std::size_t kJobs = 16;
-/// In ms. Inputs wait for at least this long at some moment, as the fleet comes up and again in
-/// each scenario that does anything: the processor is slow indeed.
+/// In ms. The longest wait of an input must exceed this while the fleet comes up, and again in each
+/// scenario with a fault; otherwise the simulated processor is not slow enough.
 constexpr Time kLeastWait = 100;
-/// In ms. When the fleet is up and full.
+/// In ms. The fleet is up and full by this time.
 constexpr Time kBegin = 55'000;
-/// Slowed down by this factor, a controller's leases of the usual length expire.
+/// With steps slowed down by this factor, leases of the usual length expire before controllers
+/// renew them.
 constexpr double kSlowFactor = 6;
 
 SimulationPlan slow_day(std::uint64_t seed) {
@@ -28,7 +29,7 @@
   return plan;
 }
 
-/// The jobs of a day, all at once.
+/// Submits all jobs of a simulation at once.
 void submit_burst(SimulatedRegion& region, std::uint64_t seed) {
   pcg32 random(seed * 31);
   for (std::size_t n = 0; n < kJobs; ++n) {
@@ -40,7 +41,7 @@
   }
 }
 
-/// Slows all controllers down by a factor for a while.
+/// Slows down all controllers by a factor, for a limited time.
 void slow_all(SimulatedRegion& region, double factor, Time for_ms) {
   for (std::size_t node = 0; node < 3; ++node) region.slow_down(node, factor, for_ms);
 }
@@ -54,7 +55,7 @@
 TEST_P(SlowProcessor, KeepsTheRules) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SimulatedRegion region(slow_day(seed));
-    // All controllers start at this moment, and all users come with them.
+    // All controllers start at this moment, and all users submit their jobs at the same time.
     region.poll_closely(500'000);
     submit_burst(region, seed);
     region.run_until(kBegin);
@@ -62,7 +63,7 @@
     region.forget_input_waits();
     if (GetParam().play) GetParam().play(region, seed);
     region.run_until(region.now() + 60'000);
-    std::printf("an input waited for %lld ms at most as the fleet came up, then for %lld\n",
+    std::printf("longest wait of an input: %lld ms while the fleet came up, %lld ms afterwards\n",
                 static_cast<long long>(at_begin),
                 static_cast<long long>(region.longest_input_wait()));
     EXPECT_GT(at_begin, kLeastWait);
@@ -75,7 +76,7 @@
 
 const Scenario kScenarios[] = {
     {"ColdStartAndFirstBurst", {}},
-    {"RestartsInTheMiddleOfElections",
+    {"RestartsDuringElections",
      [](SimulatedRegion& w, std::uint64_t seed) {
        slow_all(w, kSlowFactor, 30'000);
        for (int round = 0; round < 6; ++round) {
@@ -90,12 +91,12 @@
        slow_all(w, kSlowFactor, 30'000);
        for (std::size_t node = 0; node < 3; ++node) w.kill(node, 400);
      }},
-    {"AllWorkersComeBackAfterAZoneCut",
+    {"AllWorkersReconnectAfterAZonePartition",
      [](SimulatedRegion& w, std::uint64_t seed) {
        slow_all(w, kSlowFactor, 30'000);
        w.cut_zone("za", 16'000, seed % 2 == 0);
      }},
-    {"UsersRepeatThemselvesWhileTheStateServiceIsOut",
+    {"UsersRetryDuringAKeyValueStoreOutage",
      [](SimulatedRegion& w, std::uint64_t) {
        w.kv_store_outage(25'000);
        submit_mixed_jobs(w, kJobs, 8, 3);
@@ -104,7 +105,7 @@
      [](SimulatedRegion& w, std::uint64_t seed) {
        w.slow_down(leader_of(w), 3.0 + static_cast<double>(seed), 20'000);
      }},
-    // A step takes longer than the leader's lease, and ends after that has expired.
+    // A step takes longer than the leader's lease, so the lease has expired when the step ends.
     {"StepsOutlastTheLeadersLease",
      [](SimulatedRegion& w, std::uint64_t seed) {
        w.slow_down(leader_of(w), 60.0 + 20.0 * static_cast<double>(seed), 15'000);
@@ -124,8 +125,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Scenes, SlowProcessor, ::testing::ValuesIn(kScenarios), scenario_name);
 
-// A leader that is merely late goes on leading: with steps five times as long, none of its renewals
-// comes too late, and no other is elected.
+// A leader whose steps take five times as long must remain the leader: it still renews its lease in
+// time, and no other controller is elected.
 TEST(SlowLeader, IsNotDeposed) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SimulatedRegion region(slow_day(seed));
@@ -142,9 +143,9 @@
   }
 }
 
-// Controllers so slow that leases of the usual length expire before they are renewed. Once the
-// leader had ended, each successor was deposed in its turn, for as long as the processors were
-// slow, and users got no more responses.
+// Controllers are so slow that leases of the usual length expire before they are renewed. Guards
+// against an endless series of elections: after the leader had ended, each successor was deposed in
+// turn for as long as the processors were slow, and users got no responses.
 TEST(SlowControllers, FindALeaderThatStays) {
   constexpr Time kSlowFor = 130'000;
   constexpr std::uint64_t kMostElections = 8;
@@ -157,7 +158,7 @@
     region.run_until(region.now() + 60'000);
     const std::uint64_t before = elections(region);
     region.run_until(region.now() + 60'000);
-    std::printf("epoch %llu a minute later, %llu after two\n",
+    std::printf("epoch %llu after one minute, %llu after two\n",
                 static_cast<unsigned long long>(before),
                 static_cast<unsigned long long>(elections(region)));
     EXPECT_GT(before, 0U);
@@ -167,7 +168,7 @@
   }
 }
 
-/// Keeps the warnings of its controllers.
+/// A controller that appends the warnings it logs to a list.
 class WarningController : public CurrentController {
  public:
   WarningController(const Settings& settings, std::uint64_t seed,
@@ -186,6 +187,7 @@
   std::vector<std::string>& warnings_;
 };
 
+/// How many warnings of a slow processor the controllers log until `kBegin`.
 std::size_t processor_warnings(double slowness) {
   std::vector<std::string> warnings;
   SimulationPlan plan = slow_day(1);
@@ -202,8 +204,8 @@
       }));
 }
 
-// A processor that can't carry the deployment causes a warning, at most once a lease for each of
-// the three controllers; one that can doesn't, nor does one that is paused.
+// A processor that can't carry the deployment causes a warning from each of the three controllers,
+// at most once per worker lease. A processor that can carry it causes none.
 TEST(ProcessorLimit, IsWarnedOf) {
   const std::size_t slow = processor_warnings(15);
   EXPECT_GT(slow, 2U);
@@ -229,9 +231,9 @@
   std::vector<Time> late(300, 0);
   EXPECT_TRUE(lag_summaries(late).empty());
   late[50] = 30'000;
-  EXPECT_TRUE(lag_summaries(late).empty()) << "it stood still once";
+  EXPECT_TRUE(lag_summaries(late).empty()) << "a single pause is not reported";
   for (std::size_t i = 0; i < late.size(); ++i) late[i] = i % 3 == 0 ? 400 : 99;
-  EXPECT_TRUE(lag_summaries(late).empty()) << "two of three are in time";
+  EXPECT_TRUE(lag_summaries(late).empty()) << "two of three firings are in time";
   for (std::size_t i = 0; i < late.size(); ++i) late[i] = i % 3 == 0 ? 0 : i % 3 == 1 ? 250 : 350;
   const auto summaries = lag_summaries(late);
   ASSERT_GT(summaries.size(), 2U);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,6 +1,7 @@
-// Upgrades in the middle of a day: controllers of the version in production are replaced one by
-// one, in every order, under faults; afterwards the key-value store's limits fall and gangs are
-// submitted. The version in production is its real controller code, built from the history.
+// Rolling upgrades in the middle of a simulation: controllers of the version in production are
+// replaced one by one, in every order, under faults. Afterwards the limits of the key-value store
+// fall, and gangs are submitted. The version in production runs its real controller code, which is
+// built from the git history.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,7 +24,8 @@
   return plan;
 }
 
-/// The fault that coincides with the roll between its steps; a case of a test by its name.
+/// A fault that is injected before each step of a rolling upgrade. A test parameter, which is
+/// printed by its name.
 struct RollFault {
   const char* name;
   std::function<void(SimulatedRegion&, int step)> play;
@@ -67,40 +69,40 @@
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-const RollFault kFaults[] = {{"Undisturbed", [](SimulatedRegion&, int) {}},
-                             {"TheLeaderEndsAndComesBackAsItWas",
+const RollFault kFaults[] = {{"NoFault", [](SimulatedRegion&, int) {}},
+                             {"TheLeaderRestartsWithoutAnUpgrade",
                               [](SimulatedRegion& w, int) {
                                 w.kill(leader_of(w), 500);
                                 w.run_until(w.now() + 4'000);
                                 w.kill(leader_of(w), 300);
                                 w.run_until(w.now() + 3'000);
                               }},
-                             {"ALeaderIsFrozen",
+                             {"TheLeaderIsFrozen",
                               [](SimulatedRegion& w, int) {
                                 w.freeze(leader_of(w), 6'000);
                                 w.run_until(w.now() + 3'000);
                               }},
-                             {"OneIsRefusedByTheStateService",
+                             {"TheKeyValueStoreRejectsOneController",
                               [](SimulatedRegion& w, int step) {
                                 w.reject_kv_requests(static_cast<std::size_t>(step), 14'000);
                                 w.run_until(w.now() + 1'000);
                               }},
-                             {"TheStateServiceIsDown",
+                             {"KeyValueStoreOutage",
                               [](SimulatedRegion& w, int) {
                                 w.kv_store_outage(8'000);
                                 w.run_until(w.now() + 1'000);
                               }},
-                             {"AZoneIsCutOff",
+                             {"AZoneIsPartitioned",
                               [](SimulatedRegion& w, int step) {
                                 w.cut_zone(step % 2 == 0 ? "za" : "zb", 11'000, step == 1);
                                 w.run_until(w.now() + 2'000);
                               }},
-                             {"ControllersLoseEachOther",
+                             {"OneControllerIsIsolated",
                               [](SimulatedRegion& w, int step) {
                                 w.isolate(static_cast<std::size_t>(step), 9'000, step == 0);
                                 w.run_until(w.now() + 2'000);
                               }},
-                             {"RoundsAreInDoubtAtEachChange",
+                             {"CommitOutcomesAreUnknownAtEachStep",
                               [](SimulatedRegion& w, int step) {
                                 w.late_writes(0.5, 6'000, step % 2 == 0);
                                 w.delay_heartbeats(0.3, 6'000);
@@ -114,7 +116,7 @@
                                 w.cancel_now(4, step == 1 ? 6'000 : 0);
                                 w.run_until(w.now() + 60);
                               }},
-                             {"AllEndAtOnce", [](SimulatedRegion& w, int) {
+                             {"AllControllersRestartAtOnce", [](SimulatedRegion& w, int) {
                                 for (std::size_t i = 0; i < 3; ++i)
                                   w.kill(i, 1'000 + 300 * static_cast<Time>(i));
                                 w.run_until(w.now() + 2'500);
@@ -123,8 +125,9 @@
 INSTANTIATE_TEST_SUITE_P(Faults, Upgrade, ::testing::ValuesIn(kFaults),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// Limits may fall as soon as all are new, and the version in production has left values that are
-// larger: many jobs, a full manifest, long lists of machines.
+// The limits of the key-value store may fall as soon as all controllers are upgraded, while it
+// still holds larger values that the version in production wrote: many jobs, a full manifest, long
+// lists of machines.
 TEST(Upgrade, LimitsFallAtAnyStepAfterwardsWithLargeValuesStored) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     SimulationPlan plan = upgrade_day(seed * 5);
@@ -139,7 +142,8 @@
     region.run_until(kBegin);
     for (std::size_t node = 0; node < 3; ++node) {
       region.upgrade((node + seed) % 3, kDown);
-      // Not long enough for the former leader's manifest to be flushed.
+      // No pause follows the last upgrade, so the former leader's manifest isn't flushed before the
+      // limits fall.
       if (node < 2) region.run_until(region.now() + kApart);
     }
     region.run_until(region.now() + kDown + 50 * static_cast<Time>(seed));
@@ -176,7 +180,7 @@
   EXPECT_EQ(status, 503);
 }
 
-// While one controller is of the version in production, gangs are rejected.
+// Gangs are rejected while any controller runs the version in production.
 TEST(Upgrade, GangsWaitUntilAllControllersAreNew) {
   SimulatedRegion region(upgrade_day(3));
   region.run_until(2'000);
@@ -195,7 +199,8 @@
   region.run_until(65'000);
   EXPECT_TRUE(region.checker().unfinished_arrays().empty());
   EXPECT_GT(region.gang_starts("job-1"), 0U);
-  // A feature once known to be supported stays so, also where a controller can't be heard again.
+  // A feature stays enabled once all controllers are known to support it, even if one of them can't
+  // be heard after a restart.
   for (std::size_t i = 0; i < 3; ++i) region.kill(i, i == 2 ? 60'000 : 1'000);
   region.run_until(75'000);
   region.submit(gang("job-2", 3, 2, 10));
--- a/tests/work_cost_test.cpp
+++ b/tests/work_cost_test.cpp
@@ -1,6 +1,6 @@
-// Ceilings on what a heartbeat, a poll, a start and an idle second cost. They are counts of work,
-// the same on every run; each measured value stands beside its ceiling, and all of them are
-// printed.
+// Ceilings on the work of a heartbeat, a poll, a start and a second. The work is counted, so it is
+// the same on every run. Each measured value stands in a comment beside its ceiling, and the tests
+// print all of them.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -16,8 +16,8 @@
 constexpr std::uint32_t kTasksPerJob = 4;
 constexpr Time kBegin = 1'000, kSettled = 80'000, kSpan = 30'000;
 
-/// A day on which services fill a fleet, none of which ends. Nothing is lost or late, so that only
-/// the first burst and then plain service are counted.
+/// A simulation in which services that never end fill a fleet. No message is lost or late, so only
+/// the first burst of starts and then regular operation are counted.
 class MeteredDay {
  public:
   MeteredDay() : region_(plan()) {
@@ -34,11 +34,11 @@
     }
     region_.run_until(kSettled);
   }
-  /// Runs a while in which nothing is submitted, starts or ends.
+  /// Resets the counts and runs for `kSpan`, in which nothing is submitted, starts or ends.
   void serve() {
     play([](SimulatedRegion&) {});
   }
-  /// Runs a while after something has happened.
+  /// Resets the counts, calls `happens`, and runs for `kSpan`.
   void play(const std::function<void(SimulatedRegion&)>& happens) {
     meter_->reset();
     happens(region_);
@@ -66,7 +66,7 @@
   SimulatedRegion region_;
 };
 
-/// The most that one unit may take.
+/// Upper bounds on the mean counts per unit of work, such as one heartbeat.
 struct Ceiling {
   double allocations = 0, examined = 0;
 };
@@ -76,14 +76,14 @@
   const auto each = [units](std::uint64_t total) {
     return static_cast<double>(total) / static_cast<double>(units);
   };
-  std::printf("%-22s %6llu, each %.2f allocations of %.0f bytes in all, %.2f looked at\n", what,
-              static_cast<unsigned long long>(units), each(work.allocations), each(work.bytes),
-              each(work.examined));
+  std::printf("%-22s %6llu, on average %.2f allocations of %.0f bytes in all, %.2f examined\n",
+              what, static_cast<unsigned long long>(units), each(work.allocations),
+              each(work.bytes), each(work.examined));
   EXPECT_LE(each(work.allocations), ceiling.allocations) << what;
   EXPECT_LE(each(work.examined), ceiling.examined) << what;
 }
 
-// A quiet worker's heartbeat and a poll examine nothing but their machine and job.
+// The heartbeat of a worker without changes examines only its machine, and a poll only its job.
 TEST(WorkCost, OfHeartbeatsAndPolls) {
   MeteredDay day;
   day.serve();
@@ -91,14 +91,14 @@
   const StepWork& poll = day.meter().leader(InputKind::Poll);
   const StepWork& heartbeat_forwarded = day.meter().follower(InputKind::Heartbeat);
   const StepWork& poll_handed_on = day.meter().follower(InputKind::Poll);
-  expect_at_most("report", heartbeat, heartbeat.steps, {8.5, 0.05});  // 6.83, 0
-  expect_at_most("poll", poll, poll.steps, {7.5, 0.05});              // 6.00, 0
-  expect_at_most("report handed on", heartbeat_forwarded, heartbeat_forwarded.steps,
+  expect_at_most("heartbeat", heartbeat, heartbeat.steps, {8.5, 0.05});  // 6.83, 0
+  expect_at_most("poll", poll, poll.steps, {7.5, 0.05});                 // 6.00, 0
+  expect_at_most("forwarded heartbeat", heartbeat_forwarded, heartbeat_forwarded.steps,
                  {4, 0});                                                          // 3.00, 0
-  expect_at_most("poll handed on", poll_handed_on, poll_handed_on.steps, {3, 0});  // 2.00, 0
+  expect_at_most("forwarded poll", poll_handed_on, poll_handed_on.steps, {3, 0});  // 2.00, 0
 }
 
-// What a leader does by itself while nothing but heartbeats and polls arrive.
+// The work that a leader does by itself, beside that for the heartbeats and polls that arrive.
 TEST(WorkCost, OfAnIdleSecond) {
   MeteredDay day;
   day.serve();
@@ -106,18 +106,20 @@
   for (const InputKind kind :
        {InputKind::Tick, InputKind::KvResponseReceived, InputKind::Peer, InputKind::Other})
     idle.add(day.meter().leader(kind));
-  expect_at_most("second", idle, static_cast<std::uint64_t>(kSpan / 1'000), {75, 1});  // 57.9, 0
+  expect_at_most("idle second", idle, static_cast<std::uint64_t>(kSpan / 1'000),
+                 {75, 1});  // 57.9, 0
 }
 
-// All that a leader does until a cold fleet is up and full, heartbeats and polls included.
+// All work of a leader until a fleet that starts cold is up and full, including heartbeats and
+// polls, per started task.
 TEST(WorkCost, OfAStart) {
   const MeteredDay day;
   expect_at_most("start", day.meter().leader_total(), day.starts(), {190, 13});  // 151.6, 10.1
 }
 
-// All controllers together, heartbeats and polls included, for each second of a span in which
-// nothing happens, in which a leader ends, and in which the key-value store is out while users
-// submit.
+// The work of all controllers together per second, including heartbeats and polls. Three spans are
+// measured: one without events, one in which a leader ends, and one in which the key-value store is
+// down while users submit jobs.
 TEST(WorkCost, OfASecondWithFaults) {
   constexpr auto kSeconds = static_cast<std::uint64_t>(kSpan / 1'000);
   MeteredDay quiet_day;
@@ -125,14 +127,14 @@
   expect_at_most("quiet second", quiet_day.meter().total(), kSeconds, {710, 0.05});  // 568, 0
   MeteredDay failover;
   failover.play([](SimulatedRegion& region) { region.kill(leader_of(region), 2'000); });
-  expect_at_most("second of a take-over", failover.meter().total(), kSeconds,
+  expect_at_most("second with a failover", failover.meter().total(), kSeconds,
                  {800, 6});  // 640, 4.0
   MeteredDay outage;
   outage.play([](SimulatedRegion& region) {
     region.kv_store_outage(kSpan);
     for (std::size_t n = kJobs; n < 2 * kJobs; ++n) region.submit(service(job_id(n), 1));
   });
-  expect_at_most("second of an outage", outage.meter().total(), kSeconds,
+  expect_at_most("second with an outage", outage.meter().total(), kSeconds,
                  {1'300, 0.05});  // 1,009, 0
 }
 
@@ -152,11 +154,11 @@
   const Allocations after = allocations;
   ASSERT_TRUE(heartbeat);
   EXPECT_EQ(heartbeat->tasks.size(), kTasks);
-  std::printf("reading a report: %llu allocations, %llu bytes\n",
+  std::printf("decoding a heartbeat: %llu allocations, %llu bytes\n",
               static_cast<unsigned long long>(after.count - before.count),
               static_cast<unsigned long long>(after.bytes - before.bytes));
-  EXPECT_LE(after.count - before.count, 8U);      // 7; 13 before texts were read in place
-  EXPECT_LE(after.bytes - before.bytes, 3'000U);  // 1,986; 67,262
+  EXPECT_LE(after.count - before.count, 8U);      // 7; 13 if strings are not read in place
+  EXPECT_LE(after.bytes - before.bytes, 3'000U);  // 1,986; 67,262 likewise
 }
 
 }  // namespace
