--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -19,10 +19,10 @@
     region.cancel_at_end(0.05, 200'000);
     pcg32 random(seed);
     for (std::size_t n = 0; n < 640; ++n) {
-      JobSpec s = array(job_id(n), 1, 2 + random(12));
-      s.team = n % 3 == 0 ? "blue" : "red";
-      s.image = "img-" + std::to_string(random(3));
-      region.submit(s, random(4) == 0 ? region.now() + 500 + random(9'000) : 0);
+      JobSpec spec = array(job_id(n), 1, 2 + random(12));
+      spec.team = n % 3 == 0 ? "blue" : "red";
+      spec.image = "img-" + std::to_string(random(3));
+      region.submit(spec, random(4) == 0 ? region.now() + 500 + random(9'000) : 0);
       region.run_until(region.now() + 250);
       if (n == 200 || n == 420) region.kill(leader_of(region), n == 200 ? 400 : 6'000);
       if (n == 300) region.late_writes(0.4, 8'000, seed % 2 == 0);
@@ -36,7 +36,7 @@
 
 // Fault combination: more work than capacity, both urgent and not, over slow links. The largest
 // arrays must start nevertheless.
-TEST(Capacity, MoreWorkThanRoomOverSlowLinks) {
+TEST(Capacity, MoreWorkThanCapacityOverSlowLinks) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 300);
     plan.length = 620'000;
@@ -46,12 +46,12 @@
     region.run_until(1'000);
     region.submit(array("job-9000", 60, 8));  // red's quota limit lets 30 tasks run at once
     for (std::size_t n = 0; n < 90; ++n) {
-      JobSpec s = n % 3 == 0 ? service(job_id(n), 2)
-                             : array(job_id(n), 1 + static_cast<std::uint32_t>(n % 8), 12);
-      s.team = n % 4 == 0 ? "blue" : "red";
-      s.priority = n % 3 == 0 ? static_cast<Priority>(n % 2) : Priority::Low;
-      s.image = "img-" + std::to_string(n % 4);
-      region.submit(s, s.kind == JobKind::Service ? region.now() + 60'000 : 0);
+      JobSpec spec = n % 3 == 0 ? service(job_id(n), 2)
+                                : array(job_id(n), 1 + static_cast<std::uint32_t>(n % 8), 12);
+      spec.team = n % 4 == 0 ? "blue" : "red";
+      spec.priority = n % 3 == 0 ? static_cast<Priority>(n % 2) : Priority::Low;
+      spec.image = "img-" + std::to_string(n % 4);
+      region.submit(spec, spec.kind == JobKind::Service ? region.now() + 60'000 : 0);
       region.run_until(region.now() + 1'200);
       if (n % 30 == 20) region.slow_commands(10'000);
       if (n == 50) region.kill(leader_of(region), 1'000);
@@ -66,18 +66,18 @@
 // quota and may use spot instances: an array of a guest team once filled those machines in all
 // zones. Such work must wait for spot instances. Where there are none, it must still progress, a
 // few tasks at a time.
-TEST(Capacity, WorkBeyondAGuaranteeWaitsForCheapMachines) {
-  for (const bool cheap : {true, false}) {
+TEST(Capacity, WorkBeyondAGuaranteedQuotaWaitsForSpotInstances) {
+  for (const bool spot_available : {true, false}) {
     SimulationPlan plan = quiet(800);
     plan.length = 300'000;
     SimulatedRegion region(plan);
-    if (!cheap)
+    if (!spot_available)
       for (const char* zone : {"za", "zb"}) region.cloud().capacity[{zone, true}] = 0;
     region.run_until(1'000);
     std::size_t done = 0;
     region.on_completed = [&](const TaskKey&, const std::string&) { ++done; };
     region.submit(array("job-1", 80, 4));
-    std::size_t most = 0;
+    std::size_t most_on_demand = 0;
     for (Time t = 2'000; t < 200'000; t += 1'000) {
       region.run_until(t);
       // Stops counting before the remaining tasks fit into the guaranteed quota, because those may
@@ -85,13 +85,13 @@
       if (done >= 60) continue;
       std::size_t on_demand = 0;
       for (const auto& [name, m] : region.cloud().machines) on_demand += m.up && !m.spot ? 1 : 0;
-      most = std::max(most, on_demand);
+      most_on_demand = std::max(most_on_demand, on_demand);
     }
     // The array may get one on-demand machine, and another one in place of a machine that boots
     // late. The 30 tasks within the quota limit would take four.
-    EXPECT_LE(most, 2U) << "spot instances available: " << cheap;
+    EXPECT_LE(most_on_demand, 2U) << "spot instances available: " << spot_available;
     EXPECT_TRUE(region.checker().unfinished_arrays().empty())
-        << "spot instances available: " << cheap;
+        << "spot instances available: " << spot_available;
     region.run();
     EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   }
@@ -100,7 +100,7 @@
 // A guest team without a guaranteed quota submits one huge array and many one-task jobs. Work
 // within another team's guaranteed quota must start as if the guest's jobs did not exist, and the
 // guest's jobs must be served too.
-TEST(Capacity, AGuestDoesNotHoldUpWorkWithinAGuarantee) {
+TEST(Capacity, AGuestDoesNotDelayWorkWithinAGuaranteedQuota) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 1'000);
     plan.length = 420'000;
@@ -112,32 +112,32 @@
     huge.priority = Priority::Low;
     region.submit(huge);
     for (std::size_t n = 300; n < 380; ++n) {
-      JobSpec s = array(job_id(n), 1, 5);
-      s.team = "guest";
-      s.job_class = "swarm";
-      s.priority = Priority::Low;
-      region.submit(s);
+      JobSpec spec = array(job_id(n), 1, 5);
+      spec.team = "guest";
+      spec.job_class = "swarm";
+      spec.priority = Priority::Low;
+      region.submit(spec);
       region.run_until(region.now() + 400);
     }
     // Machines with cached images are up by now, and these requests fit into red's guaranteed
     // quota.
-    std::map<std::string, Time> asked, begun;
+    std::map<std::string, Time> submitted_at, started_at;
     region.on_command = [&](const std::string&, const Command& c) {
-      if (c.op == Command::Op::Start) begun.try_emplace(c.key.job, region.now());
+      if (c.op == Command::Op::Start) started_at.try_emplace(c.key.job, region.now());
     };
     for (std::size_t n = 0; n < 6; ++n) {
-      asked[job_id(n)] = region.now();
-      JobSpec s = service(job_id(n), 2);
-      s.job_class = "serve";
-      region.submit(s);
+      submitted_at[job_id(n)] = region.now();
+      JobSpec spec = service(job_id(n), 2);
+      spec.job_class = "serve";
+      region.submit(spec);
       region.run_until(region.now() + 5'000);
     }
     region.run_until(region.now() + 30'000);
     // A start may have to wait for one machine to boot (12 s, sometimes half as long again), but
     // not for more.
-    for (const auto& [id, when] : asked) {
-      ASSERT_TRUE(begun.contains(id)) << seed << " " << id;
-      EXPECT_LE(begun[id] - when, 25'000) << seed << " " << id;
+    for (const auto& [id, submitted] : submitted_at) {
+      ASSERT_TRUE(started_at.contains(id)) << seed << " " << id;
+      EXPECT_LE(started_at[id] - submitted, 25'000) << seed << " " << id;
     }
     region.run();
     expect_nothing_left(region, seed);
@@ -154,15 +154,15 @@
     region.cloud().one_in_never_up = 2;
     region.run_until(1'000);
     for (std::size_t n = 0; n < 10; ++n) region.submit(service(job_id(n), 2));
-    Time longest = 0;
+    Time longest_boot = 0;
     for (Time t = 2'000; t < 160'000; t += 1'000) {
       region.run_until(t);
       for (const auto& [name, m] : region.cloud().machines)
-        if (m.broken) longest = std::max(longest, t - m.launched);
+        if (m.broken) longest_boot = std::max(longest_boot, t - m.launched);
     }
     // Three boot times of 12 s, plus a lease and a call to the cloud.
-    EXPECT_GT(longest, 30'000) << seed << ": no machine failed to come up";
-    EXPECT_LE(longest, 60'000) << seed;
+    EXPECT_GT(longest_boot, 30'000) << seed << ": no machine failed to come up";
+    EXPECT_LE(longest_boot, 60'000) << seed;
     const Tables& tables = region.controller(leader_of(region))->tables();
     for (const auto& [id, job] : tables.jobs) EXPECT_EQ(job->queued, 0U) << seed << " " << id;
     region.run();
@@ -173,7 +173,7 @@
 // Jobs that fail on every machine until their users cancel them must neither cause the termination
 // of healthy machines as faulty, nor take capacity from others by restarting at once. A machine on
 // which every task fails must still be terminated.
-TEST(Capacity, MistakenJobsAreToldFromFaultyMachines) {
+TEST(Capacity, FailingJobsAreDistinguishedFromFaultyMachines) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 700);
     plan.length = 260'000;
@@ -181,12 +181,12 @@
     region.run_until(1'000);
     submit_mixed_jobs(region, 0, 12, seed);
     region.run_until(45'000);
-    const auto before = busy_machines(region);
-    const std::set<std::string> healthy(before.begin(), before.end());
-    std::size_t starts = 0;
+    const auto busy_before = busy_machines(region);
+    const std::set<std::string> healthy(busy_before.begin(), busy_before.end());
+    std::size_t failing_starts = 0;
     region.on_command = [&](const std::string&, const Command& c) {
-      const bool mistaken = c.key.job.starts_with("job-3") && c.key.job.size() == 6;
-      starts += c.op == Command::Op::Start && mistaken ? 1 : 0;
+      const bool failing = c.key.job.starts_with("job-3") && c.key.job.size() == 6;
+      failing_starts += c.op == Command::Op::Start && failing ? 1 : 0;
     };
     for (std::size_t n = 30; n < 34; ++n)
       region.submit_failing(n % 2 == 0 ? service(job_id(n), 2) : array(job_id(n), 8, 20), 125'000);
@@ -199,21 +199,22 @@
       }
     // 20 tasks in 80 s: each task fails once at first, and after that each job tries one task at a
     // time with increasing delays.
-    EXPECT_LE(starts, 70U) << seed;
-    EXPECT_GT(starts, 20U) << seed;
+    EXPECT_LE(failing_starts, 70U) << seed;
+    EXPECT_GT(failing_starts, 20U) << seed;
     region.run_until(140'000);
     for (std::size_t n = 30; n < 34; ++n)
       EXPECT_TRUE(tables.finished.contains(job_id(n))) << seed << " " << n;
     const auto busy = busy_machines(region);
     ASSERT_FALSE(busy.empty());
-    const std::string& bad = busy.front();
-    region.make_faulty(bad);
+    const std::string& faulty_machine = busy.front();
+    region.make_faulty(faulty_machine);
     for (std::size_t n = 40; n < 56; ++n) {
       region.submit(array(job_id(n), 2, 6));
       region.run_until(region.now() + 2'000);
     }
     region.run_until(215'000);
-    EXPECT_FALSE(region.controller(leader_of(region))->tables().machines.contains(bad)) << seed;
+    EXPECT_FALSE(region.controller(leader_of(region))->tables().machines.contains(faulty_machine))
+        << seed;
     EXPECT_TRUE(region.checker().unfinished_arrays().empty()) << seed;
     EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
   }
@@ -223,7 +224,7 @@
 // heartbeat that showed the machine to be faulty had it drained at once, which moved the attempts
 // that the rest of the heartbeat is compared with. The fault was found by code review, and no seed
 // has reproduced a failure.
-TEST(Capacity, AMachineFoundFaultyByAHeartbeatThatSaysMore) {
+TEST(Capacity, AMachineFoundFaultyWhileItsHeartbeatIsProcessed) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     SimulationPlan plan = quiet(seed + 900);
     plan.length = 300'000;
@@ -256,22 +257,22 @@
     region.run_until(1'000);
     region.poll_closely(plan.length);
     for (std::size_t n = 0; n < 14; ++n) {
-      JobSpec s = n % 2 == 0 ? service(job_id(n), 3) : array(job_id(n), 5, 25);
-      s.team = n % 3 == 0 ? "blue" : "red";
+      JobSpec spec = n % 2 == 0 ? service(job_id(n), 3) : array(job_id(n), 5, 25);
+      spec.team = n % 3 == 0 ? "blue" : "red";
       if (n % 4 < 2)
-        s.one_zone = true;
+        spec.one_zone = true;
       else
-        s.zone = n % 8 < 4 ? "za" : "zb";
-      if (n == 0) s.spread = !(s.one_zone = false);
-      region.submit(s);
+        spec.zone = n % 8 < 4 ? "za" : "zb";
+      if (n == 0) spec.spread = !(spec.one_zone = false);
+      region.submit(spec);
     }
     region.run_until(40'000);
     const auto busy = busy_machines(region);
-    for (std::size_t k = 0; k < busy.size(); k += 2) {
-      if (k % 4 == 0)
-        region.kill_machine(busy[k]);
+    for (std::size_t index = 0; index < busy.size(); index += 2) {
+      if (index % 4 == 0)
+        region.kill_machine(busy[index]);
       else
-        region.preempt_machine(busy[k], 5'000);
+        region.preempt_machine(busy[index], 5'000);
       region.run_until(region.now() + 1'000);
     }
     if (seed % 2 == 0) region.kill(leader_of(region), 3'000);
@@ -285,7 +286,7 @@
 
 // Fault combination: a zone with workers and a controller is partitioned for longer than a lease,
 // and jobs on both sides are cancelled.
-TEST(Capacity, AZoneCutOffForLongerThanALease) {
+TEST(Capacity, AZonePartitionedForLongerThanALease) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SimulationPlan plan = quiet(seed + 500);
     plan.length = 340'000;
@@ -313,7 +314,7 @@
 // reach them. Since such a machine answers inquiries, it used to look usable again and again, and
 // attracted the waiting work. A start command may only be sent with the response to a machine's own
 // heartbeat.
-TEST(Capacity, AMachineThatReachesNoControllerDrawsNoWork) {
+TEST(Capacity, AMachineThatReachesNoControllerGetsNoWork) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 600);
     plan.length = 260'000;
@@ -321,26 +322,26 @@
     region.run_until(1'000);
     submit_mixed_jobs(region, 0, 8, seed);
     region.run_until(50'000);
-    std::set<std::string> mute;
+    std::set<std::string> blocked_machines;
     for (const auto& m : busy_machines(region))
-      if (mute.size() < 2) mute.insert(m);
-    for (const auto& m : mute) region.block_outbound(m, 70'000);
+      if (blocked_machines.size() < 2) blocked_machines.insert(m);
+    for (const auto& m : blocked_machines) region.block_outbound(m, 70'000);
     if (seed % 2 == 0) region.kill(leader_of(region), 3'000);
     region.run_until(58'000);  // these machines have missed heartbeats by now
     for (std::size_t n = 20; n < 28; ++n) region.submit(service(job_id(n), 1), 140'000);
-    std::size_t kept = 0;
+    std::size_t reserved = 0;
     for (Time t = 59'000; t < 100'000; t += 500) {
       region.run_until(t);
       if (region.leader() < 0) continue;
       for (const auto& [name, m] : region.controller(leader_of(region))->tables().machines)
-        if (mute.contains(name))
-          for (const TaskAttempt& p : m->attempts)
-            kept += p.state == AttemptState::Reserved && p.key.job >= "job-20" &&
-                            p.key.job <= "job-27" && p.key.job.size() == 6
-                        ? 1
-                        : 0;
+        if (blocked_machines.contains(name))
+          for (const TaskAttempt& attempt : m->attempts)
+            reserved += attempt.state == AttemptState::Reserved && attempt.key.job >= "job-20" &&
+                                attempt.key.job <= "job-27" && attempt.key.job.size() == 6
+                            ? 1
+                            : 0;
     }
-    EXPECT_EQ(kept, 0U) << "seed " << seed;
+    EXPECT_EQ(reserved, 0U) << "seed " << seed;
     region.run_until(160'000);
     region.faults_ended();
     region.run();
--- a/tests/day_test.cpp
+++ b/tests/day_test.cpp
@@ -11,7 +11,7 @@
 
 // Runs the rest of the simulation and expects that no rule is broken. Faults stop well before the
 // end, so every accepted array must be over by then.
-void expect_kept(SimulatedRegion& region, const SimulationPlan& plan) {
+void expect_rules_kept(SimulatedRegion& region, const SimulationPlan& plan) {
   region.run();
   region.checker().end();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
@@ -28,7 +28,7 @@
   SimulationPlan plan;
   plan.seed = GetParam();
   SimulatedRegion region(plan);
-  expect_kept(region, plan);
+  expect_rules_kept(region, plan);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, SeededDay, ::testing::Range<std::uint64_t>(1, 81),
@@ -44,7 +44,7 @@
   plan.fault_pairs = GetParam() % 2 == 0;
   plan.length = 300'000;
   SimulatedRegion region(plan);
-  expect_kept(region, plan);
+  expect_rules_kept(region, plan);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, GangDay, ::testing::Range<std::uint64_t>(1, 61),
@@ -65,7 +65,7 @@
   SimulatedRegion region(plan);
   region.run_until(plan.faults_from);
   EXPECT_GT(region.machines_up().size(), 120U);
-  expect_kept(region, plan);
+  expect_rules_kept(region, plan);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, LargeDay, ::testing::Range<std::uint64_t>(1, 4),
@@ -86,11 +86,11 @@
   EXPECT_GT(region.machines_up().size(), 600U);
   const int leader = region.leader();
   ASSERT_GE(leader, 0);
-  const std::uint64_t looked = region.controller(static_cast<std::size_t>(leader))->examined();
+  const std::uint64_t examined = region.controller(static_cast<std::size_t>(leader))->examined();
   std::printf("machines %zu, examined per heartbeat %.1f\n", region.machines_up().size(),
-              static_cast<double>(looked) / static_cast<double>(region.heartbeats()));
-  EXPECT_LT(looked, 200 * region.heartbeats());
-  expect_kept(region, plan);
+              static_cast<double>(examined) / static_cast<double>(region.heartbeats()));
+  EXPECT_LT(examined, 200 * region.heartbeats());
+  expect_rules_kept(region, plan);
 }
 
 }  // namespace
--- a/tests/fixed_limits_test.cpp
+++ b/tests/fixed_limits_test.cpp
@@ -14,7 +14,7 @@
 // Guards against restarting the list after each page that the rate limit delays, so that its end is
 // never read.
 TEST(FixedLimits, AListOfManyPagesIsReadToItsEnd) {
-  constexpr std::size_t kUnexpected = 1'200;
+  constexpr std::size_t kUnknownMachines = 1'200;
   SimulationPlan plan = quiet(31);
   Deployment deployment = sample_deployment(plan);
   for (Settings& settings : deployment.controllers) settings.cloud_limits.rps = 2;
@@ -22,17 +22,17 @@
   SimulatedRegion region(plan);
   // A scale-out request that the cloud carries out late leaves such machines, which no controller
   // knows. None of them ever comes up.
-  for (std::size_t n = 0; n < kUnexpected; ++n) {
-    CloudMachine m;
-    m.name = "m-" + std::to_string(500'000 + n);
-    m.type = "box";
-    m.zone = n % 2 == 0 ? "za" : "zb";
-    m.broken = true;
-    region.cloud().machines[m.name] = m;
+  for (std::size_t n = 0; n < kUnknownMachines; ++n) {
+    CloudMachine machine;
+    machine.name = "m-" + std::to_string(500'000 + n);
+    machine.type = "box";
+    machine.zone = n % 2 == 0 ? "za" : "zb";
+    machine.broken = true;
+    region.cloud().machines[machine.name] = machine;
   }
   region.run_until(30'000);
   const Tables& tables = region.controller(leader_of(region))->tables();
-  EXPECT_EQ(tables.machines.size(), kUnexpected);
+  EXPECT_EQ(tables.machines.size(), kUnknownMachines);
   region.run();
   EXPECT_TRUE(region.cloud().machines.empty())
       << region.cloud().machines.size() << " machines still cost money";
@@ -40,7 +40,7 @@
 
 // More machines are unreachable than inquiries have sockets. A machine that dies elsewhere must
 // still be asked in its turn, and be terminated well before its lease expires.
-TEST(FixedLimits, ADeadMachineIsFoundBesideManyOutOfReach) {
+TEST(FixedLimits, ADeadMachineIsDetectedAmongManyUnreachableOnes) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = quiet(seed + 40);
     plan.scale = 4;
@@ -56,22 +56,23 @@
     region.run_until(45'000);
     region.cut_zone("za", 60'000, false);
     region.run_until(56'000);
-    std::size_t out_of_reach = 0;
-    std::string last;
+    std::size_t unreachable_machines = 0;
+    std::string machine_to_kill;
     for (const std::string& name : region.machines_up()) {
-      const bool cut = region.cloud().machines.at(name).zone == "za";
-      out_of_reach += cut ? 1 : 0;
-      if (!cut) last = name;
+      const bool unreachable = region.cloud().machines.at(name).zone == "za";
+      unreachable_machines += unreachable ? 1 : 0;
+      if (!unreachable) machine_to_kill = name;
     }
-    ASSERT_GT(out_of_reach, 6U) << "inquiries have a fifth of the 30 sockets";
-    ASSERT_FALSE(last.empty());
-    region.kill_machine(last);
+    ASSERT_GT(unreachable_machines, 6U) << "inquiries have a fifth of the 30 sockets";
+    ASSERT_FALSE(machine_to_kill.empty());
+    region.kill_machine(machine_to_kill);
     // Enough time for two failed inquiries, each after two rounds of inquiries to the other
     // machines, and a call to the cloud.
     region.run_until(region.now() + 14'000);
     const Controller* leader = region.controller(leader_of(region));
     ASSERT_NE(leader, nullptr);
-    EXPECT_EQ(leader->tables().machines.count(last), 0U) << "seed " << seed << " " << last;
+    EXPECT_EQ(leader->tables().machines.count(machine_to_kill), 0U)
+        << "seed " << seed << " " << machine_to_kill;
     region.run();
     EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   }
@@ -89,16 +90,16 @@
   // All submissions arrive at one moment: once the burst of the write rate limit is spent, they
   // wait for the next commit.
   const auto body = [](std::size_t n) { return encode_submission(array(job_id(n), 1, 5)); };
-  std::size_t refused = 0;
-  for (std::size_t n = 0; n < 2'500; ++n) refused += driver.submit(body(n)) == 503 ? 1 : 0;
-  EXPECT_EQ(refused, 0U);
-  for (std::size_t n = 2'500; n < 4'000; ++n) refused += driver.submit(body(n)) == 503 ? 1 : 0;
-  EXPECT_GT(refused, 0U) << "submissions beyond the number of sockets must be rejected at once";
+  std::size_t rejected = 0;
+  for (std::size_t n = 0; n < 2'500; ++n) rejected += driver.submit(body(n)) == 503 ? 1 : 0;
+  EXPECT_EQ(rejected, 0U);
+  for (std::size_t n = 2'500; n < 4'000; ++n) rejected += driver.submit(body(n)) == 503 ? 1 : 0;
+  EXPECT_GT(rejected, 0U) << "submissions beyond the number of sockets must be rejected at once";
 }
 
 // Attempt numbers of one epoch must not overlap those of the next. The leader resigns before its
 // numbers are used up, and the work continues under the next epoch.
-TEST(FixedLimits, UsedUpAttemptNumbersChangeTheLeader) {
+TEST(FixedLimits, ExhaustedAttemptNumbersChangeTheLeader) {
   SimulationPlan plan = quiet(51);
   plan.options.attempts_per_epoch = 60;
   SimulatedRegion region(plan);
@@ -114,7 +115,7 @@
   EXPECT_TRUE(region.checker().unfinished_arrays().empty());
 }
 
-TEST(FixedLimits, SocketsAreSharedOutWithinTheLimit) {
+TEST(FixedLimits, SocketsAreDistributedWithinTheLimit) {
   for (const std::size_t peers : {0U, 2U, 4U, 20U})
     for (const std::uint64_t sockets : {8U, 30U, 100U, 500U, 700U, 20'000U}) {
       Settings settings = sample_settings(0);
@@ -144,7 +145,7 @@
   EXPECT_EQ(tightest_limit(settings, {}, 40).machines, 0);
 }
 
-TEST(FixedLimits, TheDeploymentDescribedIsWhatTeamsAreGuaranteed) {
+TEST(FixedLimits, DescribedMachinesHoldTheGuaranteedQuotas) {
   Settings settings = sample_settings(0);
   settings.teams = {{"red", 0, 0, 8'000, 30'000}, {"blue", 100, 200, 24'000, 0}};
   MachineType small = sample_type();
@@ -160,7 +161,7 @@
 
 // A controller starts even if the settings' limits can't carry the deployment that they describe,
 // and logs one warning per leader.
-TEST(FixedLimits, TooLowALimitIsOneWarningLine) {
+TEST(FixedLimits, ALimitThatIsTooLowLogsOneWarning) {
   Settings settings = settings_without_peers();
   settings.teams = {{"red", 0, 0, 32'000, 40'000}};
   ControllerDriver driver(settings);
@@ -173,10 +174,10 @@
       << driver.warnings().front();
   EXPECT_NE(driver.warnings().front().find("described=4000"), std::string::npos);
 
-  ControllerDriver carried(settings_without_peers());
-  carried.set_types({sample_type()});
-  carried.run_for(120'000);
-  EXPECT_TRUE(carried.warnings().empty());
+  ControllerDriver driver_within_limits(settings_without_peers());
+  driver_within_limits.set_types({sample_type()});
+  driver_within_limits.run_for(120'000);
+  EXPECT_TRUE(driver_within_limits.warnings().empty());
 }
 
 }  // namespace
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -15,7 +15,7 @@
 
 /// The plan of a simulation with about `machines` machines. The rate limits of the key-value store
 /// and the cloud grow with the fleet.
-SimulationPlan large_day(std::uint32_t machines, std::uint64_t seed) {
+SimulationPlan large_fleet_plan(std::uint32_t machines, std::uint64_t seed) {
   constexpr double kWritesPerMachine = 0.1;
   SimulationPlan plan = quiet(seed);
   plan.scale = machines / kMachinesPerScale;
@@ -47,28 +47,28 @@
     spec.image = "img-" + std::to_string(random(kImages));
     spec.priority = spec.kind == JobKind::Array ? Priority::Low : static_cast<Priority>(random(2));
     spec.spread = spec.kind == JobKind::Service && random(3) == 0;
-    const bool ends = spec.kind == JobKind::Service && random(3) == 0;
-    region.submit(spec, ends ? region.now() + 25'000 + random(15'000) : 0);
+    const bool is_cancelled = spec.kind == JobKind::Service && random(3) == 0;
+    region.submit(spec, is_cancelled ? region.now() + 25'000 + random(15'000) : 0);
     if (n % (jobs / 100 + 1) == 0) region.run_until(region.now() + 100);
   }
 }
 
 /// The size of a fleet, and how many jobs and machines its leader examined.
-struct Work {
+struct BurstWork {
   double machines = 0;
   double examined = 0;
 };
 
-Work work_of_a_burst(std::uint32_t machines) {
-  SimulationPlan plan = large_day(machines, 5);
+BurstWork measure_burst(std::uint32_t machines) {
+  SimulationPlan plan = large_fleet_plan(machines, 5);
   SimulatedRegion region(plan);
   region.run_until(1'000);
   submit_burst(region, machines, 5);
   region.run_until(50'000);
   const std::size_t leader = leader_of(region);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
-  Work work{static_cast<double>(region.machines_up().size()),
-            static_cast<double>(region.controller(leader)->examined())};
+  BurstWork work{static_cast<double>(region.machines_up().size()),
+                 static_cast<double>(region.controller(leader)->examined())};
   std::printf("machines %.0f, examined %.0f, %.1f per heartbeat\n", work.machines, work.examined,
               work.examined / static_cast<double>(region.heartbeats()));
   return work;
@@ -77,11 +77,11 @@
 // Compares how much a leader examines during a burst of work in fleets of different sizes.
 // Quadratic growth would give a slope of 2 on logarithmic scales.
 TEST(LargeFleet, WorkGrowsWithTheFleetNotWithItsSquare) {
-  const Work small = work_of_a_burst(500);
-  const Work middle = work_of_a_burst(2'000);
-  const Work large = work_of_a_burst(8'000);
+  const BurstWork small = measure_burst(500);
+  const BurstWork middle = measure_burst(2'000);
+  const BurstWork large = measure_burst(8'000);
   ASSERT_GT(large.machines, 5'000);
-  const auto slope = [](const Work& a, const Work& b) {
+  const auto slope = [](const BurstWork& a, const BurstWork& b) {
     return std::log(b.examined / a.examined) / std::log(b.machines / a.machines);
   };
   std::printf("slopes %.2f, %.2f\n", slope(small, middle), slope(middle, large));
@@ -99,22 +99,22 @@
              : nullptr;
 }
 
-/// The simulated time (ms) until a leader has finished reconciliation; at least `most` if none
-/// does.
-Time time_to_reconcile(SimulatedRegion& region, Time most) {
+/// The simulated time (ms) until a leader has finished reconciliation; at least `time_limit_ms` if
+/// none does.
+Time time_to_reconcile(SimulatedRegion& region, Time time_limit_ms) {
   constexpr Time kStep = 50;
-  const Time began = region.now();
-  while (settled_leader(region) == nullptr && region.now() - began < most)
+  const Time began_at = region.now();
+  while (settled_leader(region) == nullptr && region.now() - began_at < time_limit_ms)
     region.run_until(region.now() + kStep);
-  return region.now() - began;
+  return region.now() - began_at;
 }
 
 // Fault combination: more than 4,000 machines start cold, then the leader is killed, and then a
 // zone with half of the machines is lost. All tasks that may run must run again once replacement
 // machines are up.
-TEST(LargeFleet, AColdStartAFailoverAndALostZone) {
+TEST(LargeFleet, ColdStartThenFailoverThenZoneLoss) {
   constexpr std::uint32_t kMachines = 6'000;
-  SimulationPlan plan = large_day(kMachines, 8);
+  SimulationPlan plan = large_fleet_plan(kMachines, 8);
   plan.length = 150'000;
   SimulatedRegion region(plan);
   region.run_until(1'000);
@@ -123,12 +123,12 @@
   ASSERT_GE(region.machines_up().size(), 4'000U);
   region.kill(leader_of(region), 6'000);
   region.run_until(region.now() + 100);
-  const Time reconciled = time_to_reconcile(region, 20'000);
+  const Time reconciliation_ms = time_to_reconcile(region, 20'000);
   std::printf("machines %zu, reconciled after %lld ms\n", region.machines_up().size(),
-              static_cast<long long>(reconciled));
+              static_cast<long long>(reconciliation_ms));
   // The leader's lease, which is a tenth of a worker's, the time to read the checkpoint, and one
   // inquiry to each machine.
-  EXPECT_LT(reconciled, 5'000);
+  EXPECT_LT(reconciliation_ms, 5'000);
   for (const std::string& name : region.machines_up())
     if (const auto it = region.cloud().machines.find(name);
         it != region.cloud().machines.end() && it->second.zone == "zb")
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -9,22 +9,22 @@
 namespace sailreel::sim {
 namespace {
 
-constexpr double kLowKb = 2;
-constexpr std::uint64_t kLowOperations = 5;
+constexpr double kLowValueKb = 2;
+constexpr std::uint64_t kLowTxnOperations = 5;
 
-Settings low_limits() {
+Settings settings_with_low_limits() {
   Settings settings = settings_without_peers();
-  settings.store.value_kb = kLowKb;
-  settings.store.txn_ops = kLowOperations;
+  settings.store.value_kb = kLowValueKb;
+  settings.store.txn_ops = kLowTxnOperations;
   return settings;
 }
 
-void lower_limits(ControllerDriver& driver) {
-  driver.kv_store().value_limit = static_cast<std::size_t>(kLowKb * 1024);
-  driver.kv_store().ops_limit = kLowOperations;
+void lower_store_limits(ControllerDriver& driver) {
+  driver.kv_store().value_limit = static_cast<std::size_t>(kLowValueKb * 1024);
+  driver.kv_store().ops_limit = kLowTxnOperations;
 }
 
-JobRecord record_of(std::size_t n, std::uint32_t tasks) {
+JobRecord array_record(std::size_t n, std::uint32_t tasks) {
   JobRecord record;
   record.spec = array(job_id(n), tasks, 30);
   record.seq = 1;
@@ -33,18 +33,18 @@
 }
 
 // The manifest that the former leader wrote is three times as large as the current limit on values.
-TEST(LowerLimits, ALargeHeadIsDividedAndNothingOfItIsLost) {
-  constexpr std::uint64_t kLeastOperations = 3;
-  Settings settings = low_limits();
-  settings.store.txn_ops = kLeastOperations;
+TEST(LowerLimits, ALargeManifestIsSplitWithoutLoss) {
+  constexpr std::uint64_t kMinTxnOperations = 3;
+  Settings settings = settings_with_low_limits();
+  settings.store.txn_ops = kMinTxnOperations;
   ControllerDriver driver(settings);
   std::vector<std::string> records;
-  for (std::size_t n = 0; n < 60; ++n) records.push_back(encode_record(record_of(n, 8)));
+  for (std::size_t n = 0; n < 60; ++n) records.push_back(encode_record(array_record(n, 8)));
   const std::string manifest = encode_manifest({1, 0, {}}, records);
   ASSERT_GT(manifest.size(), std::size_t{5} * 1024);
   driver.write(kManifestKey, manifest);
-  lower_limits(driver);
-  driver.kv_store().ops_limit = kLeastOperations;
+  lower_store_limits(driver);
+  driver.kv_store().ops_limit = kMinTxnOperations;
   driver.run_for(4'000);
   EXPECT_TRUE(driver.controller().leading());
   EXPECT_EQ(driver.kv_store().malformed, 0U);
@@ -58,21 +58,21 @@
 // the job moves to a shard with a higher number, where older versions look for the latest record
 // too.
 TEST(LowerLimits, AJobOfALargeShardMovesToAHigherOneWhenItChanges) {
-  ControllerDriver driver(low_limits());
+  ControllerDriver driver(settings_with_low_limits());
   std::vector<std::string> records;
   for (std::size_t n = 0; n < 40; ++n) {
     // The job's tasks may be on machine m-1 below, which doesn't respond, so a cancellation takes
     // long.
-    JobRecord record = record_of(n, 8);
+    JobRecord record = array_record(n, 8);
     record.started = 8;
     records.push_back(encode_record(record));
   }
   const std::string shard = encode_shard(records);
   driver.write(shard_key(2), shard);
   driver.write(machines_key(0), encode_machines({{"m-1", "10.1.0.1:9000", {}}}));
-  driver.write(shard_key(1), encode_shard({encode_record(record_of(90, 1))}));
+  driver.write(shard_key(1), encode_shard({encode_record(array_record(90, 1))}));
   driver.write(kManifestKey, encode_manifest({1, 0, {}}, {}));
-  lower_limits(driver);
+  lower_store_limits(driver);
   driver.run_for(2'000);
   for (std::size_t n = 0; n < 30; ++n) driver.cancel(job_id(n));
   driver.run_for(4'000);
@@ -92,15 +92,15 @@
 // A bitmap piece of the older, regular size exceeds the limit on values, so changes must be written
 // in small pieces.
 TEST(LowerLimits, LargeBitmapsAreWrittenInSmallPieces) {
-  ControllerDriver driver(low_limits());
+  ControllerDriver driver(settings_with_low_limits());
   constexpr std::uint32_t kTasks = 9'000;
-  JobRecord record = record_of(1, kTasks);
+  JobRecord record = array_record(1, kTasks);
   record.started = kTasks;
   record.done.set(7);
   driver.write(kManifestKey, encode_manifest({1, 0, {}}, {encode_record(record)}));
   driver.write(bitmap_key("job-1", 0), encode_piece(record.done.hex(0, kPieceBits)));
   driver.write(machines_key(0), encode_machines({{"m-1", "10.1.0.1:9000", {}}}));
-  lower_limits(driver);
+  lower_store_limits(driver);
   driver.run_for(2'000);
   std::vector<TaskStatus> finished;
   for (const std::uint32_t index : {3U, 8'500U})
@@ -123,7 +123,7 @@
 // controller must write smaller ones.
 TEST(LowerLimits, ARejectedCommitIsFollowedBySmallerOnes) {
   ControllerDriver driver(settings_without_peers());
-  lower_limits(driver);
+  lower_store_limits(driver);
   driver.run_for(500);
   driver.set_types({sample_type()});
   driver.run_for(3'000);
@@ -133,18 +133,18 @@
   }
   driver.run_for(30'000);
   EXPECT_GT(driver.kv_store().malformed, 0U);
-  const std::uint64_t refused = driver.kv_store().malformed;
+  const std::uint64_t rejected_before = driver.kv_store().malformed;
   for (std::size_t n = 0; n < 60; ++n) {
     driver.submit(encode_submission(array(job_id(n), 8, 30)));
     driver.run_for(100);
   }
   driver.run_for(10'000);
-  EXPECT_EQ(driver.kv_store().malformed, refused);
+  EXPECT_EQ(driver.kv_store().malformed, rejected_before);
   EXPECT_EQ(driver.checkpoint().jobs.size(), 60U);
 }
 
-TEST(LowerLimits, ADescriptionThatFitsNoValueIsRefusedAtOnce) {
-  ControllerDriver driver(low_limits());
+TEST(LowerLimits, ADescriptionThatFitsNoValueIsRejectedAtOnce) {
+  ControllerDriver driver(settings_with_low_limits());
   driver.set_types({sample_type()});
   driver.run_for(3'000);
   JobSpec spec = array("job-1", 1, 30);
@@ -159,11 +159,11 @@
 
 // Names of the greatest permitted length make the description larger than the room that the
 // manifest has beside its other contents.
-TEST(LowerLimits, ALargeDescriptionThatFitsAValueIsTaken) {
-  ControllerDriver driver(low_limits());
+TEST(LowerLimits, ALargeDescriptionThatFitsAValueIsAccepted) {
+  ControllerDriver driver(settings_with_low_limits());
   driver.set_types({sample_type()});
   driver.run_for(500);
-  lower_limits(driver);
+  lower_store_limits(driver);
   driver.run_for(2'500);
   JobSpec spec = array("job-1", 512, 30);
   spec.job_class = std::string(200, 'c');
@@ -182,7 +182,7 @@
 
 // While the cloud doesn't respond, scale-out requests accumulate in the manifest, which must stay
 // within the limit on values.
-TEST(LowerLimits, OpenRentalsNeverOutgrowTheHead) {
+TEST(LowerLimits, PendingScaleOutsNeverOutgrowTheManifest) {
   SimulationPlan plan = quiet(8);
   plan.next_value_kb = 1;
   plan.next_txn_ops = 3;
@@ -204,7 +204,7 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-TEST(JobShards, NothingIsPlacedBelowAClosedShard) {
+TEST(JobShards, NoJobIsPlacedBelowAClosedShard) {
   JobShards shards(100);
   shards.add("job-1", 0, 10);
   shards.add("job-2", 4, 10);
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -54,17 +54,19 @@
   plan.length = 400'000;
   SimulatedRegion region(plan);
   region.run_until(250'000);
-  std::size_t unfinished = 0;
+  std::size_t unfinished_before = 0;
   for (int round = 0; round < 3; ++round) {
     const int leader = region.leader();
     ASSERT_GE(leader, 0);
-    unfinished = region.controller(static_cast<std::size_t>(leader))->tables().jobs.size();
+    unfinished_before = region.controller(static_cast<std::size_t>(leader))->tables().jobs.size();
     region.kill(static_cast<std::size_t>(leader), 6'000);
     // Stops at the moment of the failover, before the new leader cleans up.
     while (region.leader() < 0) region.run_until(region.now() + 5);
-    const int next = region.leader();
-    EXPECT_LE(region.controller(static_cast<std::size_t>(next))->tables().jobs.size(), unfinished);
-    EXPECT_GT(region.controller(static_cast<std::size_t>(next))->tables().finished.size(), 20U);
+    const int next_leader = region.leader();
+    EXPECT_LE(region.controller(static_cast<std::size_t>(next_leader))->tables().jobs.size(),
+              unfinished_before);
+    EXPECT_GT(region.controller(static_cast<std::size_t>(next_leader))->tables().finished.size(),
+              20U);
     region.run_until(region.now() + 15'000);
   }
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
@@ -73,7 +75,7 @@
 // Guards against polls that get 404 for an existing job: a candidate answered a lookup that it had
 // begun before its election from the snapshot that it cleared upon winning. Every poll here goes to
 // controllers in the middle of an election.
-TEST(Incident, PollsDuringAnElectionNeverFindNothing) {
+TEST(Incident, PollsDuringAnElectionNeverGet404) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedRegion region(quiet(seed));
     region.run_until(1'000);
@@ -90,17 +92,17 @@
 
 // A controller that has lost the key-value store and its peers, but not its workers, must release
 // the workers: once the new leader reaches them, they switch to it before their leases expire.
-TEST(Incident, AnIsolatedLeaderLetsItsWorkersGo) {
+TEST(Incident, AnIsolatedLeaderReleasesItsWorkers) {
   SimulatedRegion region(quiet(3));
   region.run_until(1'000);
   region.submit(service("job-1", 4));
   region.run_until(40'000);
   const int old_leader = region.leader();
   ASSERT_GE(old_leader, 0);
-  const auto name = "node-" + std::to_string(old_leader);
-  region.cut(name, kKvStoreHost, 60'000, true);
+  const auto old_leader_name = "node-" + std::to_string(old_leader);
+  region.cut(old_leader_name, kKvStoreHost, 60'000, true);
   for (int i = 0; i < 3; ++i)
-    if (i != old_leader) region.cut(name, "node-" + std::to_string(i), 60'000, true);
+    if (i != old_leader) region.cut(old_leader_name, "node-" + std::to_string(i), 60'000, true);
   int starts = 0;
   count_starts(region, starts);
   region.run_until(95'000);
@@ -112,12 +114,12 @@
 // 2.4 leases, and all of its tasks ended although a controller in the zone heard their machines.
 // That controller must keep the tasks alive, whether the leader is inside or outside of the zone,
 // and no other controller may start them elsewhere.
-TEST(Incident, AZoneThatIsCutOffKeepsItsTasks) {
+TEST(Incident, APartitionedZoneKeepsItsTasks) {
   constexpr std::uint64_t kSeeds = 12;
-  for (std::uint64_t scene = 0; scene < kSeeds * 4; ++scene) {
-    const std::uint64_t seed = 10 + scene / 4;
-    const char* zone = scene % 2 == 0 ? "za" : "zb";
-    const bool hold = scene % 4 < 2;
+  for (std::uint64_t scenario = 0; scenario < kSeeds * 4; ++scenario) {
+    const std::uint64_t seed = 10 + scenario / 4;
+    const char* zone = scenario % 2 == 0 ? "za" : "zb";
+    const bool hold = scenario % 4 < 2;
     SimulationPlan plan = quiet(seed);
     plan.loss = 0;
     SimulatedRegion region(plan);
@@ -143,10 +145,10 @@
   }
 }
 
-// Limits what AZoneThatIsCutOffKeepsItsTasks requires: the tasks of a zone that stays partitioned
+// Limits what APartitionedZoneKeepsItsTasks requires: the tasks of a zone that stays partitioned
 // are replaced elsewhere, but only once nothing can run in the zone any more. The checker reports a
 // task that runs twice.
-TEST(Incident, AZoneThatStaysAwayIsReplaced) {
+TEST(Incident, TasksOfAZoneThatStaysPartitionedAreReplaced) {
   SimulationPlan plan = quiet(19);
   plan.length = 160'000;
   // Without random message loss: the heartbeats of a reachable machine may pass through the
@@ -162,27 +164,27 @@
   }
   region.run_until(50'000);
   const Controller* controller = region.controller(static_cast<std::size_t>(region.leader()));
-  const std::string away =
+  const std::string partitioned_zone =
       sample_settings(static_cast<std::size_t>(region.leader())).zone == "za" ? "zb" : "za";
-  std::size_t there = 0;
+  std::size_t attempts_in_zone = 0;
   for (const auto& [name, m] : controller->tables().machines)
-    if (m->zone == away) there += m->attempts.size();
-  ASSERT_GE(there, 1U);
-  std::size_t started = 0;
+    if (m->zone == partitioned_zone) attempts_in_zone += m->attempts.size();
+  ASSERT_GE(attempts_in_zone, 1U);
+  std::size_t starts = 0;
   region.on_command = [&](const std::string&, const Command& c) {
-    started += c.op == Command::Op::Start ? 1 : 0;
+    starts += c.op == Command::Op::Start ? 1 : 0;
   };
-  std::size_t lost_within_reach = 0;
+  std::size_t lost_elsewhere = 0;
   region.on_ended = [&](const TaskKey&, const std::string& machine) {
     const auto& machines = region.cloud().machines;
     const auto it = machines.find(machine);
-    lost_within_reach += it != machines.end() && it->second.zone != away ? 1 : 0;
+    lost_elsewhere += it != machines.end() && it->second.zone != partitioned_zone ? 1 : 0;
   };
-  region.cut_zone(away, 100'000, false);
+  region.cut_zone(partitioned_zone, 100'000, false);
   region.run_until(78'000);
-  EXPECT_EQ(started, 0U) << "tasks were started before the leases of the zone can have expired";
+  EXPECT_EQ(starts, 0U) << "tasks were started before the leases of the zone can have expired";
   region.run_until(140'000);
-  EXPECT_EQ(lost_within_reach, 0U);
+  EXPECT_EQ(lost_elsewhere, 0U);
   for (const auto& [id, job] : controller->tables().jobs)
     EXPECT_EQ(job->placed, job->spec().tasks) << id;
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
@@ -190,7 +192,7 @@
 
 // A cancellation is confirmed only once the job's tasks are gone: other controllers may keep an
 // unreachable machine alive for longer than cancel_s.
-TEST(Incident, ACancellationWaitsForAMachineThatIsNotReached) {
+TEST(Incident, ACancellationWaitsForAnUnreachableMachine) {
   constexpr std::size_t kJobs = 12;
   SimulatedRegion region(quiet(18));
   region.run_until(1'000);
@@ -211,7 +213,7 @@
 
 // Guards against a recorded incident: the leader lost its workers and peers, but not the key-value
 // store, so it kept its own lease while the lease of every worker expired.
-TEST(Incident, ALeaderThatHearsNoWorkerGivesWay) {
+TEST(Incident, ALeaderThatHearsNoWorkerResigns) {
   SimulatedRegion region(quiet(8));
   region.run_until(1'000);
   JobSpec spec = service("job-1", 4);
@@ -220,12 +222,12 @@
   region.run_until(40'000);
   const int old_leader = region.leader();
   ASSERT_GE(old_leader, 0);
-  const auto name = "node-" + std::to_string(old_leader);
+  const auto old_leader_name = "node-" + std::to_string(old_leader);
   for (int i = 0; i < 3; ++i)
-    if (i != old_leader) region.cut(name, "node-" + std::to_string(i), 60'000, true);
+    if (i != old_leader) region.cut(old_leader_name, "node-" + std::to_string(i), 60'000, true);
   // Machines that come up later are cut off as well: a leader that hears a single machine does not
   // resign.
-  for (std::size_t m = 1; m < 30; ++m) region.cut(name, machine_name(m), 60'000, true);
+  for (std::size_t m = 1; m < 30; ++m) region.cut(old_leader_name, machine_name(m), 60'000, true);
   int starts = 0;
   count_starts(region, starts);
   region.run_until(95'000);
@@ -234,7 +236,7 @@
 }
 
 // No task ends because of a key-value store outage that lasts longer than the lease of a worker.
-TEST(Incident, AnOutageOfTheStateServiceKeepsTasksAlive) {
+TEST(Incident, TasksSurviveAKeyValueStoreOutage) {
   SimulatedRegion region(quiet(4));
   region.run_until(1'000);
   region.submit(service("job-1", 4));
@@ -251,7 +253,7 @@
 // the load balancer's list. When they were taken off it, users found no controller for seconds
 // after the outage had ended. A controller that alone has lost the store and its peers must leave
 // the list.
-TEST(Incident, NodesStayHealthyInAnOutageNotWhenCutOff) {
+TEST(Incident, NodesAreHealthyInAnOutageButNotWhenIsolated) {
   const auto healthy = [](const SimulatedRegion& region, std::size_t node) {
     return region.controller(node)->healthy(region.now() + 1'000'000);
   };
@@ -288,32 +290,32 @@
 // A machine that receives no messages loses its tasks when its lease expires, although its
 // heartbeats still arrive. The tasks run elsewhere afterwards, and never in two places at the same
 // time.
-TEST(Incident, ADeafMachineIsNotCountedOn) {
+TEST(Incident, TasksOfAMachineThatReceivesNothingRunElsewhere) {
   SimulatedRegion region(quiet(5));
   region.run_until(1'000);
   region.submit(service("job-1", 2));
   region.run_until(30'000);
-  std::string deaf;
+  std::string blocked_machine;
   region.on_command = [&](const std::string& machine, const Command& c) {
-    if (c.op == Command::Op::Start) deaf = machine;
+    if (c.op == Command::Op::Start) blocked_machine = machine;
   };
   region.submit(service("job-2", 1));
   region.run_until(40'000);
-  ASSERT_FALSE(deaf.empty());
-  region.block_inbound(deaf, 80'000);
-  std::set<std::string> elsewhere;
+  ASSERT_FALSE(blocked_machine.empty());
+  region.block_inbound(blocked_machine, 80'000);
+  std::set<std::string> jobs_elsewhere;
   region.on_command = [&](const std::string& machine, const Command& c) {
-    if (c.op == Command::Op::Start && machine != deaf) elsewhere.insert(c.key.job);
+    if (c.op == Command::Op::Start && machine != blocked_machine) jobs_elsewhere.insert(c.key.job);
   };
   region.run();
-  EXPECT_TRUE(elsewhere.contains("job-2"));
+  EXPECT_TRUE(jobs_elsewhere.contains("job-2"));
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
 // Guards against an autoscaler that counts only the first 64 waiting jobs: it ignored most of the
 // demand of a cold start, and launched no instances for work of the lowest priority until all other
 // work ran.
-TEST(Size, AColdStartScalesOutForAllThatWaits) {
+TEST(Size, AColdStartScalesOutForAllWaitingJobs) {
   SimulatedRegion region(quiet(10));
   for (int n = 0; n < 90; ++n) {
     JobSpec spec = service("job-" + std::to_string(100 + n), 1);
@@ -325,16 +327,17 @@
   // State before any machine is up. The services' 90 x 0.2 GPUs need three machines of 8 GPUs,
   // including headroom. The array has the lowest priority and needs a spot instance.
   region.run_until(6'000);
-  std::size_t on_demand = 0, cheap = 0;
-  for (const auto& [name, m] : region.cloud().machines) ++(m.spot ? cheap : on_demand);
-  EXPECT_GE(on_demand, 3U);
-  EXPECT_GE(cheap, 1U);
+  std::size_t on_demand_instances = 0, spot_instances = 0;
+  for (const auto& [name, m] : region.cloud().machines)
+    ++(m.spot ? spot_instances : on_demand_instances);
+  EXPECT_GE(on_demand_instances, 3U);
+  EXPECT_GE(spot_instances, 1U);
 }
 
 // Replicas that end are spread over the machines, so no machine becomes empty by itself. Such
 // machines made up half of the cost at the end of a simulated day. Surplus machines must be
 // drained, and a migrating replica must be down for only about one heartbeat interval.
-TEST(Fleet, SurplusMachinesAreEmptied) {
+TEST(Fleet, SurplusMachinesAreDrained) {
   SimulatedRegion region(quiet(15));
   region.run_until(1'000);
   for (int n = 0; n < 36; ++n) {
@@ -343,25 +346,25 @@
     region.submit(spec, n % 4 == 1 ? 0 : 60'000);
   }
   region.run_until(59'000);
-  const std::size_t before = region.machines_up().size();
-  std::map<std::string, Time> stopped;
-  std::size_t moves = 0;
-  Time longest = 0;
+  const std::size_t machines_before = region.machines_up().size();
+  std::map<std::string, Time> stopped_at;
+  std::size_t migrations = 0;
+  Time longest_downtime = 0;
   region.on_command = [&](const std::string&, const Command& c) {
     const auto task = task_name(c.key);
-    if (c.op == Command::Op::Stop) stopped.try_emplace(task, region.now());
+    if (c.op == Command::Op::Stop) stopped_at.try_emplace(task, region.now());
     if (c.op != Command::Op::Start) return;
-    const auto it = stopped.find(task);
-    if (it == stopped.end()) return;
-    ++moves;
-    longest = std::max(longest, region.now() - it->second);
-    stopped.erase(it);
+    const auto it = stopped_at.find(task);
+    if (it == stopped_at.end()) return;
+    ++migrations;
+    longest_downtime = std::max(longest_downtime, region.now() - it->second);
+    stopped_at.erase(it);
   };
   region.run();
-  EXPECT_GE(before, 5U);
+  EXPECT_GE(machines_before, 5U);
   EXPECT_LE(region.machines_up().size(), 2U);
-  EXPECT_GT(moves, 0U);
-  EXPECT_LE(longest, 1'500);
+  EXPECT_GT(migrations, 0U);
+  EXPECT_LE(longest_downtime, 1'500);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
@@ -388,22 +391,24 @@
     const int leader = region.leader();
     if (leader < 0 || region.machines_up().size() < 150) return 0.0;
     const Controller* controller = region.controller(static_cast<std::size_t>(leader));
-    const std::uint64_t examined = controller->examined(), heartbeats = region.heartbeats();
+    const std::uint64_t examined_before = controller->examined(),
+                        heartbeats_before = region.heartbeats();
     region.run_until(80'000);
-    return static_cast<double>(controller->examined() - examined) /
-           static_cast<double>(region.heartbeats() - heartbeats);
+    return static_cast<double>(controller->examined() - examined_before) /
+           static_cast<double>(region.heartbeats() - heartbeats_before);
   };
-  const double few = per_heartbeat(120), many = per_heartbeat(960);
-  std::printf("examined per heartbeat: %.1f with 120 jobs, %.1f with 960\n", few, many);
-  ASSERT_GT(few, 0);
+  const double with_few_jobs = per_heartbeat(120), with_many_jobs = per_heartbeat(960);
+  std::printf("examined per heartbeat: %.1f with 120 jobs, %.1f with 960\n", with_few_jobs,
+              with_many_jobs);
+  ASSERT_GT(with_few_jobs, 0);
   // The second run has eight times as many jobs, and may take less than four times the work.
-  EXPECT_LT(many, 4 * few);
+  EXPECT_LT(with_many_jobs, 4 * with_few_jobs);
 }
 
 // Guards against a recorded incident: a machine that the former leader had terminated, or that died
 // at the same time as that leader, delayed reconciliation for the machine's lease and the former
 // leader's grace period, 22 s in all.
-TEST(Incident, AMachineThatDiedWithTheLeaderDoesNotHoldUpReconciliation) {
+TEST(Incident, AMachineThatDiedWithTheLeaderDoesNotDelayReconciliation) {
   SimulatedRegion region(quiet(12));
   region.run_until(1'000);
   for (int n = 0; n < 20; ++n) region.submit(service("job-" + std::to_string(n), 1));
@@ -414,9 +419,9 @@
   region.kill_machine(region.machines_up().front());
   region.kill(static_cast<std::size_t>(old_leader), 6'000);
   region.run_until(48'000);
-  const int next = region.leader();
-  ASSERT_GE(next, 0);
-  EXPECT_FALSE(region.controller(static_cast<std::size_t>(next))->reconciling());
+  const int next_leader = region.leader();
+  ASSERT_GE(next_leader, 0);
+  EXPECT_FALSE(region.controller(static_cast<std::size_t>(next_leader))->reconciling());
   region.run();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
@@ -424,7 +429,7 @@
 // Guards against a recorded incident: heartbeats that a partition had delayed arrived at its end,
 // just before those of the machines' new incarnations. The leader considered the machines unable to
 // receive messages, and gave them no work for two leases.
-TEST(Incident, HeartbeatsThatACutHeldBackDoNotMakeAMachineDeaf) {
+TEST(Incident, DelayedHeartbeatsDoNotQuarantineAMachine) {
   SimulatedRegion region(quiet(13));
   region.run_until(1'000);
   for (int n = 0; n < 36; ++n) {
@@ -438,15 +443,15 @@
   const Controller* controller = region.controller(static_cast<std::size_t>(leader));
   // Cuts off all machines of one zone: if no other machine of the zone responds, they are not
   // considered dead.
-  std::vector<std::string> cut;
+  std::vector<std::string> partitioned;
   for (const auto& [name, m] : controller->tables().machines)
-    if (m->heard_in_epoch && !m->empty() && m->zone == "za") cut.push_back(name);
-  ASSERT_GE(cut.size(), 2U);
-  for (const auto& name : cut)
+    if (m->heard_in_epoch && !m->empty() && m->zone == "za") partitioned.push_back(name);
+  ASSERT_GE(partitioned.size(), 2U);
+  for (const auto& name : partitioned)
     for (int i = 0; i < 3; ++i) region.cut("node-" + std::to_string(i), name, 16'000, true);
   region.run_until(70'000);
   ASSERT_EQ(region.leader(), leader);
-  for (const auto& name : cut) {
+  for (const auto& name : partitioned) {
     const auto m = controller->tables().machines.find(name);
     ASSERT_NE(m, controller->tables().machines.end()) << name;
     EXPECT_GT(m->second->incarnation, 1U);
@@ -459,7 +464,7 @@
 // While zones are partitioned, a leader can't reach the machines of the other zone. A rule that
 // used only the ratio of silent machines to all machines terminated healthy ones. Silent machines
 // may be considered dead only if other machines of their zone respond.
-TEST(Incident, TheDeadAreToldFromTheUnreached) {
+TEST(Incident, DeadMachinesAreDistinguishedFromUnreachableOnes) {
   SimulationPlan plan = quiet(16);
   plan.scale = 6;
   SimulatedRegion region(plan);
@@ -469,21 +474,22 @@
   const int leader = region.leader();
   ASSERT_GE(leader, 0);
   const Controller* controller = region.controller(static_cast<std::size_t>(leader));
-  std::vector<std::string> here, there;
+  std::vector<std::string> machines_za, machines_zb;
   for (const auto& [name, m] : controller->tables().machines)
-    if (!m->empty()) (m->zone == "za" ? here : there).push_back(name);
-  ASSERT_GE(here.size(), 6U);
-  ASSERT_GE(there.size(), 6U);
+    if (!m->empty()) (m->zone == "za" ? machines_za : machines_zb).push_back(name);
+  ASSERT_GE(machines_za.size(), 6U);
+  ASSERT_GE(machines_zb.size(), 6U);
   // Two machines of zone za die while the machines of zone zb are unreachable for less than a
   // lease.
-  for (const auto& name : there)
+  for (const auto& name : machines_zb)
     for (int i = 0; i < 3; ++i) region.cut("node-" + std::to_string(i), name, 8'000, true);
-  region.kill_machine(here[0]);
-  region.kill_machine(here[1]);
+  region.kill_machine(machines_za[0]);
+  region.kill_machine(machines_za[1]);
   region.run_until(58'000);
-  EXPECT_FALSE(controller->tables().machines.contains(here[0]));
-  EXPECT_FALSE(controller->tables().machines.contains(here[1]));
-  for (const auto& name : there) EXPECT_TRUE(controller->tables().machines.contains(name)) << name;
+  EXPECT_FALSE(controller->tables().machines.contains(machines_za[0]));
+  EXPECT_FALSE(controller->tables().machines.contains(machines_za[1]));
+  for (const auto& name : machines_zb)
+    EXPECT_TRUE(controller->tables().machines.contains(name)) << name;
   region.run();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
@@ -518,7 +524,7 @@
 // Guards against a controller whose memory grew to 19 MB: it had not read the checkpoint for
 // minutes, and then requested all changes since. The size of the store's response must not grow
 // with the time since the last read.
-TEST(Incident, ALookUpAfterALongTimeReadsTheKeysNotTheChanges) {
+TEST(Incident, ALookupAfterALongTimeReadsKeysInsteadOfChanges) {
   SimulationPlan plan = quiet(14);
   plan.scale = 17;
   plan.jobs = 1'000;
@@ -528,8 +534,8 @@
     if (const int leader = region.leader(); leader >= 0)
       region.kill(static_cast<std::size_t>(leader), 6'000);
   };
-  for (const Time when : {20'000, 60'000, 120'000}) {
-    region.run_until(when);
+  for (const Time kill_time : {20'000, 60'000, 120'000}) {
+    region.run_until(kill_time);
     kill_leader();
   }
   region.run();
@@ -547,21 +553,21 @@
   region.run_until(60'000);
   const int leader = region.leader();
   ASSERT_GE(leader, 0);
-  const std::size_t done = region.controller(static_cast<std::size_t>(leader))
-                               ->tables()
-                               .jobs.at("job-1")
-                               ->record.done.count();
-  EXPECT_GT(done, 20U);
+  const std::size_t done_before = region.controller(static_cast<std::size_t>(leader))
+                                      ->tables()
+                                      .jobs.at("job-1")
+                                      ->record.done.count();
+  EXPECT_GT(done_before, 20U);
   region.run_until(62'000);  // the checkpoint contains the completions by now
   region.kill(static_cast<std::size_t>(leader), 6'000);
   region.run_until(75'000);
-  const int next = region.leader();
-  ASSERT_GE(next, 0);
-  EXPECT_GE(region.controller(static_cast<std::size_t>(next))
+  const int next_leader = region.leader();
+  ASSERT_GE(next_leader, 0);
+  EXPECT_GE(region.controller(static_cast<std::size_t>(next_leader))
                 ->tables()
                 .jobs.at("job-1")
                 ->record.done.count(),
-            done);
+            done_before);
   EXPECT_EQ(region.kv_store().malformed, 0U);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -12,9 +12,9 @@
 namespace sailreel::sim {
 namespace {
 
-constexpr Time kBegin = 55'000, kApart = 12'000, kDown = 3'000;
+constexpr Time kFirstUpgradeMs = 55'000, kUpgradeIntervalMs = 12'000, kDowntimeMs = 3'000;
 
-SimulationPlan upgrade_day(std::uint64_t seed) {
+SimulationPlan upgrade_plan(std::uint64_t seed) {
   SimulationPlan plan = quiet(seed);
   plan.length = 600'000;
   plan.next_value_kb = 2;
@@ -26,29 +26,29 @@
 
 /// A fault that is injected before each step of a rolling upgrade. A test parameter, which is
 /// printed by its name.
-struct RollFault {
+struct UpgradeFault {
   const char* name;
-  std::function<void(SimulatedRegion&, int step)> play;
+  std::function<void(SimulatedRegion&, int step)> inject;
 };
 // NOLINTNEXTLINE(readability-identifier-naming): GoogleTest looks for this name
-void PrintTo(const RollFault& fault, std::ostream* out) { *out << fault.name; }
+void PrintTo(const UpgradeFault& fault, std::ostream* out) { *out << fault.name; }
 
-class Upgrade : public ::testing::TestWithParam<RollFault> {};
+class Upgrade : public ::testing::TestWithParam<UpgradeFault> {};
 
 TEST_P(Upgrade, KeepsTheRulesInEveryOrder) {
   std::vector<std::size_t> order{0, 1, 2};
   std::uint64_t seed = 1;
   do {
-    SimulatedRegion region(upgrade_day(seed * 11));
+    SimulatedRegion region(upgrade_plan(seed * 11));
     region.run_until(1'000);
     submit_mixed_jobs(region, 0, 40, seed);
-    region.run_until(kBegin);
+    region.run_until(kFirstUpgradeMs);
     region.poll_closely(300'000);
     int step = 0;
     for (const std::size_t node : order) {
-      GetParam().play(region, step++);
-      region.upgrade(node, kDown);
-      region.run_until(region.now() + kApart);
+      GetParam().inject(region, step++);
+      region.upgrade(node, kDowntimeMs);
+      region.run_until(region.now() + kUpgradeIntervalMs);
     }
     region.run_until(region.now() + 10'000);
     region.lower_limits();
@@ -69,58 +69,59 @@
   } while (std::next_permutation(order.begin(), order.end()));
 }
 
-const RollFault kFaults[] = {{"NoFault", [](SimulatedRegion&, int) {}},
-                             {"TheLeaderRestartsWithoutAnUpgrade",
-                              [](SimulatedRegion& w, int) {
-                                w.kill(leader_of(w), 500);
-                                w.run_until(w.now() + 4'000);
-                                w.kill(leader_of(w), 300);
-                                w.run_until(w.now() + 3'000);
-                              }},
-                             {"TheLeaderIsFrozen",
-                              [](SimulatedRegion& w, int) {
-                                w.freeze(leader_of(w), 6'000);
-                                w.run_until(w.now() + 3'000);
-                              }},
-                             {"TheKeyValueStoreRejectsOneController",
-                              [](SimulatedRegion& w, int step) {
-                                w.reject_kv_requests(static_cast<std::size_t>(step), 14'000);
-                                w.run_until(w.now() + 1'000);
-                              }},
-                             {"KeyValueStoreOutage",
-                              [](SimulatedRegion& w, int) {
-                                w.kv_store_outage(8'000);
-                                w.run_until(w.now() + 1'000);
-                              }},
-                             {"AZoneIsPartitioned",
-                              [](SimulatedRegion& w, int step) {
-                                w.cut_zone(step % 2 == 0 ? "za" : "zb", 11'000, step == 1);
-                                w.run_until(w.now() + 2'000);
-                              }},
-                             {"OneControllerIsIsolated",
-                              [](SimulatedRegion& w, int step) {
-                                w.isolate(static_cast<std::size_t>(step), 9'000, step == 0);
-                                w.run_until(w.now() + 2'000);
-                              }},
-                             {"CommitOutcomesAreUnknownAtEachStep",
-                              [](SimulatedRegion& w, int step) {
-                                w.late_writes(0.5, 6'000, step % 2 == 0);
-                                w.delay_heartbeats(0.3, 6'000);
-                                w.cancel_now(3, 0);
-                                w.run_until(w.now() + 500);
-                                w.kill(leader_of(w), 2'000);
-                                w.run_until(w.now() + 500);
-                              }},
-                             {"CancelledByOneVersionAndEnforcedByTheOther",
-                              [](SimulatedRegion& w, int step) {
-                                w.cancel_now(4, step == 1 ? 6'000 : 0);
-                                w.run_until(w.now() + 60);
-                              }},
-                             {"AllControllersRestartAtOnce", [](SimulatedRegion& w, int) {
-                                for (std::size_t i = 0; i < 3; ++i)
-                                  w.kill(i, 1'000 + 300 * static_cast<Time>(i));
-                                w.run_until(w.now() + 2'500);
-                              }}};
+const UpgradeFault kFaults[] = {{"NoFault", [](SimulatedRegion&, int) {}},
+                                {"TheLeaderRestartsWithoutAnUpgrade",
+                                 [](SimulatedRegion& region, int) {
+                                   region.kill(leader_of(region), 500);
+                                   region.run_until(region.now() + 4'000);
+                                   region.kill(leader_of(region), 300);
+                                   region.run_until(region.now() + 3'000);
+                                 }},
+                                {"TheLeaderIsFrozen",
+                                 [](SimulatedRegion& region, int) {
+                                   region.freeze(leader_of(region), 6'000);
+                                   region.run_until(region.now() + 3'000);
+                                 }},
+                                {"TheKeyValueStoreRejectsOneController",
+                                 [](SimulatedRegion& region, int step) {
+                                   region.reject_kv_requests(static_cast<std::size_t>(step),
+                                                             14'000);
+                                   region.run_until(region.now() + 1'000);
+                                 }},
+                                {"KeyValueStoreOutage",
+                                 [](SimulatedRegion& region, int) {
+                                   region.kv_store_outage(8'000);
+                                   region.run_until(region.now() + 1'000);
+                                 }},
+                                {"AZoneIsPartitioned",
+                                 [](SimulatedRegion& region, int step) {
+                                   region.cut_zone(step % 2 == 0 ? "za" : "zb", 11'000, step == 1);
+                                   region.run_until(region.now() + 2'000);
+                                 }},
+                                {"OneControllerIsIsolated",
+                                 [](SimulatedRegion& region, int step) {
+                                   region.isolate(static_cast<std::size_t>(step), 9'000, step == 0);
+                                   region.run_until(region.now() + 2'000);
+                                 }},
+                                {"CommitOutcomesAreUnknownAtEachStep",
+                                 [](SimulatedRegion& region, int step) {
+                                   region.late_writes(0.5, 6'000, step % 2 == 0);
+                                   region.delay_heartbeats(0.3, 6'000);
+                                   region.cancel_now(3, 0);
+                                   region.run_until(region.now() + 500);
+                                   region.kill(leader_of(region), 2'000);
+                                   region.run_until(region.now() + 500);
+                                 }},
+                                {"CancelledByOneVersionAndEnforcedByTheOther",
+                                 [](SimulatedRegion& region, int step) {
+                                   region.cancel_now(4, step == 1 ? 6'000 : 0);
+                                   region.run_until(region.now() + 60);
+                                 }},
+                                {"AllControllersRestartAtOnce", [](SimulatedRegion& region, int) {
+                                   for (std::size_t i = 0; i < 3; ++i)
+                                     region.kill(i, 1'000 + 300 * static_cast<Time>(i));
+                                   region.run_until(region.now() + 2'500);
+                                 }}};
 
 INSTANTIATE_TEST_SUITE_P(Faults, Upgrade, ::testing::ValuesIn(kFaults),
                          [](const auto& info) { return std::string(info.param.name); });
@@ -130,7 +131,7 @@
 // lists of machines.
 TEST(Upgrade, LimitsFallAtAnyStepAfterwardsWithLargeValuesStored) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    SimulationPlan plan = upgrade_day(seed * 5);
+    SimulationPlan plan = upgrade_plan(seed * 5);
     plan.next_value_kb = seed % 2 == 0 ? 2 : 1;
     plan.next_txn_ops = seed % 4 < 2 ? 5 : 3;
     SimulatedRegion region(plan);
@@ -139,14 +140,14 @@
     JobSpec large = array("job-900", 9'000, 1);
     large.need = {0.03, 0, 0.01};
     if (seed % 4 == 0) region.submit(large);
-    region.run_until(kBegin);
+    region.run_until(kFirstUpgradeMs);
     for (std::size_t node = 0; node < 3; ++node) {
-      region.upgrade((node + seed) % 3, kDown);
+      region.upgrade((node + seed) % 3, kDowntimeMs);
       // No pause follows the last upgrade, so the former leader's manifest isn't flushed before the
       // limits fall.
-      if (node < 2) region.run_until(region.now() + kApart);
+      if (node < 2) region.run_until(region.now() + kUpgradeIntervalMs);
     }
-    region.run_until(region.now() + kDown + 50 * static_cast<Time>(seed));
+    region.run_until(region.now() + kDowntimeMs + 50 * static_cast<Time>(seed));
     region.lower_limits();
     region.run_until(region.now() + 200 * static_cast<Time>(seed));
     region.kill(leader_of(region), 2'000);
@@ -165,14 +166,14 @@
 
 // A new controller rejects a gang that it would have to forward to a leader of the version in
 // production.
-TEST(Upgrade, GangsAreNotHandedToAnOlderLeader) {
-  SimulatedRegion region(upgrade_day(4));
+TEST(Upgrade, GangsAreNotForwardedToAnOlderLeader) {
+  SimulatedRegion region(upgrade_plan(4));
   region.run_until(2'000);
-  const std::size_t lead = leader_of(region);
-  const std::size_t other = (lead + 1) % 3;
-  region.upgrade(other, kDown);
+  const std::size_t leader = leader_of(region);
+  const std::size_t other = (leader + 1) % 3;
+  region.upgrade(other, kDowntimeMs);
   region.run_until(15'000);
-  ASSERT_EQ(leader_of(region), lead);
+  ASSERT_EQ(leader_of(region), leader);
   int status = 0;
   JobSpec spec = gang("job-1", 3, 2, 10);
   region.submit_at(spec, other, [&status](int s) { status = s; });
@@ -181,11 +182,11 @@
 }
 
 // Gangs are rejected while any controller runs the version in production.
-TEST(Upgrade, GangsWaitUntilAllControllersAreNew) {
-  SimulatedRegion region(upgrade_day(3));
+TEST(Upgrade, GangsAreRejectedUntilAllControllersAreNew) {
+  SimulatedRegion region(upgrade_plan(3));
   region.run_until(2'000);
-  region.upgrade(1, kDown);
-  region.upgrade(2, kDown);
+  region.upgrade(1, kDowntimeMs);
+  region.upgrade(2, kDowntimeMs);
   region.run_until(20'000);
   region.kill(0, 8'000);
   region.run_until(25'000);
@@ -195,7 +196,7 @@
   region.ask_for("job-1", leader_of(region), UserOp::Submit, [&status](int s) { status = s; });
   region.run_until(26'000);
   EXPECT_EQ(status, 503);
-  region.upgrade(0, kDown);
+  region.upgrade(0, kDowntimeMs);
   region.run_until(65'000);
   EXPECT_TRUE(region.checker().unfinished_arrays().empty());
   EXPECT_GT(region.gang_starts("job-1"), 0U);
--- a/tests/work_cost_test.cpp
+++ b/tests/work_cost_test.cpp
@@ -14,17 +14,17 @@
 
 constexpr std::size_t kJobs = 60;
 constexpr std::uint32_t kTasksPerJob = 4;
-constexpr Time kBegin = 1'000, kSettled = 80'000, kSpan = 30'000;
+constexpr Time kSubmitMs = 1'000, kSettledMs = 80'000, kMeasuredMs = 30'000;
 
 /// A simulation in which services that never end fill a fleet. No message is lost or late, so only
 /// the first burst of starts and then regular operation are counted.
-class MeteredDay {
+class MeteredSimulation {
  public:
-  MeteredDay() : region_(plan()) {
+  MeteredSimulation() : region_(plan()) {
     region_.on_command = [this](const std::string&, const Command& command) {
       starts_ += command.op == Command::Op::Start ? 1 : 0;
     };
-    region_.run_until(kBegin);
+    region_.run_until(kSubmitMs);
     meter_->reset();
     for (std::size_t n = 0; n < kJobs; ++n) {
       JobSpec spec = service(job_id(n), kTasksPerJob);
@@ -32,17 +32,17 @@
       spec.image = "img-" + std::to_string(n % 5);
       region_.submit(spec);
     }
-    region_.run_until(kSettled);
+    region_.run_until(kSettledMs);
   }
-  /// Resets the counts and runs for `kSpan`, in which nothing is submitted, starts or ends.
-  void serve() {
-    play([](SimulatedRegion&) {});
+  /// Resets the counts and runs for `kMeasuredMs`, in which nothing is submitted, starts or ends.
+  void run_idle() {
+    run_with_event([](SimulatedRegion&) {});
   }
-  /// Resets the counts, calls `happens`, and runs for `kSpan`.
-  void play(const std::function<void(SimulatedRegion&)>& happens) {
+  /// Resets the counts, calls `event`, and runs for `kMeasuredMs`.
+  void run_with_event(const std::function<void(SimulatedRegion&)>& event) {
     meter_->reset();
-    happens(region_);
-    region_.run_until(region_.now() + kSpan);
+    event(region_);
+    region_.run_until(region_.now() + kMeasuredMs);
   }
   [[nodiscard]] const WorkMeter& meter() const { return *meter_; }
   [[nodiscard]] std::uint64_t starts() const { return starts_; }
@@ -67,78 +67,80 @@
 };
 
 /// Upper bounds on the mean counts per unit of work, such as one heartbeat.
-struct Ceiling {
+struct WorkCeiling {
   double allocations = 0, examined = 0;
 };
 
-void expect_at_most(const char* what, const StepWork& work, std::uint64_t units, Ceiling ceiling) {
-  ASSERT_GT(units, 20U) << what;
-  const auto each = [units](std::uint64_t total) {
+void expect_at_most(const char* unit_name, const StepWork& work, std::uint64_t units,
+                    WorkCeiling ceiling) {
+  ASSERT_GT(units, 20U) << unit_name;
+  const auto per_unit = [units](std::uint64_t total) {
     return static_cast<double>(total) / static_cast<double>(units);
   };
   std::printf("%-22s %6llu, on average %.2f allocations of %.0f bytes in all, %.2f examined\n",
-              what, static_cast<unsigned long long>(units), each(work.allocations),
-              each(work.bytes), each(work.examined));
-  EXPECT_LE(each(work.allocations), ceiling.allocations) << what;
-  EXPECT_LE(each(work.examined), ceiling.examined) << what;
+              unit_name, static_cast<unsigned long long>(units), per_unit(work.allocations),
+              per_unit(work.bytes), per_unit(work.examined));
+  EXPECT_LE(per_unit(work.allocations), ceiling.allocations) << unit_name;
+  EXPECT_LE(per_unit(work.examined), ceiling.examined) << unit_name;
 }
 
 // The heartbeat of a worker without changes examines only its machine, and a poll only its job.
 TEST(WorkCost, OfHeartbeatsAndPolls) {
-  MeteredDay day;
-  day.serve();
-  const StepWork& heartbeat = day.meter().leader(InputKind::Heartbeat);
-  const StepWork& poll = day.meter().leader(InputKind::Poll);
-  const StepWork& heartbeat_forwarded = day.meter().follower(InputKind::Heartbeat);
-  const StepWork& poll_handed_on = day.meter().follower(InputKind::Poll);
+  MeteredSimulation simulation;
+  simulation.run_idle();
+  const StepWork& heartbeat = simulation.meter().leader(InputKind::Heartbeat);
+  const StepWork& poll = simulation.meter().leader(InputKind::Poll);
+  const StepWork& forwarded_heartbeat = simulation.meter().follower(InputKind::Heartbeat);
+  const StepWork& forwarded_poll = simulation.meter().follower(InputKind::Poll);
   expect_at_most("heartbeat", heartbeat, heartbeat.steps, {8.5, 0.05});  // 6.83, 0
   expect_at_most("poll", poll, poll.steps, {7.5, 0.05});                 // 6.00, 0
-  expect_at_most("forwarded heartbeat", heartbeat_forwarded, heartbeat_forwarded.steps,
+  expect_at_most("forwarded heartbeat", forwarded_heartbeat, forwarded_heartbeat.steps,
                  {4, 0});                                                          // 3.00, 0
-  expect_at_most("forwarded poll", poll_handed_on, poll_handed_on.steps, {3, 0});  // 2.00, 0
+  expect_at_most("forwarded poll", forwarded_poll, forwarded_poll.steps, {3, 0});  // 2.00, 0
 }
 
 // The work that a leader does by itself, beside that for the heartbeats and polls that arrive.
 TEST(WorkCost, OfAnIdleSecond) {
-  MeteredDay day;
-  day.serve();
+  MeteredSimulation simulation;
+  simulation.run_idle();
   StepWork idle;
   for (const InputKind kind :
        {InputKind::Tick, InputKind::KvResponseReceived, InputKind::Peer, InputKind::Other})
-    idle.add(day.meter().leader(kind));
-  expect_at_most("idle second", idle, static_cast<std::uint64_t>(kSpan / 1'000),
+    idle.add(simulation.meter().leader(kind));
+  expect_at_most("idle second", idle, static_cast<std::uint64_t>(kMeasuredMs / 1'000),
                  {75, 1});  // 57.9, 0
 }
 
 // All work of a leader until a fleet that starts cold is up and full, including heartbeats and
 // polls, per started task.
 TEST(WorkCost, OfAStart) {
-  const MeteredDay day;
-  expect_at_most("start", day.meter().leader_total(), day.starts(), {190, 13});  // 151.6, 10.1
+  const MeteredSimulation simulation;
+  expect_at_most("start", simulation.meter().leader_total(), simulation.starts(),
+                 {190, 13});  // 151.6, 10.1
 }
 
 // The work of all controllers together per second, including heartbeats and polls. Three spans are
 // measured: one without events, one in which a leader ends, and one in which the key-value store is
 // down while users submit jobs.
 TEST(WorkCost, OfASecondWithFaults) {
-  constexpr auto kSeconds = static_cast<std::uint64_t>(kSpan / 1'000);
-  MeteredDay quiet_day;
-  quiet_day.serve();
-  expect_at_most("quiet second", quiet_day.meter().total(), kSeconds, {710, 0.05});  // 568, 0
-  MeteredDay failover;
-  failover.play([](SimulatedRegion& region) { region.kill(leader_of(region), 2'000); });
+  constexpr auto kSeconds = static_cast<std::uint64_t>(kMeasuredMs / 1'000);
+  MeteredSimulation undisturbed;
+  undisturbed.run_idle();
+  expect_at_most("quiet second", undisturbed.meter().total(), kSeconds, {710, 0.05});  // 568, 0
+  MeteredSimulation failover;
+  failover.run_with_event([](SimulatedRegion& region) { region.kill(leader_of(region), 2'000); });
   expect_at_most("second with a failover", failover.meter().total(), kSeconds,
                  {800, 6});  // 640, 4.0
-  MeteredDay outage;
-  outage.play([](SimulatedRegion& region) {
-    region.kv_store_outage(kSpan);
+  MeteredSimulation outage;
+  outage.run_with_event([](SimulatedRegion& region) {
+    region.kv_store_outage(kMeasuredMs);
     for (std::size_t n = kJobs; n < 2 * kJobs; ++n) region.submit(service(job_id(n), 1));
   });
   expect_at_most("second with an outage", outage.meter().total(), kSeconds,
                  {1'300, 0.05});  // 1,009, 0
 }
 
-TEST(WorkCost, OfReadingAHeartbeat) {
+TEST(WorkCost, OfDecodingAHeartbeat) {
   constexpr int kTasks = 4;
   std::string text =
       R"({"vessel":"m-000123","endpoint":"127.10.0.23:7000","hull":"box-large","harbor":"za",)"
