--- a/tests/day_test.cpp
+++ b/tests/day_test.cpp
@@ -1,4 +1,5 @@
-// Whole simulated days with seeded faults: the rules are checked after each step.
+// Complete simulations with seeded faults. The checker verifies the protocol's rules after each
+// step.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -8,9 +9,9 @@
 namespace sailreel::sim {
 namespace {
 
-// Runs the rest of the day. Faults end well before it does: by then every array that was accepted
-// is over.
-void expect_kept(SimulatedRegion& region, const SimulationPlan& plan) {
+// Runs the rest of the simulation and expects that no rule is broken. Faults stop well before the
+// end, so every accepted array must be over by then.
+void expect_rules_kept(SimulatedRegion& region, const SimulationPlan& plan) {
   region.run();
   region.checker().end();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
@@ -27,13 +28,13 @@
   SimulationPlan plan;
   plan.seed = GetParam();
   SimulatedRegion region(plan);
-  expect_kept(region, plan);
+  expect_rules_kept(region, plan);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, SeededDay, ::testing::Range<std::uint64_t>(1, 81),
                          ::testing::PrintToStringParamName());
 
-// The same with a third of gangs: their tasks wait, start and stop together.
+// Like SeededDay, but a third of the jobs are gangs, whose tasks wait, start and stop together.
 class GangDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(GangDay, KeepsTheRules) {
@@ -43,13 +44,14 @@
   plan.fault_pairs = GetParam() % 2 == 0;
   plan.length = 300'000;
   SimulatedRegion region(plan);
-  expect_kept(region, plan);
+  expect_rules_kept(region, plan);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, GangDay, ::testing::Range<std::uint64_t>(1, 61),
                          ::testing::PrintToStringParamName());
 
-// Some 200 machines and hundreds of jobs, under crashes, partitions and waves.
+// About 200 machines and hundreds of jobs, with crashes, partitions and preemptions of several
+// machines at once.
 class LargeDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(LargeDay, KeepsTheRules) {
@@ -63,14 +65,14 @@
   SimulatedRegion region(plan);
   region.run_until(plan.faults_from);
   EXPECT_GT(region.machines_up().size(), 120U);
-  expect_kept(region, plan);
+  expect_rules_kept(region, plan);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, LargeDay, ::testing::Range<std::uint64_t>(1, 4),
                          ::testing::PrintToStringParamName());
 
-// Some 800 machines, under the same faults: the rules hold, and what is examined per heartbeat
-// doesn't grow with the fleet.
+// About 800 machines with the same faults: the rules hold, and the number of jobs and machines
+// examined per heartbeat stays below a fixed bound.
 TEST(FleetDay, KeepsTheRules) {
   SimulationPlan plan;
   plan.seed = 6;
@@ -84,11 +86,11 @@
   EXPECT_GT(region.machines_up().size(), 600U);
   const int leader = region.leader();
   ASSERT_GE(leader, 0);
-  const std::uint64_t looked = region.controller(static_cast<std::size_t>(leader))->examined();
-  std::printf("machines %zu, looked at per report %.1f\n", region.machines_up().size(),
-              static_cast<double>(looked) / static_cast<double>(region.heartbeats()));
-  EXPECT_LT(looked, 200 * region.heartbeats());
-  expect_kept(region, plan);
+  const std::uint64_t examined = region.controller(static_cast<std::size_t>(leader))->examined();
+  std::printf("machines %zu, examined per heartbeat %.1f\n", region.machines_up().size(),
+              static_cast<double>(examined) / static_cast<double>(region.heartbeats()));
+  EXPECT_LT(examined, 200 * region.heartbeats());
+  expect_rules_kept(region, plan);
 }
 
 }  // namespace
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,5 +1,5 @@
-// Checkpoint values under limits that are lower than what is stored, and that are lower than the
-// settings say.
+// Checkpoint values when the key-value store's limits are lower than the size of what is stored, or
+// lower than the settings say.
 #include <gtest/gtest.h>
 
 #include "protocol/fake_server_codec.hpp"
@@ -9,22 +9,22 @@
 namespace sailreel::sim {
 namespace {
 
-constexpr double kLowKb = 2;
-constexpr std::uint64_t kLowOperations = 5;
+constexpr double kLowValueKb = 2;
+constexpr std::uint64_t kLowTxnOperations = 5;
 
-Settings low_limits() {
+Settings settings_with_low_limits() {
   Settings settings = settings_without_peers();
-  settings.store.value_kb = kLowKb;
-  settings.store.txn_ops = kLowOperations;
+  settings.store.value_kb = kLowValueKb;
+  settings.store.txn_ops = kLowTxnOperations;
   return settings;
 }
 
-void lower_limits(ControllerDriver& driver) {
-  driver.kv_store().value_limit = static_cast<std::size_t>(kLowKb * 1024);
-  driver.kv_store().ops_limit = kLowOperations;
+void lower_store_limits(ControllerDriver& driver) {
+  driver.kv_store().value_limit = static_cast<std::size_t>(kLowValueKb * 1024);
+  driver.kv_store().ops_limit = kLowTxnOperations;
 }
 
-JobRecord record_of(std::size_t n, std::uint32_t tasks) {
+JobRecord array_record(std::size_t n, std::uint32_t tasks) {
   JobRecord record;
   record.spec = array(job_id(n), tasks, 30);
   record.seq = 1;
@@ -32,19 +32,19 @@
   return record;
 }
 
-// The former leader's manifest is three times as large as may be written now.
-TEST(LowerLimits, ALargeHeadIsDividedAndNothingOfItIsLost) {
-  constexpr std::uint64_t kLeastOperations = 3;
-  Settings settings = low_limits();
-  settings.store.txn_ops = kLeastOperations;
+// The manifest that the former leader wrote is three times as large as the current limit on values.
+TEST(LowerLimits, ALargeManifestIsSplitWithoutLoss) {
+  constexpr std::uint64_t kMinTxnOperations = 3;
+  Settings settings = settings_with_low_limits();
+  settings.store.txn_ops = kMinTxnOperations;
   ControllerDriver driver(settings);
   std::vector<std::string> records;
-  for (std::size_t n = 0; n < 60; ++n) records.push_back(encode_record(record_of(n, 8)));
+  for (std::size_t n = 0; n < 60; ++n) records.push_back(encode_record(array_record(n, 8)));
   const std::string manifest = encode_manifest({1, 0, {}}, records);
   ASSERT_GT(manifest.size(), std::size_t{5} * 1024);
   driver.write(kManifestKey, manifest);
-  lower_limits(driver);
-  driver.kv_store().ops_limit = kLeastOperations;
+  lower_store_limits(driver);
+  driver.kv_store().ops_limit = kMinTxnOperations;
   driver.run_for(4'000);
   EXPECT_TRUE(driver.controller().leading());
   EXPECT_EQ(driver.kv_store().malformed, 0U);
@@ -54,23 +54,25 @@
   EXPECT_TRUE(checkpoint.unreadable.empty());
 }
 
-// A stored shard that is too large is left as it is, and a job of it that changes goes to a shard
-// with a higher number: older versions look for the latest record there too.
+// A stored shard that exceeds the limit on values is not rewritten. When one of its jobs changes,
+// the job moves to a shard with a higher number, where older versions look for the latest record
+// too.
 TEST(LowerLimits, AJobOfALargeShardMovesToAHigherOneWhenItChanges) {
-  ControllerDriver driver(low_limits());
+  ControllerDriver driver(settings_with_low_limits());
   std::vector<std::string> records;
   for (std::size_t n = 0; n < 40; ++n) {
-    // Its tasks may be on the machine below, which doesn't respond: a cancellation takes long.
-    JobRecord record = record_of(n, 8);
+    // The job's tasks may be on machine m-1 below, which doesn't respond, so a cancellation takes
+    // long.
+    JobRecord record = array_record(n, 8);
     record.started = 8;
     records.push_back(encode_record(record));
   }
   const std::string shard = encode_shard(records);
   driver.write(shard_key(2), shard);
   driver.write(machines_key(0), encode_machines({{"m-1", "10.1.0.1:9000", {}}}));
-  driver.write(shard_key(1), encode_shard({encode_record(record_of(90, 1))}));
+  driver.write(shard_key(1), encode_shard({encode_record(array_record(90, 1))}));
   driver.write(kManifestKey, encode_manifest({1, 0, {}}, {}));
-  lower_limits(driver);
+  lower_store_limits(driver);
   driver.run_for(2'000);
   for (std::size_t n = 0; n < 30; ++n) driver.cancel(job_id(n));
   driver.run_for(4'000);
@@ -83,21 +85,22 @@
     EXPECT_GE(checkpoint.shard_of.at(job_id(n)), 2U) << n;
     moved += checkpoint.shard_of.at(job_id(n)) > 2 ? 1 : 0;
   }
-  EXPECT_GT(moved, 4U);  // the others' changes are still in the manifest
+  EXPECT_GT(moved, 4U);  // the changes of the other jobs are still in the manifest
   EXPECT_FALSE(checkpoint.jobs.at(job_id(35)).cancel_asked);
 }
 
-// A piece of a bitmap in its older form is larger than a value may be.
+// A bitmap piece of the older, regular size exceeds the limit on values, so changes must be written
+// in small pieces.
 TEST(LowerLimits, LargeBitmapsAreWrittenInSmallPieces) {
-  ControllerDriver driver(low_limits());
+  ControllerDriver driver(settings_with_low_limits());
   constexpr std::uint32_t kTasks = 9'000;
-  JobRecord record = record_of(1, kTasks);
+  JobRecord record = array_record(1, kTasks);
   record.started = kTasks;
   record.done.set(7);
   driver.write(kManifestKey, encode_manifest({1, 0, {}}, {encode_record(record)}));
   driver.write(bitmap_key("job-1", 0), encode_piece(record.done.hex(0, kPieceBits)));
   driver.write(machines_key(0), encode_machines({{"m-1", "10.1.0.1:9000", {}}}));
-  lower_limits(driver);
+  lower_store_limits(driver);
   driver.run_for(2'000);
   std::vector<TaskStatus> finished;
   for (const std::uint32_t index : {3U, 8'500U})
@@ -116,11 +119,11 @@
   EXPECT_TRUE(merged.test(3) && merged.test(7) && merged.test(8'500));
 }
 
-// The settings don't say how low the limits are: a rejected checkpoint commit is followed by
-// smaller ones.
+// The store's limits are lower than the settings say. After a checkpoint commit is rejected, the
+// controller must write smaller ones.
 TEST(LowerLimits, ARejectedCommitIsFollowedBySmallerOnes) {
   ControllerDriver driver(settings_without_peers());
-  lower_limits(driver);
+  lower_store_limits(driver);
   driver.run_for(500);
   driver.set_types({sample_type()});
   driver.run_for(3'000);
@@ -130,18 +133,18 @@
   }
   driver.run_for(30'000);
   EXPECT_GT(driver.kv_store().malformed, 0U);
-  const std::uint64_t refused = driver.kv_store().malformed;
+  const std::uint64_t rejected_before = driver.kv_store().malformed;
   for (std::size_t n = 0; n < 60; ++n) {
     driver.submit(encode_submission(array(job_id(n), 8, 30)));
     driver.run_for(100);
   }
   driver.run_for(10'000);
-  EXPECT_EQ(driver.kv_store().malformed, refused);
+  EXPECT_EQ(driver.kv_store().malformed, rejected_before);
   EXPECT_EQ(driver.checkpoint().jobs.size(), 60U);
 }
 
-TEST(LowerLimits, ADescriptionThatFitsNoValueIsRefusedAtOnce) {
-  ControllerDriver driver(low_limits());
+TEST(LowerLimits, ADescriptionThatFitsNoValueIsRejectedAtOnce) {
+  ControllerDriver driver(settings_with_low_limits());
   driver.set_types({sample_type()});
   driver.run_for(3'000);
   JobSpec spec = array("job-1", 1, 30);
@@ -154,12 +157,13 @@
   EXPECT_EQ(driver.submit(encode_submission(spec)), 201);
 }
 
-// Names of the greatest permitted length: more than the manifest has room for beside the rest.
-TEST(LowerLimits, ALargeDescriptionThatFitsAValueIsTaken) {
-  ControllerDriver driver(low_limits());
+// Names of the greatest permitted length make the description larger than the room that the
+// manifest has beside its other contents.
+TEST(LowerLimits, ALargeDescriptionThatFitsAValueIsAccepted) {
+  ControllerDriver driver(settings_with_low_limits());
   driver.set_types({sample_type()});
   driver.run_for(500);
-  lower_limits(driver);
+  lower_store_limits(driver);
   driver.run_for(2'500);
   JobSpec spec = array("job-1", 512, 30);
   spec.job_class = std::string(200, 'c');
@@ -176,8 +180,9 @@
   EXPECT_EQ(driver.checkpoint().jobs.size(), 5U);
 }
 
-// While the cloud doesn't respond, scale-out requests pile up; they are stored in the manifest.
-TEST(LowerLimits, OpenRentalsNeverOutgrowTheHead) {
+// While the cloud doesn't respond, scale-out requests accumulate in the manifest, which must stay
+// within the limit on values.
+TEST(LowerLimits, PendingScaleOutsNeverOutgrowTheManifest) {
   SimulationPlan plan = quiet(8);
   plan.next_value_kb = 1;
   plan.next_txn_ops = 3;
@@ -192,19 +197,19 @@
     region.run_until(region.now() + 600);
   }
   region.cloud().outage = false;
-  // All are accepted all the time, although no instance can be launched.
+  // Submissions are accepted throughout, although no instance can be launched.
   EXPECT_GE(region.submission_delays().size(), 58U);
   region.run_until(110'000);
   EXPECT_EQ(region.kv_store().malformed, 0U);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-TEST(JobShards, NothingIsPlacedBelowAClosedShard) {
+TEST(JobShards, NoJobIsPlacedBelowAClosedShard) {
   JobShards shards(100);
   shards.add("job-1", 0, 10);
   shards.add("job-2", 4, 10);
   shards.close(4);
-  EXPECT_EQ(shards.place("job-1", 10), 0U);  // where it is stored
+  EXPECT_EQ(shards.place("job-1", 10), 0U);  // the shard that holds its record
   EXPECT_GT(shards.place("job-2", 10), 4U);
   EXPECT_GT(shards.place("job-3", 10), 4U);
 }
