--- a/src/protocol/cloud_codec.hpp
+++ b/src/protocol/cloud_codec.hpp
@@ -9,14 +9,16 @@
 
 namespace sailreel {
 
+/// An HTTP request to the cloud provider or the key-value store. An empty `body` means none.
 struct HttpRequest {
   std::string method, path, body;
 };
 
 HttpRequest encode_cloud_request(const CloudRequest& call);
-/// An error means that the cloud said 200 in a body that can't be decoded: what the request did is
-/// unknown, as after a timeout (status 0). Machine types and machines of a list that lack a field
-/// are left out: one broken entry must not hide the others.
+/// Returns an error if the cloud responded with status 200 and a body that can't be decoded. The
+/// caller then doesn't know whether the request was carried out, as after a timeout (status 0).
+/// List entries (machine types and machines) that lack a required field are skipped, so that one
+/// malformed entry doesn't hide the others.
 Decoded<CloudResponse> decode_cloud_response(const CloudRequest& call, int status,
                                              std::string_view body);
 
--- a/src/protocol/decoded.hpp
+++ b/src/protocol/decoded.hpp
@@ -1,4 +1,5 @@
-// The result of decoding a message or a stored value: the value, or an error that names the field.
+// The result of decoding a message or a stored value: either the value, or an error that names the
+// invalid field.
 #pragma once
 
 #include <cstdint>
@@ -10,54 +11,55 @@
 namespace sailreel {
 
 enum class DecodeErrorKind : std::uint8_t {
-  /// The text is not JSON, or is JSON of another type than an object.
+  /// The text is not JSON, or it is a JSON value other than an object.
   NotAnObject,
   /// The field is missing, of another type, or outside the range that the protocol allows.
   InvalidField,
   /// The bytes end before the field does.
   Truncated,
-  /// The bytes go on after the last field.
+  /// There are more bytes after the last field.
   TrailingBytes,
-  /// The field names a format version or a kind of message that this version doesn't know.
+  /// The field holds a format version or a message kind that this version doesn't support.
   Unsupported,
 };
 
 /// Why something could not be decoded.
 struct DecodeError {
   DecodeErrorKind kind = DecodeErrorKind::InvalidField;
-  /// The name as on the wire or in the stored value, for the person who has to find it there; empty
-  /// if the whole text is at fault. A view of a string literal: an error allocates nothing.
+  /// The field's name on the wire or in the stored value, so that the sender's data can be searched
+  /// for it. Empty if the text as a whole is invalid. Must be a view of a string literal, so that
+  /// an error allocates no memory.
   std::string_view field;
 
   bool operator==(const DecodeError&) const = default;
 };
 
-/// A decoded value or the error, never both. Owns the value.
+/// Either a decoded value, which it owns, or the error.
 template <typename T>
 class [[nodiscard]] Decoded {
  public:
-  // Implicit, so that a decoder returns either without naming this type.
+  // The constructors are implicit so that a decoder can return a value or an error directly.
   Decoded(T value) : result_(std::in_place_index<0>, std::move(value)) {}
   Decoded(DecodeError error) : result_(std::in_place_index<1>, error) {}
 
   [[nodiscard]] bool has_value() const { return result_.index() == 0; }
   explicit operator bool() const { return has_value(); }
 
-  /// The value. There must be one.
+  /// The value. Requires `has_value()`.
   [[nodiscard]] T& operator*() & { return *std::get_if<0>(&result_); }
   [[nodiscard]] const T& operator*() const& { return *std::get_if<0>(&result_); }
   [[nodiscard]] T&& operator*() && { return std::move(*std::get_if<0>(&result_)); }
   [[nodiscard]] T* operator->() { return std::get_if<0>(&result_); }
   [[nodiscard]] const T* operator->() const { return std::get_if<0>(&result_); }
 
-  /// The error. There must be one.
+  /// The error. Requires `!has_value()`.
   [[nodiscard]] const DecodeError& error() const { return *std::get_if<1>(&result_); }
 
-  /// The value; `fallback` where decoding failed and the caller has no use for the reason.
+  /// The value, or `fallback` if decoding failed. The error is discarded.
   [[nodiscard]] T value_or(T fallback) && {
     return has_value() ? std::move(**this) : std::move(fallback);
   }
-  /// The value without the reason for its absence.
+  /// The value, or nothing if decoding failed. The error is discarded.
   [[nodiscard]] std::optional<T> to_optional() && {
     if (!has_value()) return std::nullopt;
     return std::move(**this);
--- a/src/protocol/fake_server_codec.cpp
+++ b/src/protocol/fake_server_codec.cpp
@@ -9,6 +9,7 @@
 namespace sailreel {
 namespace {
 
+/// The wire names of `RunState` and `ExitCause`, in the order of their values.
 constexpr std::array<const char*, 5> kStateWords{"pulling", "running", "flushing", "ended",
                                                  "gathering"};
 constexpr std::array<const char*, 9> kCauseWords{
@@ -50,7 +51,7 @@
   return command;
 }
 
-/// The value of a parameter of a request's query; empty if it isn't there.
+/// The value of the query parameter `name` in `path`. Empty if the parameter is missing.
 std::string_view parameter(std::string_view path, std::string_view name) {
   auto query = path.substr(std::min(path.find('?'), path.size()));
   while (!query.empty()) {
--- a/src/protocol/field_reader.hpp
+++ b/src/protocol/field_reader.hpp
@@ -1,4 +1,4 @@
-// Reads the fields of a JSON object and remembers the first one at fault.
+// Reads the fields of a JSON object and records the first invalid one.
 #pragma once
 
 #include <optional>
@@ -8,24 +8,24 @@
 
 namespace sailreel::json {
 
-/// Once a field was invalid, nothing more is read: the error that is returned is that of the first
-/// field in the decoder's order. Field names must be string literals, as errors keep views of them.
+/// Reads fields in the order of the calls and stops at the first invalid one, whose error it keeps.
+/// Field names must be string literals, because errors keep views of them.
 class FieldReader {
  public:
   explicit FieldReader(const Value& object) : object_(object) {}
 
-  /// A field that must be there and valid.
+  /// Reads a field that must be present and valid.
   template <typename T>
   FieldReader& required(const char* field, T& out) {
     return check(field, [&] { return get(object_, field, out); });
   }
-  /// A field whose absence, or another type, leaves `out` as it is.
+  /// Reads a field into `out`. If it is missing or of another type, `out` stays unchanged.
   template <typename T>
   FieldReader& optional(const char* field, T& out) {
     if (!error_) get(object_, field, out);
     return *this;
   }
-  /// Calls `valid`, which reads the field in its own way and returns false if it is at fault.
+  /// Calls `valid`, which reads the field itself and returns false if the field is invalid.
   template <typename Valid>
   FieldReader& check(const char* field, const Valid& valid) {
     if (!error_ && !valid()) error_ = DecodeError{DecodeErrorKind::InvalidField, field};
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -4,12 +4,14 @@
 
 namespace sailreel::json {
 namespace {
-/// How far the parser may read beyond the end of a text, as it scans sixteen bytes at a time.
+/// The number of bytes that the parser may read beyond the end of a text, because it scans sixteen
+/// bytes at a time.
 constexpr std::size_t kPadding = 16;
-/// The iterative parser, as nested brackets from a hostile sender must not exhaust the stack.
+/// Selects the iterative parser, so that deeply nested brackets from a hostile sender can't exhaust
+/// the stack.
 constexpr unsigned kFlags = rapidjson::kParseIterativeFlag | rapidjson::kParseFullPrecisionFlag;
 
-// Without a branch for each byte, which would cost more time than it saves.
+// Has no branch for each byte: branching would cost more time than an early return saves.
 bool is_ascii(std::string_view text) {
   constexpr unsigned kHighBit = 0x80;
   unsigned bits = 0;
@@ -20,11 +22,12 @@
 }  // namespace
 
 bool parse_object(std::string_view text, Document& out) {
-  // The parser would take a zero byte for the end; no valid JSON contains one.
+  // The parser treats a zero byte as the end of the text. No valid JSON contains one.
   if (text.find('\0') != std::string_view::npos) return false;
   out.text.reserve(text.size() + kPadding);
   out.text.assign(text);
-  // Validating the encoding is a quarter of the work, and most texts are plain ASCII.
+  // Validating the encoding takes a quarter of the parsing time, and most texts are plain ASCII,
+  // which needs no validation.
   if (is_ascii(text))
     out.ParseInsitu<kFlags>(out.text.data());
   else
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -1,7 +1,7 @@
-// Strict access to the fields of JSON objects, over RapidJSON.
+// Type-checked access to the fields of JSON objects, based on RapidJSON.
 #pragma once
 
-// Strings are scanned sixteen bytes at a time on processors that are known to support it.
+// Lets RapidJSON scan strings sixteen bytes at a time where the target has SSE2 or NEON.
 #if defined(__SSE2__)
 #define RAPIDJSON_SSE2
 #elif defined(__ARM_NEON)
@@ -21,7 +21,7 @@
 using Value = rapidjson::Value;
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-/// Memory of a document's values.
+/// The memory that a document's text and values are stored in.
 struct DocumentMemory {
   /// Enough for the values of most heartbeats and queries.
   static constexpr std::size_t kSmall = 4096;
@@ -31,31 +31,32 @@
   rapidjson::MemoryPoolAllocator<> allocator{small, sizeof small};
 };
 
-/// A parsed text. Owns a copy of the text, in which its strings stay, and its values are allocated
-/// on the heap only when they are many.
+/// A parsed JSON text. Owns a copy of the text, which its strings point into. Its values are
+/// allocated on the heap only if they don't fit into `DocumentMemory::small`.
 class Document : private DocumentMemory, public rapidjson::Document {
  public:
-  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): memory for the allocator
+  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): the allocator needs no zeroed memory
   Document() : rapidjson::Document(&allocator) {}
 
  private:
   friend bool parse_object(std::string_view text, Document& out);
 };
 
-/// Parses the text of an object; false if it is anything else. `out` must be new.
+/// Parses a JSON object. Returns false if `text` is anything else. `out` must be newly constructed.
 bool parse_object(std::string_view text, Document& out);
-/// The member, or nullptr when it is missing or null.
+/// The member, or nullptr if it is missing or null.
 const Value* member(const Value& object, const char* name);
 
-// These return false, with `out` unchanged, if the field is missing or of another type or range.
+// The `get` functions return false and leave `out` unchanged if the field is missing, of another
+// type, or out of range.
 
 bool get(const Value& object, const char* name, std::string& out);
-/// A view into the document, valid for as long as that is.
+/// Sets `out` to a view into the document, which is valid as long as the document exists.
 bool get(const Value& object, const char* name, std::string_view& out);
 bool get(const Value& object, const char* name, bool& out);
-/// Finite and not negative.
+/// Accepts only finite, non-negative numbers.
 bool get(const Value& object, const char* name, double& out);
-/// A whole number below 2^64, written without fraction or exponent.
+/// Accepts only integers below 2^64 that are written without a fraction or an exponent.
 bool get(const Value& object, const char* name, std::uint64_t& out);
 
 inline void put(Writer& writer, const std::string& value) {
@@ -64,6 +65,7 @@
 inline std::string text(const rapidjson::StringBuffer& buffer) {
   return {buffer.GetString(), buffer.GetSize()};
 }
+/// Serializes the value as compact JSON.
 std::string text(const Value& value);
 
 }  // namespace sailreel::json
--- a/src/protocol/json_object.hpp
+++ b/src/protocol/json_object.hpp
@@ -1,4 +1,4 @@
-// Writes JSON objects, so that each member's name is beside its value in the code.
+// Writes JSON objects with one call per member, so that each name stands next to its value.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +8,12 @@
 
 namespace sailreel::json {
 
-/// Writes one object, which is open from construction until `end` is called. The writer must
-/// outlive it.
+/// Writes one JSON object. The constructor opens it and `end` closes it. The writer must outlive
+/// this object.
 class ObjectWriter {
  public:
   explicit ObjectWriter(Writer& writer) : writer_(writer) { writer_.StartObject(); }
-  /// The object as a member of the one around it.
+  /// Opens the object as the member `name` of the enclosing object.
   ObjectWriter(Writer& writer, const char* name) : writer_(writer) {
     writer_.Key(name);
     writer_.StartObject();
@@ -36,12 +36,12 @@
     writer_.Key(name);
     writer_.Bool(value);
   }
-  /// A value that is JSON text, which is not checked.
+  /// Writes JSON text as it is, without checking it.
   void raw(const char* name, const std::string& value) {
     writer_.Key(name);
     writer_.RawValue(value.data(), value.size(), rapidjson::kObjectType);
   }
-  /// An array, of which `write_item` writes each item.
+  /// Writes an array, calling `write_item` for each item.
   template <typename Items, typename WriteItem>
   void list(const char* name, const Items& items, WriteItem write_item) {
     writer_.Key(name);
--- a/src/protocol/kv_codec.cpp
+++ b/src/protocol/kv_codec.cpp
@@ -32,7 +32,8 @@
 
 using DecodeItem = Decoded<KvItem> (*)(const json::Value&);
 
-/// Appends the items of the list to `out`.
+/// Decodes the items of `list` and appends them to `out`. Errors name `field`, the list's field, or
+/// the invalid field of an item.
 std::optional<DecodeError> append_items(const json::Value& list, const char* field,
                                         DecodeItem decode, std::vector<KvItem>& out) {
   if (!list.IsArray()) return DecodeError{DecodeErrorKind::InvalidField, field};
@@ -45,7 +46,8 @@
   return {};
 }
 
-/// Fills in what the response to that kind of request holds beside its revision.
+/// Decodes the fields of the response that depend on the kind of request. The revision is already
+/// decoded.
 std::optional<DecodeError> decode_result(KvRequest::Kind kind, const json::Document& doc,
                                          bool has_revision, KvResponse& out) {
   using Kind = KvRequest::Kind;
@@ -157,7 +159,7 @@
   out.status = status;
   json::Document doc;
   const bool is_object = json::parse_object(body, doc);
-  // Present but 0 in a store that nobody has written to.
+  // In a store without any writes, the revision is present and 0.
   const bool has_revision = is_object && json::get(doc, "tide", out.revision);
   const bool has_result =
       call.kind != KvRequest::Kind::Renew && call.kind != KvRequest::Kind::Revoke;
--- a/src/protocol/kv_codec.hpp
+++ b/src/protocol/kv_codec.hpp
@@ -10,8 +10,8 @@
 namespace sailreel {
 
 HttpRequest encode_kv_request(const KvRequest& call);
-/// An error means that the store said 200 in a body that can't be decoded: what the request did is
-/// unknown, as after a timeout (status 0).
+/// Returns an error if the store responded with status 200 and a body that can't be decoded. The
+/// caller then doesn't know whether the request was carried out, as after a timeout (status 0).
 Decoded<KvResponse> decode_kv_response(const KvRequest& call, int status, std::string_view body);
 
 }  // namespace sailreel
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -1,5 +1,6 @@
-// Messages between the service, its workers, users, the cloud and the key-value store, in standard
-// terms. The codecs beside this file map them to the names of the wire, which appear nowhere else.
+// Messages between the controllers, workers, users, the cloud provider and the key-value store. The
+// wire formats use other names for these fields. Only the codecs in this directory know those
+// names.
 #pragma once
 
 #include <cstddef>
@@ -10,14 +11,16 @@
 
 namespace sailreel {
 
-/// Milliseconds on this process's steady clock: not comparable between processes.
+/// Milliseconds on this process's steady clock. Not comparable between processes.
 using Time = std::int64_t;
+/// Later than any time that occurs. Times can be added to it without overflow.
 constexpr Time kNever = INT64_MAX / 4;
 
+/// Converts seconds to milliseconds.
 inline Time ms(double seconds) { return static_cast<Time>(seconds * 1000.0); }
 
 enum class JobKind : std::uint8_t { Array, Service, Gang };
-/// From the highest to the lowest.
+/// Ordered from the highest to the lowest priority.
 enum class Priority : std::uint8_t { Production, High, Normal, Low };
 constexpr std::size_t kPriorities = 4;
 enum class Phase : std::uint8_t { Active, Done, Cancelled };
@@ -37,7 +40,8 @@
   [[nodiscard]] Resources times(double count) const {
     return {cpus * count, gpus * count, memory_gb * count};
   }
-  /// Tolerates the rounding errors of sums of decimals.
+  /// Whether these resources fit into `room`, apart from the rounding errors that sums of decimal
+  /// fractions have.
   [[nodiscard]] bool fits_in(const Resources& room) const {
     constexpr double kSlack = 1e-6;
     return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack &&
@@ -45,39 +49,47 @@
   }
 };
 
-/// The user's description of a job. Times are in seconds.
+/// A job as its user submits it. Times are in seconds.
 struct JobSpec {
   std::string id, job_class, team;
   JobKind kind = JobKind::Array;
   Priority priority = Priority::Low;
   std::uint32_t tasks = 1;
-  Resources need;  // of each task
+  /// The resources of each task.
+  Resources need;
   std::string image;
   double image_gb = 0;
-  /// Whether machines of any type will do; otherwise only those of `types`.
+  /// Whether tasks may run on machines of any type. Otherwise only on the types in `types`.
   bool any_type = true;
   std::vector<std::string> types;
-  std::string zone;  // empty: any
-  /// All tasks in one zone; at most half of them, rounded up, in one zone; spot instances allowed.
+  /// The zone that the tasks must run in. Empty means any zone.
+  std::string zone;
+  /// `one_zone`: all tasks must run in the same zone. `spread`: at most half of the tasks, rounded
+  /// up, may run in the same zone. `spot`: tasks may run on spot instances.
   bool one_zone = false, spread = false, spot = false;
-  /// The user's estimate of a task's run time; the progress between two checkpoints of a task, 0:
-  /// it never saves; the time that saving takes when it is stopped.
+  /// `estimate_s`: the user's estimate of a task's run time. `checkpoint_s`: run time between two
+  /// checkpoints of a task, or 0 if it writes none. `save_s`: how long a task takes to save its
+  /// state when it is stopped.
   double estimate_s = 0, checkpoint_s = 0, save_s = 0;
-  std::optional<double> deadline_s;  // from the submission on
+  /// Counted from the submission.
+  std::optional<double> deadline_s;
 };
 
+/// Identifies a task: `index` counts the tasks of a job from 0.
 struct TaskKey {
   std::string job;
   std::uint32_t index = 0;
 };
+/// The key in its wire form, "<job>/<index>".
 inline std::string task_name(const TaskKey& key) {
   return key.job + "/" + std::to_string(key.index);
 }
 
-/// Waiting: a task that gang scheduling has started and that waits for the gang's other tasks.
+/// The state of a task on a worker. Waiting: the task was started and waits until the other tasks
+/// of its gang are started too.
 enum class RunState : std::uint8_t { Fetching, Running, Saving, Exited, Waiting };
-/// PeersGone: another task of the gang has exited. Incomplete: not all tasks of the gang started in
-/// time.
+/// Why a task exited. PeersGone: another task of the gang has exited. Incomplete: not all tasks of
+/// the gang started in time.
 enum class ExitCause : std::uint8_t {
   None,
   Done,
@@ -90,31 +102,39 @@
   Incomplete
 };
 
+/// The status of a task attempt, as its worker reports it.
 struct TaskStatus {
   TaskKey key;
   std::uint64_t attempt = 0;
   RunState state = RunState::Fetching;
   ExitCause cause = ExitCause::None;
+  /// Whether the task saved its state before it exited.
   bool saved = false;
 };
 
-/// A worker's periodic message, with the status of each of its tasks.
+/// The message that a worker sends periodically, with the status of each of its tasks.
 struct Heartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
+  /// `incarnation` changes when the worker restarts, and `seq` numbers its heartbeats.
+  /// `fencing_token` is the highest one that the worker has received.
   std::uint64_t incarnation = 0, seq = 0, fencing_token = 0;
-  /// Seconds until the cloud takes the spot instance back, once that was announced.
+  /// Seconds until the cloud provider reclaims the spot instance. Empty if none was announced.
   std::optional<double> notice_s;
   std::vector<TaskStatus> tasks;
 };
 
+/// What a worker is told to do with a task attempt. Forget: the worker may drop the status of an
+/// attempt that has exited.
 struct Command {
   enum class Op : std::uint8_t { Start, Stop, Forget } op = Op::Start;
   TaskKey key;
   std::uint64_t attempt = 0;
-  double grace_s = 0;  // Stop: how long the task may take to exit
+  /// For Stop: how long the task may take to exit.
+  double grace_s = 0;
 };
 
+/// A machine type that the cloud provider offers.
 struct MachineType {
   std::string name;
   Resources size;
@@ -122,12 +142,15 @@
   std::vector<std::string> zones;
 };
 
+/// A request to launch `count` machines. `request` identifies it: a repeat with the same value
+/// launches no further machines.
 struct ScaleOutRequest {
   std::string request, type, zone;
   bool spot = false;
   std::uint32_t count = 0;
 };
 
+/// A machine in the cloud provider's list.
 struct ListedMachine {
   enum class State : std::uint8_t { Booting, Running, Failed } state = State::Booting;
   std::string name, address, type, zone;
@@ -135,23 +158,32 @@
   double age_s = 0;
 };
 
+/// A request to the cloud provider.
 struct CloudRequest {
   enum class Kind : std::uint8_t { Types, ScaleOut, Terminate, List } kind = Kind::Types;
   ScaleOutRequest scale_out;
-  std::vector<std::string> names;  // Terminate
-  std::string after;               // List
+  /// For Terminate: the machines.
+  std::vector<std::string> names;
+  /// For List: the machine after which the page starts. Empty for the first page.
+  std::string after;
   std::uint32_t limit = 500;
 };
 
 struct CloudResponse {
-  int status = 0;  // 0: no response; the request may still be carried out
+  /// The HTTP status. 0 means that no response came, so the request may still be carried out.
+  int status = 0;
   std::vector<MachineType> types;
   std::vector<std::string> names;
   std::vector<ListedMachine> machines;
+  /// Whether the list has another page.
   bool more = false;
-  bool no_capacity = false;  // rejected as there are no such machines now, not for an error
+  /// Whether the request was rejected because no such machines are available now, rather than
+  /// because of an error.
+  bool no_capacity = false;
 };
 
+/// A request to the key-value store. Txn is a compare-and-swap transaction: its puts and deletes
+/// are carried out only if each key of `conditions` has the given version.
 struct KvRequest {
   enum class Kind : std::uint8_t { Get, List, Txn, Grant, Renew, Revoke, Watch } kind = Kind::Get;
   struct Condition {
@@ -160,32 +192,44 @@
   };
   struct Put {
     std::string key, value;
-    std::uint64_t lease = 0;  // 0: none
+    /// The lease that the key is bound to. 0 means none.
+    std::uint64_t lease = 0;
   };
-  std::string key;   // Get; prefix of List and Watch
-  std::string from;  // List
+  /// For Get, the key. For List and Watch, the prefix of the keys.
+  std::string key;
+  /// For List: the key after which the page starts. Empty for the first page.
+  std::string from;
   std::uint32_t limit = 200;
-  std::uint64_t lease = 0;  // Renew, Revoke
+  /// For Renew and Revoke.
+  std::uint64_t lease = 0;
+  /// For Watch: only changes after this revision are returned.
   std::uint64_t revision = 0;
+  /// `ttl_ms`: for Grant, the duration of the lease. `wait_ms`: for Watch, how long the store waits
+  /// for a change before it responds.
   Time ttl_ms = 0, wait_ms = 0;
   std::vector<Condition> conditions;
   std::vector<Put> puts;
   std::vector<std::string> deletes;
 };
 
+/// A key of the key-value store, or a change of it. `value` is JSON text.
 struct KvItem {
-  std::string key, value;  // the value as JSON text
+  std::string key, value;
   std::uint64_t version = 0;
   bool deleted = false;
 };
 
 struct KvResponse {
-  int status = 0;  // 0: no response; the request may still be carried out
+  /// The HTTP status. 0 means that no response came, so the request may still be carried out.
+  int status = 0;
   std::uint64_t revision = 0, lease = 0;
   std::vector<KvItem> items;
+  /// Whether the list has another page.
   bool more = false;
 };
 
+/// The kind of a request that one controller forwards to another. The values are part of the frame
+/// format.
 enum class UserOp : std::uint8_t { Submit = 0, Query = 1, Cancel = 2, Heartbeat = 3 };
 
 }  // namespace sailreel
--- a/src/protocol/peer_frames.cpp
+++ b/src/protocol/peer_frames.cpp
@@ -9,20 +9,22 @@
 namespace {
 
 static_assert(std::endian::native == std::endian::little,
-              "peer frames are little-endian and copied as they lie in memory");
+              "peer frames are little-endian and are copied from memory without conversion");
 
 constexpr std::uint32_t kMagic = 0x4c525331;  // "1SRL"
 constexpr std::uint8_t kVersion = 4;
 constexpr std::size_t kMaxText = 256;
-/// A request's body and id, and its fixed part.
+/// The largest body of a request, plus room for its id and its fixed part.
 constexpr std::size_t kMaxPayload = kMaxBody + 1024;
 
 #pragma pack(push, 1)
 struct FrameHeader {
   std::uint32_t magic;
   std::uint8_t version, kind;
-  std::uint16_t flags;   // 0, and ignored, in versions from before gang scheduling
-  std::uint32_t length;  // of what follows
+  /// Versions without gang scheduling send 0 and ignore received flags.
+  std::uint16_t flags;
+  /// The length of the payload that follows the header, in bytes.
+  std::uint32_t length;
 };
 struct HeartbeatBody {
   std::uint64_t epoch, incarnation;
@@ -50,12 +52,13 @@
 static_assert(sizeof(RequestBody) == 15);
 static_assert(sizeof(ResponseBody) == 20);
 
-/// Of a response that may be passed on without limit.
+/// The value of `valid_ms` in a response that may be passed on without limit.
 constexpr std::uint32_t kForEver = UINT32_MAX;
 
-/// A flag of the header.
+/// The flag of `FrameHeader` that corresponds to `PeerRequest::relay`.
 constexpr std::uint16_t kRelay = 1;
 
+/// The flags of `HeartbeatBody`.
 constexpr std::uint8_t kLeading = 1, kHearsLeader = 2, kHolding = 4, kHearsWorkers = 8,
                        kWasAlone = 16, kUnderstandsGangs = 32, kSharesLimits = 64;
 
@@ -73,7 +76,8 @@
   return out;
 }
 
-/// Takes the fixed part off the payload; false when it is too short.
+/// Removes a fixed-size struct from the start of `payload`. Returns false if `payload` is too
+/// short.
 template <typename Body>
 bool take(std::string_view& payload, Body& body) {
   if (payload.size() < sizeof body) return false;
@@ -131,7 +135,8 @@
 Decoded<PeerMessage> decode_peer(const FrameHeader& header, std::string_view payload) {
   PeerMessage message;
   message.kind = static_cast<PeerMessage::Kind>(header.kind);
-  // The flag is of requests; it is kept with frames of every kind, as earlier versions did.
+  // The flag is meant for requests, but it is decoded for frames of every kind, as in earlier
+  // versions.
   message.request.relay = (header.flags & kRelay) != 0;
   switch (message.kind) {
     case PeerMessage::Kind::Heartbeat: {
@@ -153,8 +158,8 @@
       return message;
     }
     case PeerMessage::Kind::Region: {
-      // A message of a later version is ignored: it must not close the link that also carries the
-      // messages which this version understands.
+      // A region message of a later version is ignored rather than reported as an error: an error
+      // would close the link, which also carries messages that this version supports.
       auto region = decode_region_message(payload);
       if (region) message.region = std::move(*region);
       return message;
@@ -171,7 +176,7 @@
   return out += payload;
 }
 
-/// The field by which a frame is not one of this version; nullptr if it is one.
+/// The first header field that this version doesn't accept, or nullptr if it accepts the header.
 const char* invalid_field(const FrameHeader& header) {
   if (header.magic != kMagic) return "magic";
   if (header.version != kVersion) return "version";
--- a/src/protocol/peer_frames.hpp
+++ b/src/protocol/peer_frames.hpp
@@ -1,4 +1,4 @@
-// Frames between controllers: packed structs, little-endian, versioned, with checked lengths.
+// Frames between controllers: versioned, packed, little-endian structs whose lengths are checked.
 #pragma once
 
 #include <cstdint>
@@ -12,47 +12,60 @@
 
 namespace sailreel {
 
-/// Sent by every node to every other: who it is, whether it leads, and whether it hears a leader.
-/// `acknowledged_clock` echoes the receiver's own clock, by which a delayed heartbeat is
-/// recognised.
+/// A controller's heartbeat, which each controller sends to every other one: who the sender is,
+/// whether it leads, and whether it receives heartbeats from a leader. `acknowledged_clock` echoes
+/// the receiver's own clock, which lets the receiver recognise a delayed heartbeat.
 struct ControllerHeartbeat {
   std::string node;
   std::uint64_t epoch = 0;
   bool leading = false, hears_leader = false;
-  bool holding = false;            // was leader, and still responds to heartbeats, without commands
-  bool hears_workers = false;      // directly, not through another node
-  bool understands_gangs = false;  // never set by versions from before gang scheduling
-  bool shares_limits = false;      // understands quota shares; ignored by versions before them
-  std::uint64_t incarnation = 0;   // of the sending process; differs after a restart
+  /// Whether the sender still responds to workers' heartbeats: it is the leader, or its leader
+  /// lease has expired only recently. After the expiry, its responses carry no commands.
+  bool holding = false;
+  /// Whether workers send heartbeats to the sender directly, not through another controller.
+  bool hears_workers = false;
+  /// Whether the sender supports gang scheduling. Versions without gang scheduling never set it.
+  bool understands_gangs = false;
+  /// Whether the sender supports quota shares. Versions without quota shares ignore it.
+  bool shares_limits = false;
+  /// Identifies the sending process. Changes with each restart.
+  std::uint64_t incarnation = 0;
   std::int64_t clock = 0;
-  std::uint64_t acknowledged_incarnation =
-      0;  // of the receiver's latest heartbeat that the sender had
+  /// The incarnation in the latest heartbeat that the sender received from the receiver, and the
+  /// clock in that heartbeat.
+  std::uint64_t acknowledged_incarnation = 0;
   std::int64_t acknowledged_clock = 0;
-  /// How long, from `acknowledged_clock` on, the receiver may keep workers' leases alive by itself.
+  /// How long, from `acknowledged_clock` on, the receiver may renew workers' leases without a
+  /// leader.
   std::uint32_t keep_ms = 0;
-  /// How long ago the sender last did that; empty: never.
+  /// How long ago the sender last renewed a worker's lease without a leader. Empty means never.
   std::optional<std::uint32_t> kept_alive_ms;
 };
 /// A user's request or a worker's heartbeat, forwarded to the leader.
 struct PeerRequest {
+  /// Identifies the request among those of the sender. The response repeats it.
   std::uint64_t call = 0;
   UserOp op = UserOp::Query;
   std::string id, body;
-  /// To be forwarded once more if the receiver isn't the leader, as the sender has no link to the
-  /// leader. Versions from before gang scheduling ignore it, and reject such a request.
+  /// Asks the receiver to forward the request once more if it isn't the leader, because the sender
+  /// has no link to the leader. Versions without gang scheduling ignore the flag and reject such a
+  /// request.
   bool relay = false;
 };
+/// The response to a `PeerRequest`.
 struct PeerResponse {
   std::uint64_t call = 0;
   int status = 0, retry_after_s = 0;
-  /// How long after it was sent the response may be passed on; empty: without limit.
+  /// How long after it is sent the response may be passed on. The receiver counts from when it sent
+  /// the request, which is earlier. Empty means without limit.
   std::optional<std::uint32_t> valid_ms;
   std::string body;
 };
 
+/// A message in a frame. `kind` tells which of the other fields is set.
 struct PeerMessage {
-  /// Versions from before quota shares close a link on which a Region message arrives; only regions
-  /// that are named in the operators' options are sent any.
+  /// Versions without quota shares close a link on which a Region message arrives. Therefore Region
+  /// messages are sent only to the regions that the operators' options name.
   enum class Kind : std::uint8_t { Heartbeat = 1, Request = 2, Response = 3, Region = 4 };
   Kind kind = Kind::Heartbeat;
   ControllerHeartbeat heartbeat;
@@ -61,17 +74,18 @@
   RegionMessage region;
 };
 
+/// Encodes the message as one frame.
 std::string encode_peer(const PeerMessage& message);
 
-/// Splits a byte stream into messages.
+/// Decodes the frames in a byte stream.
 class PeerReader {
  public:
   void feed(std::string_view bytes) { buffer_.append(bytes); }
-  /// The next whole message, or empty: more bytes are needed, or the stream is `broken`.
+  /// The next complete message. Empty if more bytes are needed or the stream is `broken`.
   std::optional<PeerMessage> next();
   [[nodiscard]] bool broken() const { return error_.has_value(); }
-  /// Why the stream is broken. No frame after the first that can't be decoded is read, as nothing
-  /// marks where the next one begins.
+  /// Why the stream is broken. After a frame that can't be decoded, no further frame is read,
+  /// because nothing marks where the next one begins.
   [[nodiscard]] const std::optional<DecodeError>& error() const { return error_; }
 
  private:
--- a/src/protocol/region_frames.cpp
+++ b/src/protocol/region_frames.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 static_assert(std::endian::native == std::endian::little,
-              "messages between regions are little-endian and copied as they lie in memory");
+              "region messages are little-endian and are copied from memory without conversion");
 
 constexpr std::uint8_t kVersion = 1;
 constexpr std::size_t kMaxName = 200;
@@ -40,7 +40,7 @@
   return true;
 }
 
-/// The text of that length at the beginning of `bytes`, which it is taken off.
+/// Removes `length` bytes from the start of `bytes` and returns them. Errors name `field`.
 Decoded<std::string> take_name(std::string_view& bytes, std::size_t length, const char* field) {
   if (length > kMaxName) return DecodeError{DecodeErrorKind::InvalidField, field};
   if (bytes.size() < length) return DecodeError{DecodeErrorKind::Truncated, field};
@@ -49,7 +49,7 @@
   return name;
 }
 
-/// An entry of any kind of message: a team and up to two amounts.
+/// The common form of the entries in all kinds of messages: a team and up to two amounts.
 struct Entry {
   std::string team;
   Amounts first, second;
@@ -99,7 +99,7 @@
   return entry;
 }
 
-/// Moves the entries into the message; false if a message of its kind can't have that many.
+/// Moves the entries into the message. Returns false if a message of that kind can't have as many.
 bool fill(RegionMessage& message, std::uint64_t number, std::vector<Entry> entries) {
   switch (message.kind) {
     case RegionMessage::Kind::Transfer:
--- a/src/protocol/region_frames.hpp
+++ b/src/protocol/region_frames.hpp
@@ -1,5 +1,5 @@
-// Messages between the leaders of different regions: packed structs, little-endian, with checked
-// lengths. They are sent as frames of their own kind over the links between controllers
+// Messages between the leaders of different regions: packed, little-endian structs whose lengths
+// are checked. They are sent in frames of kind Region over the links between controllers
 // (peer_frames.hpp).
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace sailreel {
 
-/// Thousandths of a CPU and of a GPU: sums of these are exact.
+/// CPUs and GPUs in thousandths. These are integers, so that sums are exact.
 struct Amounts {
   std::int64_t cpus = 0, gpus = 0;
 
@@ -31,13 +31,15 @@
   }
   friend Amounts operator+(Amounts a, const Amounts& b) { return a += b; }
   friend Amounts operator-(Amounts a, const Amounts& b) { return a -= b; }
-  /// With 0 in place of what is negative, in each dimension.
+  /// These amounts with negative values replaced by 0.
   [[nodiscard]] Amounts positive() const {
     return {std::max<std::int64_t>(0, cpus), std::max<std::int64_t>(0, gpus)};
   }
+  /// The smaller value in each dimension.
   [[nodiscard]] Amounts at_most(const Amounts& other) const {
     return {std::min(cpus, other.cpus), std::min(gpus, other.gpus)};
   }
+  /// The larger value in each dimension.
   [[nodiscard]] Amounts at_least(const Amounts& other) const {
     return {std::max(cpus, other.cpus), std::max(gpus, other.gpus)};
   }
@@ -45,6 +47,7 @@
     return {static_cast<std::int64_t>(static_cast<double>(cpus) * ratio),
             static_cast<std::int64_t>(static_cast<double>(gpus) * ratio)};
   }
+  /// Whether neither dimension is above 0.
   [[nodiscard]] bool none() const { return cpus <= 0 && gpus <= 0; }
   [[nodiscard]] bool fits_in(const Amounts& other) const {
     return cpus <= other.cpus && gpus <= other.gpus;
@@ -58,49 +61,56 @@
   bool operator==(const TeamAmounts&) const = default;
 };
 
-/// Quota shares that the sender has given up and the receiver may add to its own. The number rises
-/// by one with each transfer from one region to another, so that none is credited twice.
+/// Quota shares that the sender has given up and that the receiver may add to its own. `number`
+/// increases by one with each transfer from one region to another, so that no transfer is credited
+/// twice.
 struct ShareTransfer {
   std::uint64_t number = 0;
   std::vector<TeamAmounts> amounts;
 };
 
-/// The receiver has committed the credit of the transfer with that number.
+/// Reports that the sender of this message has credited the transfer `number` and committed that.
 struct TransferAcknowledgement {
   std::uint64_t number = 0;
 };
 
+/// The share of a team's quota limit that the sender asks for.
 struct DemandEntry {
   std::string team;
   Amounts wanted;
-  /// The part of it that urgent work waits for: for this, reserves are given, and work of the same
-  /// team with a lower priority is preempted.
+  /// The part of `wanted` that urgent work waits for. To grant it, the receiver also gives up its
+  /// reserve and preempts work of the same team with a lower priority.
   Amounts urgent;
 };
-/// What the sender asks this receiver for. Replaces the receiver's earlier demand.
+/// What the sender asks the receiver for. Replaces the sender's earlier demand to that receiver.
 struct ShareDemand {
-  /// The last of the receiver's transfers that the sender has credited: tells a demand that crossed
-  /// a transfer, and may be satisfied by it, from a later one.
+  /// The number of the receiver's last transfer that the sender has credited. If it is older than
+  /// the last transfer that the receiver has sent, that transfer may already satisfy the demand.
   std::uint64_t credited = 0;
   std::vector<DemandEntry> entries;
 };
 
+/// The share of a team's quota limit that the sender could give up.
 struct SurplusEntry {
   std::string team;
-  /// What is neither used nor waited for, and what running work of lower priority uses.
+  /// `unused`: neither used nor waited for. `stoppable`: used by running work that can be preempted
+  /// for urgent work of another region.
   Amounts unused, stoppable;
 };
-/// What the sender could give; teams whose amounts have not changed may be left out.
+/// What the sender could give up. Teams whose amounts have not changed may be omitted.
 struct ShareSurplus {
   std::vector<SurplusEntry> entries;
 };
 
+/// A message from one region's leader to another's. `kind` tells which of the last four fields is
+/// set.
 struct RegionMessage {
   enum class Kind : std::uint8_t { Transfer = 1, Acknowledgement = 2, Demand = 3, Surplus = 4 };
   Kind kind = Kind::Transfer;
-  std::string from;  // region
-  /// Of the sending leader, and of its messages: demands and surpluses that are older than the last
-  /// one received are ignored.
+  /// The name of the sending region.
+  std::string from;
+  /// The epoch of the sending leader and the number of the message within that epoch. Demands and
+  /// surpluses that are older than the last one received are ignored.
   std::uint64_t epoch = 0, sequence = 0;
   ShareTransfer transfer;
   TransferAcknowledgement acknowledgement;
@@ -109,7 +119,7 @@
 };
 
 std::string encode_region_message(const RegionMessage& message);
-/// An error of kind `Unsupported` if the sender is of a later version.
+/// Returns an error of kind `Unsupported` if the sender has a later version.
 Decoded<RegionMessage> decode_region_message(std::string_view bytes);
 
 }  // namespace sailreel
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -46,7 +46,7 @@
   return value;
 }
 
-/// The path of a field of a list's item, as errors name it.
+/// The path of a field in a list item, in the form that error messages use.
 std::string at(const char* list, std::size_t index, const char* field) {
   return std::string(list) + "[" + std::to_string(index) + "]." + field;
 }
@@ -70,14 +70,16 @@
 
 namespace {
 
-/// The least that checkpoints work with: a commit writes the manifest and a shard of a few records.
+/// The smallest future limits that checkpoints work with: a commit writes the manifest and a shard
+/// of a few records.
 constexpr double kLeastNextValueKb = 1;
 constexpr std::uint64_t kLeastNextOperations = 3;
-/// Ratios to the workers' lease that replace the gang scheduling times where these are not set.
+/// The defaults of the gang scheduling times, as multiples of the workers' lease.
 constexpr double kDefaultGangWaitLeases = 2;
 constexpr double kDefaultGangPeerLeases = 0.25;
 
-// Lowers the limits to those that the key-value store will have later, as far as these are given.
+// Lowers the limits to those announced for the key-value store in `state.next`, where these are
+// given.
 void lower_to_next_limits(const json::Value& state, Settings& settings) {
   const json::Value* next = json::member(state, "next");
   if (next == nullptr) return;
@@ -233,7 +235,7 @@
 void check_options(const Options& options) {
   const auto range = [](double value, double low, double high, const char* name) {
     if (!(value >= low && value <= high))
-      throw SettingsError(std::string("options: ") + name + ": must lie between " +
+      throw SettingsError(std::string("options: ") + name + ": must be between " +
                           std::to_string(low) + " and " + std::to_string(high));
   };
   range(options.leader_lease_ratio, 0.05, 1.0, "leader_lease_ratio");
--- a/src/protocol/user_codec.cpp
+++ b/src/protocol/user_codec.cpp
@@ -48,7 +48,7 @@
   return {};
 }
 
-/// The machine types that a job is bound to; there is a list of them.
+/// The machine types that a job may run on. Empty if the list is invalid.
 std::optional<std::vector<std::string>> decode_types(const json::Value& list) {
   if (!list.IsArray() || list.Size() > kMaxTypes) return {};
   std::vector<std::string> types;
@@ -65,7 +65,7 @@
   return static_cast<std::uint32_t>(count);
 }
 
-/// Stores the value, if there is one, and tells whether there is.
+/// Moves the value to `out` if there is one. Returns whether there is one.
 template <typename T>
 bool store(std::optional<T> value, T& out) {
   if (value) out = std::move(*value);
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kMaxMachineName = 200;
 
-/// The key of a task, which the wire writes as "<job>/<index>".
+/// Parses a task key, which has the form "<job>/<index>" on the wire.
 std::optional<TaskKey> parse_task_key(std::string_view text) {
   const auto slash = text.rfind('/');
   if (slash == std::string_view::npos || slash == 0) return {};
@@ -24,7 +24,8 @@
   return key;
 }
 
-// Later workers may know more states of a task that has not started yet: an unknown word is one.
+// Later versions of workers may report further states of a task that is not running yet. Therefore
+// an unknown word counts as Fetching.
 RunState decode_run_state(std::string_view word) {
   if (word == "running") return RunState::Running;
   if (word == "gathering") return RunState::Waiting;
--- a/src/protocol/worker_codec.hpp
+++ b/src/protocol/worker_codec.hpp
@@ -1,4 +1,4 @@
-// Codecs of workers' heartbeats and of the commands that they are sent.
+// Codec of workers' heartbeats and of the commands that are sent to workers.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,17 @@
 
 namespace sailreel {
 
-/// An error names the first field at fault; of a task status, that status' field.
+/// Errors name the first invalid field. If a task status is invalid, they name the field in it.
 Decoded<Heartbeat> decode_heartbeat(std::string_view body);
 /// The response to a heartbeat.
 std::string encode_heartbeat_response(std::uint64_t fencing_token,
                                       const std::vector<Command>& commands);
-/// The body of a request that the leader sends to a worker by itself.
+/// The body of a request that the leader sends to a worker, as opposed to a response to a
+/// heartbeat.
 std::string encode_direct(std::uint64_t fencing_token, std::uint64_t incarnation,
                           const std::vector<Command>& commands);
-/// The response that redirects a worker to the leader; `node` is empty while there is none.
+/// The body of a response that redirects a worker to the controller `node`. Names none if `node` is
+/// empty.
 std::string encode_redirect(const std::string& node);
 
 }  // namespace sailreel
--- a/tests/fake_server_codec_test.cpp
+++ b/tests/fake_server_codec_test.cpp
@@ -1,4 +1,4 @@
-// The fakes' codecs and the daemon's decode what the other encodes.
+// Tests that the codecs of the fake servers and those of the daemon decode what the other encodes.
 #include "protocol/fake_server_codec.hpp"
 
 #include <gtest/gtest.h>
@@ -106,7 +106,7 @@
   EXPECT_EQ(read->save_s, 1);
 }
 
-// A request, encoded by the daemon's codec and decoded by the fake's.
+/// Encodes the request with the daemon's codec and decodes it with the fake's.
 std::optional<KvRequest> through_the_wire(const KvRequest& call) {
   const HttpRequest request = encode_kv_request(call);
   return decode_state_call(request.method, request.path, request.body);
--- a/tests/json_test.cpp
+++ b/tests/json_test.cpp
@@ -1,5 +1,5 @@
-// Texts are parsed in place: which texts are accepted, and their values, must agree with the
-// library's ordinary parser.
+// Tests the JSON parser. It parses texts in place, and must accept the same texts with the same
+// values as RapidJSON's ordinary parser.
 #include "protocol/json.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 namespace sailreel {
 namespace {
 
-/// The text as the ordinary parser reads it and the writer writes it; empty if it isn't an object.
+/// Parses the text with the ordinary parser and serializes it again. Empty if it isn't an object.
 std::optional<std::string> read_plainly(const std::string& text) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseFullPrecisionFlag |
@@ -23,6 +23,7 @@
   return json::text(document);
 }
 
+/// Parses the text with the parser under test and serializes it again. Empty if it isn't an object.
 std::optional<std::string> read_in_place(const std::string& text) {
   json::Document document;
   if (!json::parse_object(text, document)) return {};
@@ -39,7 +40,7 @@
   }
 }
 
-// The ordinary parser takes a zero byte for the end of the text, whatever follows it.
+// RapidJSON treats a zero byte as the end of the text, so whatever followed it would be accepted.
 TEST(Json, ATextWithAZeroByteIsRejected) {
   using namespace std::string_literals;
   EXPECT_EQ(read_in_place("{}"s), "{}");
@@ -52,7 +53,7 @@
   EXPECT_EQ(read_in_place(open), std::nullopt);
 }
 
-/// Words of ASCII and other characters, some of which need an escape.
+/// Generates words of ASCII and other characters, some of which must be escaped in JSON.
 rc::Gen<std::string> any_word() {
   return rc::gen::map(rc::gen::container<std::vector<std::string>>(rc::gen::element<std::string>(
                           "a", "z", "0", " ", "\"", "\\", "/", "\n", "\x7f", "ä", "€")),
@@ -63,7 +64,7 @@
                       });
 }
 
-/// Texts that are objects or nearly so, with random strings and numbers.
+/// Generates JSON objects with random strings and numbers, some of them damaged.
 rc::Gen<std::string> any_text() {
   return rc::gen::exec([] {
     json::Value object(rapidjson::kObjectType);
@@ -83,7 +84,8 @@
       object.AddMember(name, value, memory);
     }
     std::string text = json::text(object);
-    // A changed byte, or a truncated end. No zero byte: see above.
+    // Changes a byte in some texts and truncates some. A zero byte is not used, because the
+    // ordinary parser treats it as the end of the text.
     if (*rc::gen::inRange(0, 3) == 0)
       text[*rc::gen::inRange<std::size_t>(0, text.size())] = *rc::gen::nonZero<char>();
     if (*rc::gen::inRange(0, 6) == 0) text.resize(*rc::gen::inRange<std::size_t>(0, text.size()));
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,4 +1,4 @@
-// Codecs under good, malformed and truncated input.
+// Tests the codecs with valid, malformed and truncated input.
 #include <gtest/gtest.h>
 
 #include <pcg_random.hpp>
@@ -13,6 +13,8 @@
 namespace sailreel {
 namespace {
 
+/// A submission in which `field` has the JSON text `value`, or is left out if `value` is empty.
+/// Also has a field that the decoder doesn't know.
 std::string job(const std::string& field, const std::string& value) {
   std::vector<std::pair<std::string, std::string>> fields{{"id", "\"job-000412\""},
                                                           {"berth", "\"train\""},
@@ -94,7 +96,7 @@
   EXPECT_EQ(submission_id(job("crew", "7")), "job-000412");
   EXPECT_FALSE(submission_id("[\"id\"]"));
   EXPECT_FALSE(submission_id("{\"id\":\"job-1\""));
-  // Deep nesting must not exhaust the stack.
+  // Deeply nested brackets must not exhaust the stack.
   EXPECT_FALSE(submission_id(std::string(60'000, '[')));
 }
 
@@ -153,7 +155,7 @@
             R"({"drop":"c/d"}]})");
   EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":432})")->revision, 432U);
   EXPECT_EQ(decode_kv_response(txn, 409, R"({"failed":["a/b"],"tide":431})")->status, 409);
-  // An unreadable response doesn't tell whether the compare-and-swap was carried out.
+  // A response that can't be decoded doesn't tell whether the transaction was carried out.
   EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":)").value_or({}).status, 0);
   EXPECT_EQ(decode_kv_response(txn, 200, R"({"tide":)").error(),
             (DecodeError{DecodeErrorKind::NotAnObject, ""}));
@@ -164,7 +166,7 @@
   list.key = "sr/";
   list.from = "sr/m";
   EXPECT_EQ(encode_kv_request(list).path, "/store?prefix=sr/&from=sr/m&limit=200");
-  // A store that nobody has written to is at revision 0.
+  // A store without any writes is at revision 0.
   EXPECT_EQ(decode_kv_response(list, 200, R"({"pairs":[],"has_next":false,"tide":0})")->status,
             200);
   EXPECT_EQ(decode_kv_response(list, 200, R"({"pairs":[{"path":"a"}],"tide":0})").error(),
@@ -239,7 +241,7 @@
   EXPECT_EQ(b.acknowledged_incarnation, 8U);
   EXPECT_EQ(b.acknowledged_clock, 900);
   EXPECT_EQ(b.keep_ms, 35'000U);
-  EXPECT_EQ(b.kept_alive_ms, 0U);  // just now is not the same as never
+  EXPECT_EQ(b.kept_alive_ms, 0U);  // 0 ms ago, which differs from never
 }
 
 TEST(PeerFrames, DamagedStreamsAreClosedNotRead) {
@@ -256,7 +258,8 @@
     EXPECT_FALSE(truncated.next());
     EXPECT_FALSE(truncated.broken());
   }
-  // Wrong magic, version, kind, and lengths that contradict each other.
+  // Changes the magic, the version, the kind, the frame's length, and the name's length, which then
+  // contradicts the frame's length.
   for (const std::size_t byte : {0U, 4U, 5U, 8U, 11U, 62U}) {
     std::string bad = good;
     bad[byte] = static_cast<char>(bad[byte] ^ 0x41);
@@ -290,6 +293,7 @@
   }
 }
 
+/// A settings file in which the text `from`, if not empty, is replaced by `to`.
 std::string settings(const std::string& from, const std::string& to) {
   std::string s =
       R"({"label":"n0","area":"a","listen":"10.0.0.1:8080","peer_listen":"10.0.0.1:8081",
--- a/tests/share_codec_test.cpp
+++ b/tests/share_codec_test.cpp
@@ -1,4 +1,4 @@
-// Quota shares: messages between regions, values of the checkpoint, and changes of the ledger.
+// Tests quota shares: messages between regions, checkpoint values, and changes of the ledger.
 #include <gtest/gtest.h>
 
 #include "federation/ledger.hpp"
@@ -8,6 +8,7 @@
 namespace sailreel {
 namespace {
 
+/// A message of that kind with a value in each of its fields.
 RegionMessage sample(RegionMessage::Kind kind) {
   RegionMessage message;
   message.kind = kind;
@@ -81,13 +82,14 @@
             (DecodeError{DecodeErrorKind::InvalidField, "entries"}));
 }
 
-// A message of a later version is ignored, and the link stays open.
+// A message of a later version must be ignored and must not break the stream, because that would
+// close the link between the controllers.
 TEST(RegionFrames, ALinkOutlivesAMessageThatItDoesNotKnow) {
   PeerMessage message;
   message.kind = PeerMessage::Kind::Region;
   message.region = sample(RegionMessage::Kind::Acknowledgement);
   std::string unknown = encode_peer(message);
-  unknown[12] = 99;  // the message's version, after the frame's header
+  unknown[12] = 99;  // the version of the region message, which follows the frame header
   PeerReader reader;
   reader.feed(unknown + encode_peer(message));
   const auto first = reader.next();
@@ -143,7 +145,7 @@
   EXPECT_EQ(error_of("sr/other", "{}"), (DecodeError{DecodeErrorKind::Unsupported, "key"}));
 }
 
-// With the longest names, the largest values stay far below 2 KiB.
+// Even with long names and large amounts, values must stay below 2 KiB.
 TEST(ShareRecords, ValuesAreSmall) {
   const std::string name(60, 'x');
   const Amounts large{1'000'000'000, 1'000'000'000};
@@ -153,7 +155,8 @@
   EXPECT_LT(encode_transfers(name, transfers).size(), 2048U);
 }
 
-// A damaged value must reach the code that decides what it means.
+// A value that can't be decoded must be kept in the snapshot, so that the code that handles damaged
+// shares receives it.
 TEST(ShareRecords, ASnapshotKeepsValuesThatCannotBeRead) {
   Snapshot snapshot;
   snapshot.apply({"sr/q/red", "gibberish", 4, false});
