--- a/tests/capacity_page_test.sh
+++ b/tests/capacity_page_test.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# The tables of docs/CAPACITY.md are what the program reckons from the plan and the measurements;
-# another plan gives others; a measurement that is missing is said.
-# Arguments: the program, the root of the project.
+# Checks that the tables in docs/CAPACITY.md are the output of sailreel-capacity, that the output changes
+# with the plan, and that the error for a missing slope names it.
+# Arguments: path of sailreel-capacity, root of the project.
 set -euo pipefail
 program=$1
 root=$2
@@ -12,14 +12,14 @@
 
 "$program" --plan "$plan" --measured "$measured" > "$work/tables"
 sed -n '/^<!-- reckoned -->$/,/^<!-- end -->$/p' "$root/docs/CAPACITY.md" | sed '1d;$d' > "$work/page"
-diff "$work/page" "$work/tables" || { echo "FAILED: the page isn't what the program prints"; exit 1; }
+diff "$work/page" "$work/tables" || { echo "FAILED: docs/CAPACITY.md differs from the output of sailreel-capacity"; exit 1; }
 
 sed 's/workers: 1600/workers: 3200/' "$plan" > "$work/larger"
 "$program" --plan "$work/larger" --measured "$measured" > "$work/other"
-grep -q 'A mean region: 3200 workers' "$work/other" || { echo "FAILED: another plan"; exit 1; }
+grep -q 'A mean region: 3200 workers' "$work/other" || { echo "FAILED: the tables don't follow the plan"; exit 1; }
 
 sed 's/leader_cores_per_start/renamed/' "$measured" > "$work/incomplete"
 status=0
 "$program" --plan "$plan" --measured "$work/incomplete" > /dev/null 2> "$work/err" || status=$?
-[ "$status" = 2 ] || { echo "FAILED: exit status $status without a slope"; exit 1; }
-grep -q leader_cores_per_start "$work/err" || { echo "FAILED: the slope isn't named"; exit 1; }
+[ "$status" = 2 ] || { echo "FAILED: exit status $status for a missing slope"; exit 1; }
+grep -q leader_cores_per_start "$work/err" || { echo "FAILED: the error doesn't name the missing slope"; exit 1; }
--- a/tests/scale_test.sh
+++ b/tests/scale_test.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# Plays small plans with real processes and looks at how the run ends.
-# Arguments: the program of the scale run, the folder of the plans, and the case.
+# Runs small plans with real processes, and checks the exit status, the report or error, and that no
+# process is left running.
+# Arguments: path of sailreel-scale, directory of the plans, name of the case.
 set -euo pipefail
 scale=$1
 plans=$2
@@ -11,17 +12,17 @@
   echo "FAILED: $1"
   exit 1
 }
-# The number that a field at the top of the report has.
+# Prints the number in a top-level field of the JSON report.
 field() { sed -n "s/^ \"$1\": \([0-9.]*\),*$/\1/p" "$work/report.json" | head -n 1; }
 above() { awk -v a="$1" -v b="$2" 'BEGIN { exit !(a + 0 > b + 0) }'; }
 no_process_left() {
-  ! pgrep -f -- "--config $work/run" > /dev/null || fail "controllers are left behind"
-  ! pgrep -f -- "--directory $work/run" > /dev/null || fail "regions' processes are left behind"
+  ! pgrep -f -- "--config $work/run" > /dev/null || fail "controllers are still running"
+  ! pgrep -f -- "--directory $work/run" > /dev/null || fail "regions' processes are still running"
 }
 
 plays_to_its_end() {
   "$scale" --plan "$plans/small.textproto" --report "$work/report.json" --directory "$work/run" \
-    > "$work/table" || { cat "$work/table"; fail "exit status of the run"; }
+    > "$work/table" || { cat "$work/table"; fail "the run didn't exit with status 0"; }
   cat "$work/table"
   [ "$(field rules_broken)" = 0 ] || fail "rules are broken"
   [ "$(field workers)" = 1000 ] || fail "not all workers were up"
@@ -43,11 +44,11 @@
     status=0
     "$scale" --plan "$work/$name" > "$work/out" 2> "$work/err" || status=$?
     [ "$status" = 2 ] || fail "$name: exit status $status"
-    [ "$(wc -l < "$work/err")" = 1 ] || fail "$name: not one line"
+    [ "$(wc -l < "$work/err")" = 1 ] || fail "$name: the error isn't one line"
   done
 }
 
-# A plan whose work no machine can take starts nothing, and so has failed.
+# Each task needs more CPUs than a machine has, so that no task starts. Such a run must count as failed.
 fails_without_a_start() {
   sed -e 's/task_cpus: 8/task_cpus: 1000/' -e 's/^seconds: .*/seconds: 8/' -e '/^fault/d' \
     "$plans/small.textproto" > "$work/plan"
@@ -55,7 +56,7 @@
   "$scale" --plan "$work/plan" --report "$work/report.json" --directory "$work/run" \
     > "$work/table" || status=$?
   [ "$status" = 1 ] || fail "exit status $status"
-  grep -q nothing_ran "$work/table" || fail "nothing_ran isn't named"
+  grep -q nothing_ran "$work/table" || fail "the table doesn't name nothing_ran"
 }
 
 leaves_nothing_behind_when_ended() { leaves_nothing_behind_after TERM; }
@@ -71,7 +72,7 @@
   [ "$(pgrep -fc -- "--config $work/run" || true)" = 6 ] || fail "the controllers didn't start"
   kill "-$1" "$pid"
   wait "$pid" || status=$?
-  [ "$status" != 0 ] || fail "an ended run counts as played"
+  [ "$status" != 0 ] || fail "an interrupted run exited with status 0"
   for _ in $(seq 50); do
     pgrep -f -- "$work/run" > /dev/null || break
     sleep 0.1
--- a/tools/capacity/main.cpp
+++ b/tools/capacity/main.cpp
@@ -1,4 +1,4 @@
-// sailreel-capacity: reckons what a plan takes from what was measured.
+// sailreel-capacity: computes the resources that a plan needs from measurements.
 #include <CLI/CLI.hpp>
 #include <iostream>
 
@@ -7,7 +7,8 @@
 // NOLINTNEXTLINE(bugprone-exception-escape): CLI11 may throw anything; that ends the process
 int main(int argc, char** argv) {
   constexpr int kBadInput = 2;
-  CLI::App app{"Reckons what a plan takes from what was measured, as tables in Markdown."};
+  CLI::App app{
+      "Computes the resources that a plan needs from measurements, as tables in Markdown."};
   std::string plan, measurements;
   app.add_option("--plan", plan, "Plan with targets (protobuf text format)")->required();
   app.add_option("--measured", measurements, "Measurements (protobuf text format)")->required();
--- a/tools/capacity/table.cpp
+++ b/tools/capacity/table.cpp
@@ -13,18 +13,17 @@
 namespace {
 
 constexpr double kSecondsPerDay = 86'400;
-/// The busiest region of the plan is assumed to have so many times the workers and the load of a
-/// mean one.
+/// Assumed workers and load of the largest region, as a multiple of those of a mean region.
 constexpr double kLargestRegion = 3;
 constexpr std::size_t kLeastPoints = 4;
 
 const Slope& slope(const Measurements& measurements, const std::string& name) {
   for (const Slope& candidate : measurements.slope())
     if (candidate.name() == name) return candidate;
-  throw scale::PlanError("measurements: no slope is called " + name);
+  throw scale::PlanError("measurements: missing slope " + name);
 }
 
-/// The plan's figures for one region.
+/// Workers, load and controllers of one region, derived from the plan.
 struct RegionSize {
   double workers = 0, tasks = 0, starts_per_s = 0, jobs_per_s = 0, unfinished_jobs = 0;
   double heartbeat_interval_s = 1, controllers = 3;
@@ -78,8 +77,8 @@
     out_ += fmt::format("| {} | {:.3g} {} | {} |\n", what, value, unit, how);
   }
 
-  // The leader's work: heartbeats, starts and jobs; each slope has the others' share in its
-  // constant.
+  // Processor time of the leader for heartbeats, starts and jobs. The constant of each fitted line
+  // includes the cost of the other kinds of work, so only one constant is added.
   [[nodiscard]] double leader_cores(const RegionSize& size) const {
     const Fit reports = line("leader_cores_per_report");
     return reports.constant + reports.per_unit * size.workers / size.heartbeat_interval_s +
@@ -177,7 +176,7 @@
 }
 
 std::string tables(const Measurements& measurements, const scale::Plan& plan) {
-  if (!plan.has_targets()) throw scale::PlanError("plan: no targets");
+  if (!plan.has_targets()) throw scale::PlanError("plan: targets are missing");
   return Page(measurements, plan).text();
 }
 
--- a/tools/scale/child_process.cpp
+++ b/tools/scale/child_process.cpp
@@ -10,14 +10,15 @@
 
 namespace sailreel::scale {
 
-/// Lives until libuv has closed the handles.
+/// The libuv handles of the process and the data of their callbacks. After close() the object lives
+/// until libuv has closed all handles, and then deletes itself.
 struct ChildProcess::Handles {
   uv_process_t process{};
   uv_pipe_t input{}, output{};
   ChildOutput to;
   std::function<void(int, int)> on_exit;
   bool running = false;
-  int open = 0;  // handles that libuv hasn't closed yet
+  int open = 0;  // after close(): handles that libuv hasn't closed yet
   std::array<char, 65536> buffer{};
 
   void close() {
@@ -45,7 +46,7 @@
   const int log_descriptor = open(log.empty() ? "/dev/null" : log.c_str(),
                                   O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   std::array<uv_stdio_container_t, 3> stdio{};
-  // The child sees the end of its standard input when this process ends, however it ends.
+  // When this process ends, for whatever reason, the pipe closes and the child reads end of file.
   stdio[0].flags = static_cast<uv_stdio_flags>(UV_CREATE_PIPE | UV_READABLE_PIPE);
   stdio[0].data.stream = reinterpret_cast<uv_stream_t*>(&handles_->input);
   stdio[1].flags = static_cast<uv_stdio_flags>(UV_CREATE_PIPE | UV_WRITABLE_PIPE);
--- a/tools/scale/child_process.hpp
+++ b/tools/scale/child_process.hpp
@@ -1,4 +1,4 @@
-// A process that the scale run starts, and ends by its id.
+// A child process of a scale run.
 #pragma once
 
 #include <uv.h>
@@ -12,26 +12,30 @@
 
 namespace sailreel::scale {
 
-/// What a process gets as its standard output; its standard error is a file or the parent's.
+/// Where the standard output and standard error of a child process go.
 struct ChildOutput {
-  /// Called with what it writes to standard output; empty: that is discarded.
+  /// Called with each chunk that the process writes to standard output; if empty, the chunks are
+  /// discarded.
   std::function<void(std::string_view)> on_output;
-  /// Standard error is added to this file; empty: it is discarded.
+  /// File that standard error is appended to; if empty, standard error is discarded.
   std::string log_file;
 };
 
+/// Starts a program, and kills it on destruction.
 class ChildProcess {
  public:
-  /// Starts the program at once; throws std::runtime_error. `on_exit` is called once it has ended.
+  /// Starts the program `arguments[0]`; throws std::runtime_error if that fails. `on_exit` is
+  /// called from the loop when the process ends, but not if this object ends it.
   ChildProcess(EventLoop& loop, const std::vector<std::string>& arguments, ChildOutput output,
                std::function<void(int status, int signal)> on_exit);
-  /// Kills the process if it still runs.
+  /// Kills the process with SIGKILL if it is still running, and waits for its end.
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
   [[nodiscard]] int pid() const;
   [[nodiscard]] bool running() const;
+  /// Has no effect after the process has ended.
   void send_signal(int signal);
 
  private:
--- a/tools/scale/deployment.cpp
+++ b/tools/scale/deployment.cpp
@@ -11,7 +11,8 @@
 
 constexpr int kFirstNetwork = 10;
 constexpr int kFirstRelayNetwork = 110;
-/// Requests that a worker or a user may have open at once, beside its connection.
+/// Descriptors in a controller's limit for each worker: the requests that a worker or a user may
+/// have open at once, besides its connection.
 constexpr std::uint64_t kSocketsPerWorker = 4;
 constexpr std::uint64_t kOtherSockets = 600;
 constexpr double kCancelLeases = 2.5;
--- a/tools/scale/limits.cpp
+++ b/tools/scale/limits.cpp
@@ -9,12 +9,12 @@
 namespace sailreel::scale {
 namespace {
 
-/// What one hollow worker, one controller and one region's model take at the least, in MB: below
-/// what small runs have shown, so that nothing that fits is refused.
+/// Lower bounds for the memory of a simulated worker, a controller and a region's process, in MB.
+/// They are below what small runs have used, so that no plan that fits is refused.
 constexpr double kWorkerMb = 0.02;
 constexpr double kControllerMb = 8;
 constexpr double kRegionMb = 10;
-/// A worker's listening socket, its connection, and one that commands come over.
+/// Sockets of a worker: it listens on one, sends heartbeats on one and receives commands on one.
 constexpr std::uint32_t kSocketsPerWorker = 3;
 constexpr std::uint32_t kOtherSockets = 1'500;
 
@@ -32,8 +32,8 @@
   const auto regions = static_cast<std::uint32_t>(plan.region_size());
   const std::uint32_t processes = 1 + regions + total_controllers(plan);
   if (processes > kMostProcesses)
-    too_small("the plan needs " + std::to_string(processes) + " processes, and a run has at most " +
-              std::to_string(kMostProcesses));
+    too_small("the plan needs " + std::to_string(processes) +
+              " processes, and a run may have at most " + std::to_string(kMostProcesses));
   const double needed = total_workers(plan) * kWorkerMb + regions * kRegionMb +
                         total_controllers(plan) * kControllerMb;
   const double there = std::min(memory_limit_mb(), available_memory_mb());
--- a/tools/scale/limits.hpp
+++ b/tools/scale/limits.hpp
@@ -1,16 +1,17 @@
-// What a run may take of the machine: half of its memory, and a few hundred processes.
+// Limits of a scale run: half of the machine's memory, and 300 processes.
 #pragma once
 
 #include "scale/plan.hpp"
 
 namespace sailreel::scale {
 
+/// The processes of a run are the main process, one process per region, and the controllers.
 constexpr std::uint32_t kMostProcesses = 300;
 
-/// The memory that a run may use, in MB.
+/// The memory that all processes of a run together may use, in MB.
 double memory_limit_mb();
 
-/// Throws PlanError, in one line, if the plan can't fit on this machine.
+/// Throws PlanError if the plan can't fit on this machine.
 void check_machine(const Plan& plan);
 
 }  // namespace sailreel::scale
--- a/tools/scale/main.cpp
+++ b/tools/scale/main.cpp
@@ -1,4 +1,4 @@
-// sailreel-scale: plays a plan with real controllers and hollow workers on loopback addresses.
+// sailreel-scale: runs a plan with real controllers and simulated workers on loopback addresses.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -22,7 +22,8 @@
 constexpr int kBadPlan = 2;
 constexpr int kNotPlayed = 3;
 
-/// A folder for settings files and logs, which is gone when the run is over.
+/// Directory for settings files and logs: the given one, which is kept, or else a temporary one,
+/// which is removed after the run.
 class RunDirectory {
  public:
   explicit RunDirectory(std::string wanted) : path_(std::move(wanted)), kept_(!path_.empty()) {
@@ -33,7 +34,7 @@
     std::string pattern =
         (std::filesystem::temp_directory_path() / "sailreel-scale-XXXXXX").string();
     if (mkdtemp(pattern.data()) == nullptr)
-      throw std::runtime_error("cannot make a folder for the run");
+      throw std::runtime_error("cannot create a temporary directory for the run");
     path_ = pattern;
   }
   ~RunDirectory() {
@@ -74,18 +75,19 @@
 // NOLINTNEXTLINE(bugprone-exception-escape): CLI11 may throw anything; that ends the process
 int main(int argc, char** argv) {
   CLI::App app{
-      "Plays a plan with real controllers and hollow workers on loopback addresses.\n"
-      "Exit status: 0 played without a broken rule, 1 a rule was broken, 2 a bad plan or a\n"
-      "machine that is too small, 3 not played to the end."};
+      "Runs a plan with real controllers and simulated workers on loopback addresses.\n"
+      "Exit status: 0 completed, no rule broken; 1 a rule was broken; 2 invalid plan, or machine "
+      "too\n"
+      "small; 3 not completed."};
   std::string plan_path, report_path, directory;
   std::string controller =
       (std::filesystem::read_symlink("/proc/self/exe").parent_path() / "sailreel").string();
   std::optional<int> region;
   sailreel::Time begin_ms = 0;
   app.add_option("--plan", plan_path, "Plan (protobuf text format)")->required();
-  app.add_option("--report", report_path, "Where the report goes (JSON)");
-  app.add_option("--controller", controller, "Program of the controllers");
-  app.add_option("--directory", directory, "Keep settings files and logs in this folder");
+  app.add_option("--report", report_path, "Write the report to this file (JSON)");
+  app.add_option("--controller", controller, "Path of the controller program");
+  app.add_option("--directory", directory, "Keep settings files and logs in this directory");
   app.add_option("--region", region)->group("");
   app.add_option("--begin-ms", begin_ms)->group("");
   try {
--- a/tools/scale/message_stream.hpp
+++ b/tools/scale/message_stream.hpp
@@ -1,4 +1,5 @@
-// Messages between the processes of a scale run: a length of four bytes, then the message.
+// Messages between the processes of a scale run. Each is sent as its length, four bytes in host
+// byte order, and the serialized message.
 #pragma once
 
 #include <optional>
@@ -9,13 +10,15 @@
 
 namespace sailreel::scale {
 
+/// Serializes a message and puts its length in front.
 std::string frame_message(const RegionMessage& message);
 
-/// Cuts messages out of a stream of bytes.
+/// Extracts messages from a stream of bytes.
 class MessageReader {
  public:
   void feed(std::string_view bytes) { buffer_.append(bytes); }
-  /// The next whole message; empty if more bytes are needed.
+  /// The next complete message; empty if more bytes are needed, or if the message can't be parsed
+  /// and is skipped.
   std::optional<RegionMessage> next();
 
  private:
--- a/tools/scale/plan.cpp
+++ b/tools/scale/plan.cpp
@@ -11,7 +11,8 @@
 namespace sailreel::scale {
 namespace {
 
-/// Each region has a network of its own, 127.10.0.0/16 and up.
+/// Each region has its own network, from 127.10.0.0/16 up. The relay's networks start at
+/// 127.110.0.0/16, so with more than 100 regions they would overlap.
 constexpr int kMostRegions = 100;
 constexpr std::uint32_t kMostControllers = 200;
 constexpr std::uint32_t kMostSeconds = 3'600;
@@ -23,7 +24,7 @@
 }
 
 void check_regions(const Plan& plan) {
-  require(plan.region_size() > 0, "no region");
+  require(plan.region_size() > 0, "no region is defined");
   require(plan.region_size() <= kMostRegions, "more than 100 regions");
   std::set<std::string> names, zones;
   for (const Region& region : plan.region()) {
@@ -48,21 +49,22 @@
             "fault: region " + region.name() + " has no zone " + fault.zone());
     return;
   }
-  fail("fault: no region is called " + fault.region());
+  fail("fault: unknown region " + fault.region());
 }
 
 void check_amounts(const Plan& plan) {
   require(plan.seconds() > 0 && plan.seconds() <= kMostSeconds, "seconds: must be 1 to 3600");
   const Fleet& fleet = plan.fleet();
   require(fleet.report_s() > 0, "fleet.report_s: must be above 0");
-  require(fleet.lease_s() > 2 * fleet.report_s(), "fleet.lease_s: must be above two reports");
+  require(fleet.lease_s() > 2 * fleet.report_s(),
+          "fleet.lease_s: must be above twice fleet.report_s");
   require(fleet.boot_s() > 0, "fleet.boot_s: must be above 0");
   require(fleet.teams() > 0, "fleet.teams: must be above 0");
   require(fleet.state_rps() > 0 && fleet.state_write_rps() > 0 && fleet.cloud_rps() > 0,
-          "fleet: rates must be above 0");
+          "fleet: state_rps, state_write_rps and cloud_rps must be above 0");
   const Load& load = plan.load();
   require(load.tasks_per_service() > 0 && load.tasks_per_array() > 0,
-          "load: jobs must have a task");
+          "load: tasks_per_service and tasks_per_array must be above 0");
   require(load.array_task_s() > 0, "load.array_task_s: must be above 0");
   require(load.skew() >= 0 && load.skew() <= 1, "load.skew: must lie between 0 and 1");
 }
--- a/tools/scale/plan.hpp
+++ b/tools/scale/plan.hpp
@@ -8,15 +8,17 @@
 
 namespace sailreel::scale {
 
-/// A plan that can't be run, or a machine that is too small for it. Its text is one line.
+/// Thrown if a file can't be used as input of a run, or if this machine is too small for the plan.
+/// The message is one line.
 class PlanError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// Reads a plan in protobuf text format; throws PlanError.
+/// Reads and checks a plan in protobuf text format; throws PlanError if it is invalid.
 Plan load_plan(const std::string& path);
 
+/// Sums over all regions of the plan.
 std::uint32_t total_workers(const Plan& plan);
 std::uint32_t total_controllers(const Plan& plan);
 
--- a/tools/scale/process_stats.cpp
+++ b/tools/scale/process_stats.cpp
@@ -28,7 +28,8 @@
   std::ifstream file(folder + "/stat");
   std::string text;
   if (!std::getline(file, text)) return {};
-  // The name, in brackets, may hold anything; what follows it are numbers.
+  // The second field is the program's name in parentheses, and may contain any character. The
+  // fields after the last parenthesis are separated by spaces.
   std::istringstream rest(text.substr(text.rfind(')') + 1));
   std::string skipped;
   constexpr int kFieldsBeforeTimes = 11;
--- a/tools/scale/process_stats.hpp
+++ b/tools/scale/process_stats.hpp
@@ -1,4 +1,4 @@
-// What the system says of processes and of the machine.
+// Processor time and memory of processes and of the machine, read from /proc.
 #pragma once
 
 #include <cstdint>
@@ -7,14 +7,14 @@
 namespace sailreel::scale {
 
 struct ProcessStats {
-  double cpu_s = 0;  // since its start
-  double memory_mb = 0;
+  double cpu_s = 0;      // user and system time since the process started
+  double memory_mb = 0;  // resident memory
 };
-/// Empty if there is no such process any more.
+/// Empty if the process no longer exists.
 std::optional<ProcessStats> read_process(int pid);
 
 struct MachineStats {
-  double busy_s = 0, idle_s = 0;  // of all cores together, since the machine's start
+  double busy_s = 0, idle_s = 0;  // sums over all cores, since the machine booted
 };
 MachineStats read_machine();
 
--- a/tools/scale/region_process.cpp
+++ b/tools/scale/region_process.cpp
@@ -20,7 +20,7 @@
 constexpr Time kHeartbeatTimeoutMs = 4'000;
 constexpr Time kUserTimeoutMs = 5'000;
 constexpr Time kIdleMs = 120'000;
-/// The work begins when the controllers have had time to elect a leader.
+/// Time from the start of the run to the first submission, in which the controllers elect a leader.
 constexpr Time kWorkBeginsMs = 3'000;
 constexpr std::size_t kUserConnections = 1'000;
 constexpr std::size_t kServiceConnections = 4'000;
@@ -109,7 +109,7 @@
         RegionMessage message;
         message.set_controller_ended(static_cast<std::uint32_t>(node));
         tell(message);
-        std::fprintf(stderr, "sailreel-scale: %s ended by itself, status %d, signal %d\n",
+        std::fprintf(stderr, "sailreel-scale: %s exited unexpectedly with status %d, signal %d\n",
                      name.c_str(), status, signal);
       });
   RegionMessage message;
@@ -219,7 +219,7 @@
     case Fault::ZONE_WORKERS_GONE:
       return remove_zone_workers(fault.zone());
     case Fault::REGION_CUT:
-      return;  // the links between regions are the main process's
+      return;  // the main process, which owns the links, injects this fault
   }
 }
 
@@ -282,7 +282,7 @@
   users_.sweep();
   for (auto& [machine, sockets] : workers_) sockets.client->sweep();
   sweep_timer_.set(kSweepMs);
-  // The main process is gone: nobody would read what follows.
+  // The main process has ended, so nobody reads further messages. The reset ends the controllers.
   if (getppid() != main_process_) {
     region_.reset();
     std::exit(1);
--- a/tools/scale/region_process.hpp
+++ b/tools/scale/region_process.hpp
@@ -1,5 +1,5 @@
-// The process of one region: its controllers as processes, and everything around them as a model
-// behind sockets (key-value store, cloud, workers, users).
+// The process of one region. Its controllers are child processes; the key-value store, the cloud,
+// the workers and the users are simulated, and reach the controllers over sockets.
 #pragma once
 
 #include <map>
@@ -20,11 +20,12 @@
 
 struct RegionOptions {
   int region = 0;
-  std::string program;    // of a controller
+  std::string program;    // path of the controller program
   std::string directory;  // for settings files and logs
-  Time begin_ms = 0;      // on the steady clock, the same for all regions
+  Time begin_ms = 0;      // start of the run on the steady clock, the same for all regions
 };
 
+/// Advances the simulation of a region in real time, and connects it to the controllers' processes.
 class RegionProcess : public RegionSockets {
  public:
   RegionProcess(const Plan& plan, RegionOptions options);
@@ -32,15 +33,15 @@
   RegionProcess(const RegionProcess&) = delete;
   RegionProcess& operator=(const RegionProcess&) = delete;
 
-  /// Until the plan's end, or until the main process ends.
+  /// Runs until the plan's end, or until the main process ends, and then exits this process.
   void run();
 
  private:
-  /// A hollow worker: only its protocol is real, no task runs there.
+  /// Sockets of a simulated worker, which speaks the real protocol but runs no tasks.
   struct WorkerSockets {
     std::unique_ptr<HttpClient> client;
     std::unique_ptr<HttpServer> server;
-    /// Address of the controller that got its last heartbeat.
+    /// Address of the controller that the worker's last heartbeat was sent to.
     std::string controller_address;
   };
 
--- a/tools/scale/relay.cpp
+++ b/tools/scale/relay.cpp
@@ -26,7 +26,8 @@
   const bool outgoing_;
 };
 
-/// A connection from one region to another, in two parts.
+/// A connection from one region to another: the accepted connection, the outgoing connection to the
+/// target, and the bytes in transit between them.
 class Relay::Link {
  public:
   Link(Relay& relay, int from, int to)
@@ -50,11 +51,13 @@
     queue_.push_back({EventLoop::now_ms() + relay_.delay_ms_, !from_outgoing, std::string(bytes)});
   }
 
-  // Passes on what is due, in order; false if the link is to be closed.
+  /// Forwards the bytes that are due, in order, unless the regions are cut off from each other.
+  /// Returns false if the link must be closed.
   bool pump(std::int64_t now) {
     if (const Cut* cut = relay_.cut_between(from_, to_)) return cut->hold;
     while (!queue_.empty() && queue_.front().due <= now) {
-      // A write that fails closes its end, which changes the queue.
+      // A failed write closes the end, and end_closed() then changes the queue: the chunk must be
+      // out of it before.
       Chunk chunk = std::move(queue_.front());
       queue_.pop_front();
       if (End* to = end(chunk.to_outgoing)) to->write(std::move(chunk.bytes));
@@ -62,11 +65,12 @@
     return !(closing_ && queue_.empty());
   }
 
-  /// One end has closed: the other is closed once it has what is still on its way.
+  /// Called when one end has closed. The other is closed once it has received the bytes that are
+  /// still in transit to it.
   void end_closed(const End* closed) {
     (closed == incoming_ ? incoming_ : outgoing_) = nullptr;
     closing_ = true;
-    // What it would have got is lost.
+    // The bytes in transit to the closed end are lost.
     std::erase_if(queue_, [&](const Chunk& chunk) { return end(chunk.to_outgoing) == nullptr; });
   }
 
--- a/tools/scale/relay.hpp
+++ b/tools/scale/relay.hpp
@@ -1,5 +1,5 @@
-// The links between regions: TCP connections that pass through here, are delayed, and are held or
-// reset while regions lose each other.
+// The links between regions: TCP connections that pass through a relay. It delays the bytes, and
+// holds them or closes the connections while a region is cut off.
 #pragma once
 
 #include <cstdint>
@@ -17,17 +17,18 @@
 
 class Relay {
  public:
-  /// Listens for each region on the addresses of all controllers of the others.
+  /// If the plan's division is SHARES, listens for each region on one address per controller of
+  /// every other region; otherwise on none.
   Relay(EventLoop& loop, const Plan& plan);
   ~Relay();
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  /// The region loses all others. What is sent is held until the end, or connections are reset and
-  /// new ones refused.
+  /// Cuts the region off from all others for a time. If `hold` is set, bytes sent meanwhile are
+  /// forwarded afterwards; otherwise connections are closed, and new ones are closed at once.
   void cut_off(int region, std::int64_t for_ms, bool hold);
 
-  /// What passed, counted once; a message is what was read at once.
+  /// Bytes received from all connections, each counted once. Each read counts as one message.
   [[nodiscard]] const Traffic& traffic() const { return traffic_; }
 
  private:
@@ -44,14 +45,14 @@
   };
 
   void accept(const Entry& entry, uv_stream_t* server);
-  /// The cut that is between the two regions now, if any.
+  /// The cut that is in force now for one of the two regions; null if there is none.
   [[nodiscard]] const Cut* cut_between(int a, int b) const;
   void pump();
 
   EventLoop& loop_;
   const std::int64_t delay_ms_;
   std::vector<std::unique_ptr<Entry>> entries_;
-  std::vector<Cut> cuts_;  // by region
+  std::vector<Cut> cuts_;  // indexed by region
   std::unordered_set<Link*> links_;
   Traffic traffic_;
   Timer timer_;
--- a/tools/scale/remote_controller.hpp
+++ b/tools/scale/remote_controller.hpp
@@ -1,4 +1,5 @@
-// A controller that is a process of its own: the model's inputs reach it as HTTP requests.
+// A controller that runs in a process of its own. The simulation's inputs reach it as HTTP
+// requests.
 #pragma once
 
 #include <functional>
@@ -10,20 +11,22 @@
 
 namespace sailreel::scale {
 
-/// What a remote controller needs of the region that it serves.
+/// Connections from a region's simulated workers and users to its controllers.
 class RegionSockets {
  public:
   virtual ~RegionSockets() = default;
-  /// Sends a request on the connection of that worker, or on one of the users'.
+  /// Send a heartbeat on the worker's connection, or a user's request on one that all users share.
+  /// `done` gets the status and body of the response; status 0 means that there was none.
   virtual void send_heartbeat(const std::string& machine, const std::string& address,
                               const std::string& body,
                               std::function<void(int, std::string)> done) = 0;
   virtual void send_user_request(const std::string& address, const UserRequest& request,
                                  std::function<void(int, std::string)> done) = 0;
-  /// A response has arrived; the region's simulation continues with it.
+  /// Hands the outcome of a request to the region's simulation. Status 0: no response.
   virtual void answered(std::size_t node, const Response& response) = 0;
 };
 
+/// Sends the simulation's heartbeats and user requests to a controller's process, which it owns.
 class RemoteController : public sim::SimulatedController {
  public:
   RemoteController(RegionSockets& sockets, std::size_t node, std::string listen,
@@ -38,7 +41,7 @@
   RemoteController& operator=(const RemoteController&) = delete;
 
   std::vector<Action> step(Clock clock, Input input) override;
-  // Which controller leads is its own affair; the model doesn't look into processes.
+  // The simulation doesn't know which of the controllers' processes leads.
   [[nodiscard]] bool leading() const override { return false; }
   [[nodiscard]] std::uint64_t epoch() const override { return 0; }
 
@@ -49,7 +52,8 @@
   const std::size_t node_;
   const std::string listen_;
   std::unique_ptr<ChildProcess> process_;
-  /// Outlives this controller in the answers that are still to come.
+  /// False after this controller's destruction. The callbacks of pending requests share it, and
+  /// then report status 0.
   std::shared_ptr<bool> alive_;
 };
 
--- a/tools/scale/report_builder.cpp
+++ b/tools/scale/report_builder.cpp
@@ -89,7 +89,7 @@
     moment.team_gpus[static_cast<std::size_t>(team)] += progress.team_gpus(team);
   if (moment.regions.size() < static_cast<std::size_t>(plan_.region_size())) return;
   take_moment(progress.sample(), moment);
-  // Earlier ones that some region has left out never become whole.
+  // Earlier samples that some region has skipped never become complete.
   moments_.erase(moments_.begin(), moments_.upper_bound(progress.sample()));
 }
 
@@ -179,7 +179,7 @@
 
 void ReportBuilder::add_roles(RunReport& report) {
   const double seconds = std::max(1.0, report.seconds());
-  // Of each region, the controller with the most processor time stands for the one that leads.
+  // The controller with the most processor time in its region is taken to be the leader.
   std::map<std::string, const Process*> busiest;
   for (const auto& [pid, process] : processes_) {
     if (process.role != ProcessRole::SimulatedController) continue;
@@ -234,7 +234,7 @@
   report.set_seconds(seconds_sampled_);
   std::uint32_t broken = 0;
   for (const auto& [rule, cases] : report.rules()) broken += cases;
-  // A limit that spans regions is nobody's in one region to watch.
+  // The checker of a single region can't check a limit that spans regions.
   if (limits_span_regions() && report.team_limit_used_peak() > 1 + 1e-6) {
     (*report.mutable_rules())["quota"] += 1;
     report.add_broken("quota over all regions");
--- a/tools/scale/report_builder.hpp
+++ b/tools/scale/report_builder.hpp
@@ -1,4 +1,5 @@
-// Gathers what the processes of a scale run say and take, and makes the report of it.
+// Collects the messages and the resource usage of the processes of a scale run, and builds the
+// report.
 #pragma once
 
 #include <map>
@@ -24,14 +25,16 @@
   void result(const RegionResult& result);
   void failed(const std::string& what);
 
-  /// Looks at all processes and at the machine; to be called every second.
+  /// Samples the resource usage of all processes and of the machine. Must be called once a second:
+  /// the report counts calls as seconds.
   void sample_processes();
+  /// Memory and number of the processes that ran at the last call of sample_processes().
   [[nodiscard]] double memory_mb() const { return memory_mb_; }
   [[nodiscard]] std::uint32_t processes() const { return running_; }
-  /// Ids of controllers that still run.
+  /// Process ids of the controllers that still run.
   [[nodiscard]] std::vector<int> controllers_running() const;
 
-  /// The report; `links` is what passed between regions.
+  /// Completes the report; `links` is the traffic between regions.
   RunReport finish(const Traffic& links);
 
  private:
@@ -41,7 +44,7 @@
     bool running = true;
     double cpu_s = 0, memory_peak_mb = 0;
   };
-  /// What the regions said of one moment.
+  /// Totals of one sample over the regions that have reported it.
   struct Moment {
     std::set<int> regions;
     std::uint32_t workers = 0, tasks = 0;
@@ -59,7 +62,8 @@
   RunReport report_;
   std::map<int, Process> processes_;
   std::map<std::uint64_t, Moment> moments_;
-  std::map<std::uint64_t, std::uint64_t> starts_at_;  // a second's first sample
+  /// Total starts at the first complete sample of each second.
+  std::map<std::uint64_t, std::uint64_t> starts_at_;
   std::vector<double> submission_ms_, urgent_ms_;
   TrafficCounts workers_, users_, kv_store_, cloud_;
   std::uint64_t reports_ = 0;
@@ -68,10 +72,10 @@
   std::uint32_t running_ = 0;
   std::uint32_t seconds_sampled_ = 0;
   MachineStats machine_;
-  std::vector<double> team_limit_used_;  // by the team that uses most, at each moment
+  std::vector<double> team_limit_used_;  // largest share of any team, in each complete sample
 };
 
-/// The report for people.
+/// The report as plain text.
 std::string report_table(const RunReport& report);
 /// The report as JSON.
 std::string report_json(const RunReport& report);
--- a/tools/scale/run.cpp
+++ b/tools/scale/run.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr Time kWatchMs = 1'000;
-/// From the start of the regions' processes to the beginning of their simulation.
+/// Time from the start of the regions' processes to the start of their simulations.
 constexpr Time kStartMs = 1'000;
-/// A region that hasn't ended so long after the plan's end never will.
+/// The run fails if a region's process hasn't ended this long after the plan's end.
 constexpr Time kOverdueMs = 30'000;
 
 }  // namespace
@@ -38,7 +38,7 @@
     uv_signal_start(
         handle,
         [](uv_signal_t* signal, int number) {
-          static_cast<Run*>(signal->data)->stop("ended by signal " + std::to_string(number));
+          static_cast<Run*>(signal->data)->stop("stopped by signal " + std::to_string(number));
         },
         handle == &interrupt ? SIGINT : SIGTERM);
   }
@@ -102,7 +102,7 @@
     report_.process_started(static_cast<int>(message.controller_started()),
                             ProcessRole::SimulatedController, plan_.region(region).name());
   if (message.has_controller_ended())
-    report_.failed("a controller of " + plan_.region(region).name() + " ended by itself");
+    report_.failed("a controller of " + plan_.region(region).name() + " exited unexpectedly");
   if (message.has_result()) {
     state.done = true;
     report_.result(message.result());
@@ -132,7 +132,7 @@
     return stop("the run used more than half of the machine's memory");
   if (report_.processes() > kMostProcesses) return stop("the run had more than 300 processes");
   const Time overdue = begin_ms_ + static_cast<Time>(plan_.seconds()) * 1000 + kOverdueMs;
-  if (EventLoop::now_ms() > overdue) return stop("a region didn't come to its end");
+  if (EventLoop::now_ms() > overdue) return stop("a region did not end in time");
   if (options_.progress) show_progress();
 }
 
--- a/tools/scale/run.hpp
+++ b/tools/scale/run.hpp
@@ -1,5 +1,5 @@
-// The main process of a scale run: starts the regions' processes, watches them and the machine, and
-// puts the report together.
+// The main process of a scale run: starts the regions' processes, monitors them and the machine,
+// and builds the report.
 #pragma once
 
 #include <map>
@@ -18,11 +18,11 @@
 namespace sailreel::scale {
 
 struct RunOptions {
-  std::string program;  // this program, for the regions' processes
+  std::string program;  // path of this program, which the regions' processes run
   std::string plan_path;
-  std::string controller;  // the controllers' program
+  std::string controller;  // path of the controller program
   std::string directory;   // for settings files and logs
-  bool progress = false;   // a line on standard error, rewritten each second
+  bool progress = false;   // shows a progress line on standard error
 };
 
 class Run {
@@ -32,9 +32,10 @@
   Run(const Run&) = delete;
   Run& operator=(const Run&) = delete;
 
-  /// Plays the plan to its end, or until something fails; the report says what.
+  /// Runs the plan to its end or to the first failure, and ends all processes. The report has the
+  /// failure.
   RunReport run();
-  /// Ends all processes; may be called from a signal's handler in the loop.
+  /// Makes run() return, with this failure in the report.
   void stop(const std::string& why);
 
  private:
--- a/tools/scale/workload.cpp
+++ b/tools/scale/workload.cpp
@@ -7,16 +7,17 @@
 namespace sailreel::scale {
 namespace {
 
-/// Job ids are unique over all regions.
+/// Each region has its own range of job numbers, so that ids are unique over all regions.
 constexpr std::uint64_t kIdsPerRegion = 10'000'000;
 constexpr std::uint32_t kImages = 8;
 constexpr double kImageGb = 2;
-/// An urgent job runs so long until its user cancels it.
+/// Time from the submission of an urgent job until its user cancels it.
 constexpr Time kUrgentRunMs = 8'000;
-/// Nothing is submitted in the last part of a run, so that what was can still be answered.
+/// Share of the run, at its end, in which no arrays or urgent jobs are submitted, so that earlier
+/// submissions can still be answered.
 constexpr double kQuietShare = 0.1;
 
-/// The part of all work that a region gets.
+/// Share of all work that is submitted in a region.
 double part_of(const Plan& plan, int region) {
   const double even = static_cast<double>(plan.region(region).workers()) / total_workers(plan);
   const double skew = plan.load().skew();
--- a/tools/scale/workload.hpp
+++ b/tools/scale/workload.hpp
@@ -11,17 +11,18 @@
 
 namespace sailreel::scale {
 
+/// Submits services, arrays and urgent jobs, and measures how long urgent jobs wait.
 class Workload {
  public:
-  /// Plans all submissions from `begin` on into the region's simulation.
+  /// Schedules all submissions in the region's simulation, from `begin` on.
   Workload(const Plan& plan, int region_index, sim::SimulatedRegion& region, Time begin);
 
-  /// To be told of each task that begins to run.
+  /// Must be called for each task that starts to run.
   void task_started(const TaskKey& key, Time now);
 
-  /// How long each urgent job waited for its start, in milliseconds.
+  /// Time from the submission to the start of each urgent job that has started, in milliseconds.
   [[nodiscard]] const std::vector<std::uint32_t>& urgent_waits() const { return urgent_waits_; }
-  /// Urgent jobs that had waited for longer than the planned time at the end, and not started.
+  /// Number of urgent jobs that haven't started and have waited for longer than `patience`.
   [[nodiscard]] std::uint32_t urgent_waiting(Time now, Time patience) const;
 
  private:
