--- a/tools/scale/main.cpp
+++ b/tools/scale/main.cpp
@@ -76,9 +76,8 @@
 int main(int argc, char** argv) {
   CLI::App app{
       "Runs a plan with real controllers and simulated workers on loopback addresses.\n"
-      "Exit status: 0 completed, no rule broken; 1 a rule was broken; 2 invalid plan, or machine "
-      "too\n"
-      "small; 3 not completed."};
+      "Exit status: 0 completed, no rule broken; 1 a rule was broken; 2 invalid plan, or the\n"
+      "machine is too small; 3 not completed."};
   std::string plan_path, report_path, directory;
   std::string controller =
       (std::filesystem::read_symlink("/proc/self/exe").parent_path() / "sailreel").string();
