--- a/tools/capacity/main.cpp
+++ b/tools/capacity/main.cpp
@@ -6,7 +6,7 @@
 
 // NOLINTNEXTLINE(bugprone-exception-escape): CLI11 may throw anything; that ends the process
 int main(int argc, char** argv) {
-  constexpr int kBadInput = 2;
+  constexpr int kExitInvalidInput = 2;
   CLI::App app{
       "Computes the resources that a plan needs from measurements, as tables in Markdown."};
   std::string plan, measurements;
@@ -15,14 +15,14 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kBadInput;
+    return app.exit(e) == 0 ? 0 : kExitInvalidInput;
   }
   try {
     std::cout << sailreel::capacity::tables(sailreel::capacity::load_measurements(measurements),
                                             sailreel::scale::load_plan(plan));
   } catch (const sailreel::scale::PlanError& e) {
     std::cerr << "sailreel-capacity: " << e.what() << '\n';
-    return kBadInput;
+    return kExitInvalidInput;
   }
   return 0;
 }
--- a/tools/scale/child_process.cpp
+++ b/tools/scale/child_process.cpp
@@ -15,18 +15,18 @@
 struct ChildProcess::Handles {
   uv_process_t process{};
   uv_pipe_t input{}, output{};
-  ChildOutput to;
+  ChildOutput destination;
   std::function<void(int, int)> on_exit;
   bool running = false;
-  int open = 0;  // after close(): handles that libuv hasn't closed yet
+  int closing_handles = 0;  // after close(): handles that libuv hasn't closed yet
   std::array<char, 65536> buffer{};
 
   void close() {
     const auto closed = [](uv_handle_t* handle) {
       auto* self = static_cast<Handles*>(handle->data);
-      if (--self->open == 0) delete self;
+      if (--self->closing_handles == 0) delete self;
     };
-    open = 3;
+    closing_handles = 3;
     uv_close(reinterpret_cast<uv_handle_t*>(&process), closed);
     uv_close(reinterpret_cast<uv_handle_t*>(&input), closed);
     uv_close(reinterpret_cast<uv_handle_t*>(&output), closed);
@@ -36,13 +36,13 @@
 ChildProcess::ChildProcess(EventLoop& loop, const std::vector<std::string>& arguments,
                            ChildOutput output, std::function<void(int, int)> on_exit)
     : handles_(new Handles) {
-  handles_->to = std::move(output);
+  handles_->destination = std::move(output);
   handles_->on_exit = std::move(on_exit);
   handles_->process.data = handles_->input.data = handles_->output.data = handles_;
   uv_pipe_init(loop.raw(), &handles_->input, 0);
   uv_pipe_init(loop.raw(), &handles_->output, 0);
 
-  const std::string& log = handles_->to.log_file;
+  const std::string& log = handles_->destination.log_file;
   const int log_descriptor = open(log.empty() ? "/dev/null" : log.c_str(),
                                   O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   std::array<uv_stdio_container_t, 3> stdio{};
@@ -84,14 +84,14 @@
       [](uv_stream_t* stream, ssize_t size, const uv_buf_t* buffer) {
         auto* self = static_cast<Handles*>(stream->data);
         if (size < 0) uv_read_stop(stream);
-        if (size > 0 && self->to.on_output)
-          self->to.on_output({buffer->base, static_cast<std::size_t>(size)});
+        if (size > 0 && self->destination.on_output)
+          self->destination.on_output({buffer->base, static_cast<std::size_t>(size)});
       });
 }
 
 ChildProcess::~ChildProcess() {
   handles_->on_exit = nullptr;
-  handles_->to.on_output = nullptr;
+  handles_->destination.on_output = nullptr;
   if (handles_->running) {
     uv_process_kill(&handles_->process, SIGKILL);
     waitpid(handles_->process.pid, nullptr, 0);
--- a/tools/scale/deployment.cpp
+++ b/tools/scale/deployment.cpp
@@ -9,21 +9,23 @@
 namespace sailreel::scale {
 namespace {
 
-constexpr int kFirstNetwork = 10;
+constexpr int kFirstRegionNetwork = 10;
 constexpr int kFirstRelayNetwork = 110;
 /// Descriptors in a controller's limit for each worker: the requests that a worker or a user may
 /// have open at once, besides its connection.
 constexpr std::uint64_t kSocketsPerWorker = 4;
-constexpr std::uint64_t kOtherSockets = 600;
-constexpr double kCancelLeases = 2.5;
-constexpr double kListLagS = 2;
+constexpr std::uint64_t kBaseSockets = 600;
+constexpr double kCancelAfterLeases = 2.5;
+constexpr double kCloudListLagSeconds = 2;
 constexpr double kCacheGb = 400;
 constexpr double kFetchGbPerS = 10;
 
-std::string network(int region) { return "127." + std::to_string(kFirstNetwork + region) + "."; }
+std::string network_prefix(int region) {
+  return "127." + std::to_string(kFirstRegionNetwork + region) + ".";
+}
 
 std::string controller_address(int region, std::uint32_t controller, const char* port) {
-  return network(region) + "0." + std::to_string(controller + 1) + port;
+  return network_prefix(region) + "0." + std::to_string(controller + 1) + port;
 }
 
 std::string controller_name(const Region& region, std::uint32_t controller) {
@@ -34,23 +36,23 @@
   return region.zone(static_cast<int>(controller) % region.zone_size());
 }
 
-void add_services(const Fleet& fleet, int region, Settings& settings) {
+void set_service_settings(const Fleet& fleet, int region, Settings& settings) {
   settings.cloud = cloud_address(region);
   settings.state = kv_store_address(region);
   settings.workers.heartbeat_interval_s = fleet.report_s();
   settings.workers.lease_s = fleet.lease_s();
-  settings.workers.cancel_s = kCancelLeases * fleet.lease_s();
+  settings.workers.cancel_s = kCancelAfterLeases * fleet.lease_s();
   settings.store.rps = fleet.state_rps();
   settings.store.write_rps = fleet.state_write_rps();
   settings.store.value_kb = 8;
   settings.store.txn_ops = 16;
   settings.cloud_limits.rps = fleet.cloud_rps();
-  settings.cloud_limits.list_lag_s = kListLagS;
+  settings.cloud_limits.list_lag_s = kCloudListLagSeconds;
 }
 
-double limit_in_region(const Plan& plan) {
-  const double whole = plan.fleet().team_gpus_max();
-  return plan.division() == FIXED_PARTS ? whole / plan.region_size() : whole;
+double team_gpu_limit(const Plan& plan) {
+  const double total_limit = plan.fleet().team_gpus_max();
+  return plan.division() == FIXED_PARTS ? total_limit / plan.region_size() : total_limit;
 }
 
 Settings controller_settings(const Plan& plan, int index, std::uint32_t controller) {
@@ -66,11 +68,11 @@
                                 controller_address(index, other, ":8081")});
   for (const std::string& zone : region.zone()) settings.zones.push_back(zone);
   for (std::uint32_t team = 0; team < plan.fleet().teams(); ++team)
-    settings.teams.push_back({team_name(team), 0, 0, 0, limit_in_region(plan)});
-  add_services(plan.fleet(), index, settings);
+    settings.teams.push_back({team_name(team), 0, 0, 0, team_gpu_limit(plan)});
+  set_service_settings(plan.fleet(), index, settings);
   settings.limits.cpu = plan.fleet().controller_cores();
   settings.limits.memory_mb = plan.fleet().controller_memory_mb();
-  settings.limits.sockets = kSocketsPerWorker * region.workers() + kOtherSockets;
+  settings.limits.sockets = kSocketsPerWorker * region.workers() + kBaseSockets;
   return settings;
 }
 
@@ -105,7 +107,7 @@
   object.end();
 }
 
-void write_services(json::Writer& writer, const Settings& settings) {
+void write_service_settings(json::Writer& writer, const Settings& settings) {
   json::ObjectWriter workers(writer, "workers");
   workers.number("report_s", settings.workers.heartbeat_interval_s);
   workers.number("lease_s", settings.workers.lease_s);
@@ -128,13 +130,13 @@
   resources.end();
 }
 
-void write_fleet(json::Writer& writer, const Settings& settings) {
+void write_fleet_settings(json::Writer& writer, const Settings& settings) {
   constexpr double kClockErrorMs = 5;
   json::ObjectWriter fleet(writer, "settings");
   fleet.whole("initial_size", settings.peers.size() + 1);
   fleet.list("zones", settings.zones, [&](const std::string& zone) { json::put(writer, zone); });
   fleet.list("teams", settings.teams, [&](const Team& team) { write_team(writer, team); });
-  write_services(writer, settings);
+  write_service_settings(writer, settings);
   fleet.number("clock_error_ms", kClockErrorMs);
   fleet.end();
 }
@@ -150,7 +152,7 @@
          std::to_string(controller + 1) + ":8081";
 }
 
-std::string options_file(const Plan& plan, int region) {
+std::string options_file_contents(const Plan& plan, int region) {
   if (plan.division() != SHARES) return {};
   std::ostringstream out;
   out << "federation {\n  region: \"" << plan.region(region).name() << "\"\n";
@@ -160,30 +162,31 @@
       out << " address: \"" << relay_address(region, other, n) << '"';
     out << " }\n";
   }
-  const double part = plan.fleet().team_gpus_max() / plan.region_size();
+  const double equal_share = plan.fleet().team_gpus_max() / plan.region_size();
   for (std::uint32_t team = 0; team < plan.fleet().teams(); ++team)
     for (int other = 1; other < plan.region_size(); ++other)
       out << "  share { team: \"" << team_name(team) << "\" region: \"" << plan.region(other).name()
-          << "\" gpus: " << std::floor(part) << " }\n";
+          << "\" gpus: " << std::floor(equal_share) << " }\n";
   out << "  reserve_ratio: " << plan.reserve_ratio() << "\n}\n";
   return out.str();
 }
 
-std::string kv_store_address(int region) { return network(region) + "255.1:2379"; }
-std::string cloud_address(int region) { return network(region) + "255.2:8443"; }
-std::string worker_address_prefix(int region) { return network(region); }
+std::string kv_store_address(int region) { return network_prefix(region) + "255.1:2379"; }
+std::string cloud_address(int region) { return network_prefix(region) + "255.2:8443"; }
+std::string worker_address_prefix(int region) { return network_prefix(region); }
 std::string team_name(std::uint32_t team) { return "team-" + std::to_string(team); }
 
 sim::Deployment make_deployment(const Plan& plan, int region) {
-  const Region& there = plan.region(region);
+  const Region& region_plan = plan.region(region);
   sim::Deployment out;
-  for (std::uint32_t controller = 0; controller < there.controllers(); ++controller)
+  for (std::uint32_t controller = 0; controller < region_plan.controllers(); ++controller)
     out.controllers.push_back(controller_settings(plan, region, controller));
-  out.types = {machine_type(plan, there)};
-  const auto zones = static_cast<std::uint32_t>(there.zone_size());
+  out.types = {machine_type(plan, region_plan)};
+  const auto zones = static_cast<std::uint32_t>(region_plan.zone_size());
   for (std::uint32_t zone = 0; zone < zones; ++zone) {
-    const std::uint32_t rest = zone < there.workers() % zones ? 1 : 0;
-    out.capacity[{there.zone(static_cast<int>(zone)), false}] = there.workers() / zones + rest;
+    const std::uint32_t remainder = zone < region_plan.workers() % zones ? 1 : 0;
+    out.capacity[{region_plan.zone(static_cast<int>(zone)), false}] =
+        region_plan.workers() / zones + remainder;
   }
   out.kv_rps = plan.fleet().state_rps();
   out.kv_write_rps = plan.fleet().state_write_rps();
@@ -192,7 +195,7 @@
   return out;
 }
 
-std::string settings_file(const Settings& settings) {
+std::string settings_file_contents(const Settings& settings) {
   rapidjson::StringBuffer buffer;
   json::Writer writer(buffer);
   json::ObjectWriter file(writer);
@@ -206,7 +209,7 @@
   external.text("cloud", settings.cloud);
   external.text("state", settings.state);
   external.end();
-  write_fleet(writer, settings);
+  write_fleet_settings(writer, settings);
   file.end();
   return json::text(buffer);
 }
--- a/tools/scale/deployment.hpp
+++ b/tools/scale/deployment.hpp
@@ -26,10 +26,10 @@
 sim::Deployment make_deployment(const Plan& plan, int region);
 
 /// Contents of a controller's settings file, in the JSON format that the platform writes.
-std::string settings_file(const Settings& settings);
+std::string settings_file_contents(const Settings& settings);
 
 /// Contents of the options file of a region's controllers, in protobuf text format; empty unless
 /// the plan's division is SHARES.
-std::string options_file(const Plan& plan, int region);
+std::string options_file_contents(const Plan& plan, int region);
 
 }  // namespace sailreel::scale
--- a/tools/scale/limits.hpp
+++ b/tools/scale/limits.hpp
@@ -6,7 +6,7 @@
 namespace sailreel::scale {
 
 /// The processes of a run are the main process, one process per region, and the controllers.
-constexpr std::uint32_t kMostProcesses = 300;
+constexpr std::uint32_t kMaxProcesses = 300;
 
 /// The memory that all processes of a run together may use, in MB.
 double memory_limit_mb();
--- a/tools/scale/main.cpp
+++ b/tools/scale/main.cpp
@@ -18,15 +18,16 @@
 
 namespace scale = sailreel::scale;
 
-constexpr int kRuleBroken = 1;
-constexpr int kBadPlan = 2;
-constexpr int kNotPlayed = 3;
+constexpr int kExitRuleBroken = 1;
+constexpr int kExitInvalidPlan = 2;
+constexpr int kExitNotCompleted = 3;
 
 /// Directory for settings files and logs: the given one, which is kept, or else a temporary one,
 /// which is removed after the run.
 class RunDirectory {
  public:
-  explicit RunDirectory(std::string wanted) : path_(std::move(wanted)), kept_(!path_.empty()) {
+  explicit RunDirectory(std::string requested_path)
+      : path_(std::move(requested_path)), kept_(!path_.empty()) {
     if (kept_) {
       std::filesystem::create_directories(path_);
       return;
@@ -50,11 +51,11 @@
   bool kept_;
 };
 
-int play(const scale::Plan& plan, scale::RunOptions options, const std::string& report_path,
-         const std::string& directory) {
+int run_plan(const scale::Plan& plan, scale::RunOptions options, const std::string& report_path,
+             const std::string& directory) {
   scale::check_machine(plan);
-  const RunDirectory folder(directory);
-  options.directory = folder.path();
+  const RunDirectory run_directory(directory);
+  options.directory = run_directory.path();
   options.progress = isatty(STDERR_FILENO) != 0;
   const bool progress = options.progress;
   scale::Run run(plan, std::move(options));
@@ -66,8 +67,8 @@
     file << scale::report_json(report);
     if (!file.flush()) throw std::runtime_error("cannot write " + report_path);
   }
-  if (report.rules_broken() > 0) return kRuleBroken;
-  return report.failure().empty() ? 0 : kNotPlayed;
+  if (report.rules_broken() > 0) return kExitRuleBroken;
+  return report.failure().empty() ? 0 : kExitNotCompleted;
 }
 
 }  // namespace
@@ -92,7 +93,7 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kBadPlan;
+    return app.exit(e) == 0 ? 0 : kExitInvalidPlan;
   }
   std::signal(SIGPIPE, SIG_IGN);
   try {
@@ -104,13 +105,13 @@
     scale::RunOptions options;
     options.program = std::filesystem::read_symlink("/proc/self/exe").string();
     options.plan_path = plan_path;
-    options.controller = controller;
-    return play(plan, std::move(options), report_path, directory);
+    options.controller_program = controller;
+    return run_plan(plan, std::move(options), report_path, directory);
   } catch (const scale::PlanError& e) {
     std::cerr << "sailreel-scale: " << e.what() << '\n';
-    return kBadPlan;
+    return kExitInvalidPlan;
   } catch (const std::exception& e) {
     std::cerr << "sailreel-scale: " << e.what() << '\n';
-    return kNotPlayed;
+    return kExitNotCompleted;
   }
 }
--- a/tools/scale/message_stream.hpp
+++ b/tools/scale/message_stream.hpp
@@ -16,7 +16,7 @@
 /// Extracts messages from a stream of bytes.
 class MessageReader {
  public:
-  void feed(std::string_view bytes) { buffer_.append(bytes); }
+  void append(std::string_view bytes) { buffer_.append(bytes); }
   /// The next complete message; empty if more bytes are needed, or if the message can't be parsed
   /// and is skipped.
   std::optional<RegionMessage> next();
--- a/tools/scale/plan.cpp
+++ b/tools/scale/plan.cpp
@@ -13,19 +13,19 @@
 
 /// Each region has its own network, from 127.10.0.0/16 up. The relay's networks start at
 /// 127.110.0.0/16, so with more than 100 regions they would overlap.
-constexpr int kMostRegions = 100;
-constexpr std::uint32_t kMostControllers = 200;
-constexpr std::uint32_t kMostSeconds = 3'600;
+constexpr int kMaxRegions = 100;
+constexpr std::uint32_t kMaxControllers = 200;
+constexpr std::uint32_t kMaxSeconds = 3'600;
 
-[[noreturn]] void fail(const std::string& what) { throw PlanError("plan: " + what); }
+[[noreturn]] void fail(const std::string& message) { throw PlanError("plan: " + message); }
 
-void require(bool holds, const std::string& what) {
-  if (!holds) fail(what);
+void require(bool condition, const std::string& message) {
+  if (!condition) fail(message);
 }
 
 void check_regions(const Plan& plan) {
   require(plan.region_size() > 0, "no region is defined");
-  require(plan.region_size() <= kMostRegions, "more than 100 regions");
+  require(plan.region_size() <= kMaxRegions, "more than 100 regions");
   std::set<std::string> names, zones;
   for (const Region& region : plan.region()) {
     require(names.insert(region.name()).second, "region " + region.name() + " stands twice");
@@ -35,7 +35,7 @@
     require(region.controllers() > 0, "region " + region.name() + " has no controller");
     require(region.workers() > 0, "region " + region.name() + " has no worker");
   }
-  require(total_controllers(plan) <= kMostControllers, "more than 200 controllers");
+  require(total_controllers(plan) <= kMaxControllers, "more than 200 controllers");
 }
 
 void check_fault(const Plan& plan, const Fault& fault) {
@@ -52,8 +52,8 @@
   fail("fault: unknown region " + fault.region());
 }
 
-void check_amounts(const Plan& plan) {
-  require(plan.seconds() > 0 && plan.seconds() <= kMostSeconds, "seconds: must be 1 to 3600");
+void check_values(const Plan& plan) {
+  require(plan.seconds() > 0 && plan.seconds() <= kMaxSeconds, "seconds: must be 1 to 3600");
   const Fleet& fleet = plan.fleet();
   require(fleet.report_s() > 0, "fleet.report_s: must be above 0");
   require(fleet.lease_s() > 2 * fleet.report_s(),
@@ -94,7 +94,7 @@
   Plan plan;
   if (!parser.ParseFromString(text.str(), &plan)) fail(errors.message);
   check_regions(plan);
-  check_amounts(plan);
+  check_values(plan);
   for (const Fault& fault : plan.fault()) check_fault(plan, fault);
   return plan;
 }
--- a/tools/scale/process_stats.hpp
+++ b/tools/scale/process_stats.hpp
@@ -11,12 +11,12 @@
   double memory_mb = 0;  // resident memory
 };
 /// Empty if the process no longer exists.
-std::optional<ProcessStats> read_process(int pid);
+std::optional<ProcessStats> read_process_stats(int pid);
 
 struct MachineStats {
   double busy_s = 0, idle_s = 0;  // sums over all cores, since the machine booted
 };
-MachineStats read_machine();
+MachineStats read_machine_stats();
 
 double total_memory_mb();
 double available_memory_mb();
--- a/tools/scale/region_process.cpp
+++ b/tools/scale/region_process.cpp
@@ -15,20 +15,20 @@
 namespace {
 
 constexpr Time kClockStepMs = 2;
-constexpr Time kSampleMs = 250;
-constexpr Time kSweepMs = 100;
+constexpr Time kSampleIntervalMs = 250;
+constexpr Time kTimeoutCheckIntervalMs = 100;
 constexpr Time kHeartbeatTimeoutMs = 4'000;
 constexpr Time kUserTimeoutMs = 5'000;
-constexpr Time kIdleMs = 120'000;
+constexpr Time kIdleTimeoutMs = 120'000;
 /// Time from the start of the run to the first submission, in which the controllers elect a leader.
-constexpr Time kWorkBeginsMs = 3'000;
-constexpr std::size_t kUserConnections = 1'000;
-constexpr std::size_t kServiceConnections = 4'000;
-constexpr std::size_t kWorkerConnections = 16;
-constexpr std::size_t kMaxServiceBody = std::size_t{256} * 1024;
-constexpr std::size_t kMostNamed = 5;
+constexpr Time kFirstSubmissionMs = 3'000;
+constexpr std::size_t kMaxUserConnections = 1'000;
+constexpr std::size_t kMaxServiceConnections = 4'000;
+constexpr std::size_t kMaxWorkerConnections = 16;
+constexpr std::size_t kMaxServiceBodyBytes = std::size_t{256} * 1024;
+constexpr std::size_t kMaxNamedViolations = 5;
 
-TrafficCounts as_message(const Traffic& traffic) {
+TrafficCounts to_traffic_counts(const Traffic& traffic) {
   TrafficCounts out;
   out.set_messages_in(traffic.messages_in);
   out.set_messages_out(traffic.messages_out);
@@ -59,27 +59,27 @@
 RegionProcess::RegionProcess(const Plan& plan, RegionOptions options)
     : plan_(plan),
       options_(std::move(options)),
-      main_process_(getppid()),
-      users_(loop_, kUserConnections),
+      main_process_id_(getppid()),
+      users_(loop_, kMaxUserConnections),
       kv_store_(std::make_unique<HttpServer>(
-          loop_, kv_store_address(options_.region), kServiceConnections, kMaxServiceBody, kIdleMs,
-          [this](const ServerRequest& request) { serve_kv_store(request); })),
+          loop_, kv_store_address(options_.region), kMaxServiceConnections, kMaxServiceBodyBytes,
+          kIdleTimeoutMs, [this](const ServerRequest& request) { serve_kv_store(request); })),
       cloud_(std::make_unique<HttpServer>(
-          loop_, cloud_address(options_.region), kServiceConnections, kMaxServiceBody, kIdleMs,
-          [this](const ServerRequest& request) { serve_cloud(request); })),
+          loop_, cloud_address(options_.region), kMaxServiceConnections, kMaxServiceBodyBytes,
+          kIdleTimeoutMs, [this](const ServerRequest& request) { serve_cloud(request); })),
       clock_timer_(loop_, [this] { advance(); }),
       sample_timer_(loop_, [this] { sample(); }),
-      sweep_timer_(loop_, [this] { sweep(); }) {
+      timeout_check_timer_(loop_, [this] { check_timeouts(); }) {
   sim::SimulationPlan simulation = simulation_plan(plan_, options_.region);
   simulation.controllers = [this](std::size_t node, const Settings& settings, std::uint64_t) {
     return start_controller(node, settings);
   };
   region_ = std::make_unique<sim::SimulatedRegion>(simulation);
-  workload_ = std::make_unique<Workload>(plan_, options_.region, *region_, kWorkBeginsMs);
+  workload_ = std::make_unique<Workload>(plan_, options_.region, *region_, kFirstSubmissionMs);
   region_->on_started = [this](const TaskKey& key) {
     workload_->task_started(key, region_->now());
   };
-  plan_faults();
+  schedule_faults();
 }
 
 RegionProcess::~RegionProcess() = default;
@@ -88,45 +88,46 @@
 
 void RegionProcess::run() {
   clock_timer_.set(kClockStepMs);
-  sample_timer_.set(std::max<Time>(0, kSampleMs - elapsed()));
-  sweep_timer_.set(kSweepMs);
+  sample_timer_.set(std::max<Time>(0, kSampleIntervalMs - elapsed()));
+  timeout_check_timer_.set(kTimeoutCheckIntervalMs);
   loop_.run();
 }
 
 std::unique_ptr<sim::SimulatedController> RegionProcess::start_controller(
     std::size_t node, const Settings& settings) {
-  const std::string base = options_.directory + "/" + settings.name;
-  std::ofstream(base + ".json") << settings_file(settings);
+  const std::string path_prefix = options_.directory + "/" + settings.name;
+  std::ofstream(path_prefix + ".json") << settings_file_contents(settings);
   ChildOutput output;
-  output.log_file = base + ".log";
-  std::vector<std::string> arguments{options_.program, "--config", base + ".json"};
-  if (const std::string options = options_file(plan_, options_.region); !options.empty()) {
-    std::ofstream(base + ".options") << options;
-    arguments.insert(arguments.end(), {"--options", base + ".options"});
+  output.log_file = path_prefix + ".log";
+  std::vector<std::string> arguments{options_.controller_program, "--config",
+                                     path_prefix + ".json"};
+  if (const std::string options = options_file_contents(plan_, options_.region); !options.empty()) {
+    std::ofstream(path_prefix + ".options") << options;
+    arguments.insert(arguments.end(), {"--options", path_prefix + ".options"});
   }
   auto process = std::make_unique<ChildProcess>(
       loop_, arguments, output, [this, node, name = settings.name](int status, int signal) {
         RegionMessage message;
         message.set_controller_ended(static_cast<std::uint32_t>(node));
-        tell(message);
+        send_message(message);
         std::fprintf(stderr, "sailreel-scale: %s exited unexpectedly with status %d, signal %d\n",
                      name.c_str(), status, signal);
       });
   RegionMessage message;
   message.set_controller_started(static_cast<std::uint32_t>(process->pid()));
   controller_pids_[node] = process->pid();
-  tell(message);
+  send_message(message);
   return std::make_unique<RemoteController>(*this, node, settings.listen, std::move(process));
 }
 
 RegionProcess::WorkerSockets& RegionProcess::worker_sockets(const std::string& machine) {
   WorkerSockets& sockets = workers_[machine];
   if (sockets.client) return sockets;
-  sockets.client = std::make_unique<HttpClient>(loop_, kWorkerConnections);
+  sockets.client = std::make_unique<HttpClient>(loop_, kMaxWorkerConnections);
   const std::string address = region_->cloud().machines.at(machine).address;
   sockets.server =
-      std::make_unique<HttpServer>(loop_, address, kWorkerConnections, kMaxServiceBody, kIdleMs,
-                                   [this, machine](const ServerRequest& request) {
+      std::make_unique<HttpServer>(loop_, address, kMaxWorkerConnections, kMaxServiceBodyBytes,
+                                   kIdleTimeoutMs, [this, machine](const ServerRequest& request) {
                                      serve_worker(machine, *workers_.at(machine).server, request);
                                    });
   return sockets;
@@ -159,7 +160,7 @@
                  });
 }
 
-void RegionProcess::answered(std::size_t node, const Response& response) {
+void RegionProcess::response_received(std::size_t node, const Response& response) {
   region_->deliver(node, response);
   advance();
 }
@@ -201,21 +202,22 @@
   advance();
 }
 
-void RegionProcess::plan_faults() {
-  const std::string& here = plan_.region(options_.region).name();
+void RegionProcess::schedule_faults() {
+  const std::string& region_name = plan_.region(options_.region).name();
   for (const Fault& fault : plan_.fault())
-    if (fault.region() == here) region_->at(ms(fault.at_s()), [this, &fault] { inject(fault); });
+    if (fault.region() == region_name)
+      region_->at(ms(fault.at_s()), [this, &fault] { inject(fault); });
 }
 
 void RegionProcess::inject(const Fault& fault) {
-  const Time span = ms(fault.for_s());
+  const Time duration = ms(fault.for_s());
   switch (fault.kind()) {
     case Fault::CONTROLLER_KILLED:
-      return region_->kill(fault.controller(), span);
+      return region_->kill(fault.controller(), duration);
     case Fault::LEADER_KILLED:
-      return region_->kill(busiest_controller(), span);
+      return region_->kill(busiest_controller(), duration);
     case Fault::STATE_SERVICE_DOWN:
-      return region_->kv_store_outage(span);
+      return region_->kv_store_outage(duration);
     case Fault::ZONE_WORKERS_GONE:
       return remove_zone_workers(fault.zone());
     case Fault::REGION_CUT:
@@ -225,21 +227,21 @@
 
 std::size_t RegionProcess::busiest_controller() const {
   std::size_t busiest = 0;
-  double most = -1;
+  double max_cpu_s = -1;
   for (const auto& [node, pid] : controller_pids_) {
-    const auto stats = read_process(pid);
-    if (!stats || stats->cpu_s <= most) continue;
-    most = stats->cpu_s;
+    const auto stats = read_process_stats(pid);
+    if (!stats || stats->cpu_s <= max_cpu_s) continue;
+    max_cpu_s = stats->cpu_s;
     busiest = node;
   }
   return busiest;
 }
 
 void RegionProcess::remove_zone_workers(const std::string& zone) {
-  std::vector<std::string> gone;
+  std::vector<std::string> removed_machines;
   for (const auto& [name, machine] : region_->cloud().machines)
-    if (machine.zone == zone) gone.push_back(name);
-  for (const std::string& name : gone) {
+    if (machine.zone == zone) removed_machines.push_back(name);
+  for (const std::string& name : removed_machines) {
     region_->cloud().machines.erase(name);
     region_->kill_machine(name);
   }
@@ -258,38 +260,38 @@
 
 void RegionProcess::sample() {
   const Time now = elapsed();
-  const Time number = now / kSampleMs;
-  sample_timer_.set((number + 1) * kSampleMs - now);
+  const Time sample_number = now / kSampleIntervalMs;
+  sample_timer_.set((sample_number + 1) * kSampleIntervalMs - now);
   const auto workers = static_cast<std::uint32_t>(region_->machines_up().size());
-  worker_seconds_ += workers * (static_cast<double>(kSampleMs) / 1000);
+  worker_seconds_ += workers * (static_cast<double>(kSampleIntervalMs) / 1000);
   RegionMessage message;
   Progress& progress = *message.mutable_progress();
   const sim::Checker& checker = region_->checker();
   progress.set_workers(workers);
   progress.set_tasks_running(checker.tasks_running());
   progress.set_starts(checker.starts());
-  std::uint32_t broken = 0;
+  std::uint32_t violations = 0;
   for (const auto& [rule, cases] : checker.violations())
-    broken += static_cast<std::uint32_t>(cases.size());
-  progress.set_rules_broken(broken);
-  progress.set_sample(static_cast<std::uint64_t>(number));
+    violations += static_cast<std::uint32_t>(cases.size());
+  progress.set_rules_broken(violations);
+  progress.set_sample(static_cast<std::uint64_t>(sample_number));
   for (std::uint32_t team = 0; team < plan_.fleet().teams(); ++team)
     progress.add_team_gpus(checker.used_by(team_name(team)).gpus);
-  tell(message);
+  send_message(message);
 }
 
-void RegionProcess::sweep() {
+void RegionProcess::check_timeouts() {
   users_.sweep();
   for (auto& [machine, sockets] : workers_) sockets.client->sweep();
-  sweep_timer_.set(kSweepMs);
+  timeout_check_timer_.set(kTimeoutCheckIntervalMs);
   // The main process has ended, so nobody reads further messages. The reset ends the controllers.
-  if (getppid() != main_process_) {
+  if (getppid() != main_process_id_) {
     region_.reset();
     std::exit(1);
   }
 }
 
-void RegionProcess::tell(const RegionMessage& message) {
+void RegionProcess::send_message(const RegionMessage& message) {
   const std::string bytes = frame_message(message);
   for (std::size_t sent = 0; sent < bytes.size();) {
     const ssize_t written = write(STDOUT_FILENO, bytes.data() + sent, bytes.size() - sent);
@@ -301,7 +303,7 @@
 void RegionProcess::finish() {
   RegionMessage message;
   *message.mutable_result() = result();
-  tell(message);
+  send_message(message);
   region_.reset();  // ends the controllers
   std::exit(0);
 }
@@ -312,7 +314,7 @@
   out.set_region(plan_.region(options_.region).name());
   for (const auto& [rule, cases] : checker.violations()) {
     (*out.mutable_rules())[rule] = static_cast<std::uint32_t>(cases.size());
-    for (std::size_t n = 0; n < std::min(cases.size(), kMostNamed); ++n)
+    for (std::size_t n = 0; n < std::min(cases.size(), kMaxNamedViolations); ++n)
       out.add_broken(rule + " " + cases[n]);
   }
   out.set_starts(checker.starts());
@@ -325,16 +327,16 @@
     workers += sockets.client->traffic();
     workers += sockets.server->traffic();
   }
-  *out.mutable_workers() = as_message(workers);
-  *out.mutable_users() = as_message(users_.traffic());
-  *out.mutable_state() = as_message(kv_store_->traffic());
-  *out.mutable_cloud() = as_message(cloud_->traffic());
+  *out.mutable_workers() = to_traffic_counts(workers);
+  *out.mutable_users() = to_traffic_counts(users_.traffic());
+  *out.mutable_state() = to_traffic_counts(kv_store_->traffic());
+  *out.mutable_cloud() = to_traffic_counts(cloud_->traffic());
   out.set_state_writes(kv_writes_);
   out.set_refused_writes(region_->kv_store().refused_writes);
   out.set_unanswered_submissions(region_->unanswered_submissions());
   for (const Time delay : region_->submission_delays())
     out.add_submission_ms(static_cast<std::uint32_t>(delay));
-  for (const std::uint32_t wait : workload_->urgent_waits()) out.add_urgent_ms(wait);
+  for (const std::uint32_t wait : workload_->urgent_waits_ms()) out.add_urgent_ms(wait);
   out.set_urgent_waiting(workload_->urgent_waiting(region_->now(), kUserTimeoutMs));
   out.set_late_ms_max(static_cast<std::uint32_t>(std::max<Time>(0, late_ms_max_)));
   return out;
--- a/tools/scale/region_process.hpp
+++ b/tools/scale/region_process.hpp
@@ -20,9 +20,9 @@
 
 struct RegionOptions {
   int region = 0;
-  std::string program;    // path of the controller program
-  std::string directory;  // for settings files and logs
-  Time begin_ms = 0;      // start of the run on the steady clock, the same for all regions
+  std::string controller_program;  // path of the controller program
+  std::string directory;           // for settings files and logs
+  Time begin_ms = 0;               // start of the run on the steady clock, the same for all regions
 };
 
 /// Advances the simulation of a region in real time, and connects it to the controllers' processes.
@@ -49,7 +49,7 @@
                       const std::string& body, std::function<void(int, std::string)> done) override;
   void send_user_request(const std::string& address, const UserRequest& request,
                          std::function<void(int, std::string)> done) override;
-  void answered(std::size_t node, const Response& response) override;
+  void response_received(std::size_t node, const Response& response) override;
 
   std::unique_ptr<sim::SimulatedController> start_controller(std::size_t node,
                                                              const Settings& settings);
@@ -57,21 +57,21 @@
   void serve_kv_store(const ServerRequest& request);
   void serve_cloud(const ServerRequest& request);
   void serve_worker(const std::string& machine, HttpServer& server, const ServerRequest& request);
-  void plan_faults();
+  void schedule_faults();
   void inject(const Fault& fault);
   void remove_zone_workers(const std::string& zone);
   [[nodiscard]] std::size_t busiest_controller() const;
   void advance();
   void sample();
-  void sweep();
-  void tell(const RegionMessage& message);
+  void check_timeouts();
+  void send_message(const RegionMessage& message);
   void finish();
   [[nodiscard]] RegionResult result();
   [[nodiscard]] Time elapsed() const;
 
   const Plan plan_;
   const RegionOptions options_;
-  const int main_process_;
+  const int main_process_id_;
   EventLoop loop_;
   HttpClient users_;
   std::unique_ptr<HttpServer> kv_store_, cloud_;
@@ -79,7 +79,7 @@
   std::map<std::size_t, int> controller_pids_;
   std::unique_ptr<sim::SimulatedRegion> region_;
   std::unique_ptr<Workload> workload_;
-  Timer clock_timer_, sample_timer_, sweep_timer_;
+  Timer clock_timer_, sample_timer_, timeout_check_timer_;
   bool advancing_ = false;
   double worker_seconds_ = 0;
   std::uint64_t kv_writes_ = 0;
--- a/tools/scale/relay.cpp
+++ b/tools/scale/relay.cpp
@@ -7,15 +7,15 @@
 
 namespace sailreel::scale {
 namespace {
-constexpr std::int64_t kPumpMs = 2;
+constexpr std::int64_t kForwardIntervalMs = 2;
 }  // namespace
 
 /// One of the two connections of a link.
-class Relay::End : public Stream {
+class Relay::Connection : public Stream {
  public:
-  End(Relay& relay, Link& link, bool outgoing)
+  Connection(Relay& relay, Link& link, bool outgoing)
       : Stream(relay.loop_), link_(&link), outgoing_(outgoing) {}
-  void forget() { link_ = nullptr; }
+  void detach() { link_ = nullptr; }
 
  protected:
   void on_bytes(std::string_view bytes) override;
@@ -34,8 +34,8 @@
       : relay_(relay),
         from_(from),
         to_(to),
-        incoming_(new End(relay, *this, false)),
-        outgoing_(new End(relay, *this, true)) {}
+        incoming_(new Connection(relay, *this, false)),
+        outgoing_(new Connection(relay, *this, true)) {}
 
   bool accept(uv_stream_t* server, const Endpoint& target) {
     if (uv_accept(server, incoming_->raw()) != 0) return false;
@@ -44,8 +44,8 @@
     return true;
   }
 
-  void take(bool from_outgoing, std::string_view bytes) {
-    if (end(!from_outgoing) == nullptr) return;
+  void receive(bool from_outgoing, std::string_view bytes) {
+    if (connection_for(!from_outgoing) == nullptr) return;
     ++relay_.traffic_.messages_in;
     relay_.traffic_.bytes_in += bytes.size();
     queue_.push_back({EventLoop::now_ms() + relay_.delay_ms_, !from_outgoing, std::string(bytes)});
@@ -53,78 +53,82 @@
 
   /// Forwards the bytes that are due, in order, unless the regions are cut off from each other.
   /// Returns false if the link must be closed.
-  bool pump(std::int64_t now) {
+  bool forward_due(std::int64_t now) {
     if (const Cut* cut = relay_.cut_between(from_, to_)) return cut->hold;
-    while (!queue_.empty() && queue_.front().due <= now) {
-      // A failed write closes the end, and end_closed() then changes the queue: the chunk must be
-      // out of it before.
+    while (!queue_.empty() && queue_.front().due_ms <= now) {
+      // A failed write closes the receiver, and connection_closed() then changes the queue: the
+      // chunk must be out of it before.
       Chunk chunk = std::move(queue_.front());
       queue_.pop_front();
-      if (End* to = end(chunk.to_outgoing)) to->write(std::move(chunk.bytes));
+      if (Connection* receiver = connection_for(chunk.to_outgoing))
+        receiver->write(std::move(chunk.bytes));
     }
     return !(closing_ && queue_.empty());
   }
 
-  /// Called when one end has closed. The other is closed once it has received the bytes that are
-  /// still in transit to it.
-  void end_closed(const End* closed) {
+  /// Called when one connection has closed. The other is closed once it has received the bytes that
+  /// are still in transit to it.
+  void connection_closed(const Connection* closed) {
     (closed == incoming_ ? incoming_ : outgoing_) = nullptr;
     closing_ = true;
-    // The bytes in transit to the closed end are lost.
-    std::erase_if(queue_, [&](const Chunk& chunk) { return end(chunk.to_outgoing) == nullptr; });
+    // The bytes in transit to the closed connection are lost.
+    std::erase_if(queue_,
+                  [&](const Chunk& chunk) { return connection_for(chunk.to_outgoing) == nullptr; });
   }
 
   void close() {
-    for (End* end : {incoming_, outgoing_}) {
-      if (end == nullptr) continue;
-      end->forget();
-      end->close();
+    for (Connection* connection : {incoming_, outgoing_}) {
+      if (connection == nullptr) continue;
+      connection->detach();
+      connection->close();
     }
   }
 
  private:
   struct Chunk {
-    std::int64_t due;
+    std::int64_t due_ms;
     bool to_outgoing;
     std::string bytes;
   };
-  [[nodiscard]] End* end(bool outgoing) const { return outgoing ? outgoing_ : incoming_; }
+  [[nodiscard]] Connection* connection_for(bool outgoing) const {
+    return outgoing ? outgoing_ : incoming_;
+  }
 
   Relay& relay_;
   const int from_, to_;
-  End* incoming_;
-  End* outgoing_;
+  Connection* incoming_;
+  Connection* outgoing_;
   std::deque<Chunk> queue_;
   bool closing_ = false;
 };
 
-void Relay::End::on_bytes(std::string_view bytes) {
-  if (link_ != nullptr) link_->take(outgoing_, bytes);
+void Relay::Connection::on_bytes(std::string_view bytes) {
+  if (link_ != nullptr) link_->receive(outgoing_, bytes);
 }
 
-void Relay::End::on_closed() {
-  if (link_ != nullptr) link_->end_closed(this);
+void Relay::Connection::on_closed() {
+  if (link_ != nullptr) link_->connection_closed(this);
 }
 
 Relay::Relay(EventLoop& loop, const Plan& plan)
     : loop_(loop),
       delay_ms_(plan.region_delay_ms()),
       cuts_(static_cast<std::size_t>(plan.region_size())),
-      timer_(loop, [this] { pump(); }) {
+      timer_(loop, [this] { forward_due(); }) {
   if (plan.division() != SHARES) return;
   for (int from = 0; from < plan.region_size(); ++from)
     for (int to = 0; to < plan.region_size(); ++to)
       for (std::uint32_t n = 0; from != to && n < plan.region(to).controllers(); ++n) {
-        auto entry = std::make_unique<Entry>();
-        entry->from = from;
-        entry->to = to;
-        entry->target = controller_peer_address(to, n);
-        entry->listener = std::make_unique<Listener>(
+        auto route = std::make_unique<Route>();
+        route->from = from;
+        route->to = to;
+        route->target = controller_peer_address(to, n);
+        route->listener = std::make_unique<Listener>(
             loop, relay_address(from, to, n), plan.region(from).controllers(),
-            [this, entry = entry.get()](uv_stream_t* server) { accept(*entry, server); });
-        entries_.push_back(std::move(entry));
+            [this, route = route.get()](uv_stream_t* server) { accept(*route, server); });
+        routes_.push_back(std::move(route));
       }
-  timer_.set(kPumpMs);
+  timer_.set(kForwardIntervalMs);
 }
 
 Relay::~Relay() {
@@ -134,10 +138,10 @@
   }
 }
 
-void Relay::accept(const Entry& entry, uv_stream_t* server) {
-  auto* link = new Link(*this, entry.from, entry.to);
-  const auto target = parse_endpoint(entry.target);
-  const Cut* cut = cut_between(entry.from, entry.to);
+void Relay::accept(const Route& route, uv_stream_t* server) {
+  auto* link = new Link(*this, route.from, route.to);
+  const auto target = parse_endpoint(route.target);
+  const Cut* cut = cut_between(route.from, route.to);
   const bool refused = cut != nullptr && !cut->hold;
   if (!link->accept(server, *target) || refused) {
     link->close();
@@ -147,10 +151,10 @@
   links_.insert(link);
 }
 
-const Relay::Cut* Relay::cut_between(int a, int b) const {
+const Relay::Cut* Relay::cut_between(int first_region, int second_region) const {
   const std::int64_t now = EventLoop::now_ms();
-  for (const int region : {a, b})
-    if (const Cut& cut = cuts_[static_cast<std::size_t>(region)]; now < cut.until) return &cut;
+  for (const int region : {first_region, second_region})
+    if (const Cut& cut = cuts_[static_cast<std::size_t>(region)]; now < cut.until_ms) return &cut;
   return nullptr;
 }
 
@@ -158,17 +162,17 @@
   cuts_[static_cast<std::size_t>(region)] = {EventLoop::now_ms() + for_ms, hold};
 }
 
-void Relay::pump() {
+void Relay::forward_due() {
   const std::int64_t now = EventLoop::now_ms();
-  std::vector<Link*> over;
+  std::vector<Link*> finished_links;
   for (Link* link : links_)
-    if (!link->pump(now)) over.push_back(link);
-  for (Link* link : over) {
+    if (!link->forward_due(now)) finished_links.push_back(link);
+  for (Link* link : finished_links) {
     links_.erase(link);
     link->close();
     delete link;
   }
-  timer_.set(kPumpMs);
+  timer_.set(kForwardIntervalMs);
 }
 
 }  // namespace sailreel::scale
--- a/tools/scale/relay.hpp
+++ b/tools/scale/relay.hpp
@@ -33,25 +33,25 @@
 
  private:
   class Link;
-  class End;
+  class Connection;
   struct Cut {
-    std::int64_t until = 0;
+    std::int64_t until_ms = 0;
     bool hold = false;
   };
-  struct Entry {
+  struct Route {
     int from = 0, to = 0;
     std::string target;
     std::unique_ptr<Listener> listener;
   };
 
-  void accept(const Entry& entry, uv_stream_t* server);
+  void accept(const Route& route, uv_stream_t* server);
   /// The cut that is in force now for one of the two regions; null if there is none.
-  [[nodiscard]] const Cut* cut_between(int a, int b) const;
-  void pump();
+  [[nodiscard]] const Cut* cut_between(int first_region, int second_region) const;
+  void forward_due();
 
   EventLoop& loop_;
   const std::int64_t delay_ms_;
-  std::vector<std::unique_ptr<Entry>> entries_;
+  std::vector<std::unique_ptr<Route>> routes_;
   std::vector<Cut> cuts_;  // indexed by region
   std::unordered_set<Link*> links_;
   Traffic traffic_;
--- a/tools/scale/remote_controller.cpp
+++ b/tools/scale/remote_controller.cpp
@@ -2,22 +2,23 @@
 
 namespace sailreel::scale {
 
-std::function<void(int, std::string)> RemoteController::answer_to(const RequestSource& source) {
+std::function<void(int, std::string)> RemoteController::response_callback(
+    const RequestSource& source) {
   return [&sockets = sockets_, node = node_, source, alive = alive_](int status, std::string body) {
     Response response;
     response.source = source;
     response.status = *alive ? status : 0;
     response.body = std::move(body);
-    sockets.answered(node, response);
+    sockets.response_received(node, response);
   };
 }
 
 std::vector<Action> RemoteController::step(Clock, Input input) {
   if (const auto* heartbeat = std::get_if<HeartbeatReceived>(&input))
-    sockets_.send_heartbeat(heartbeat->heartbeat.machine, listen_, heartbeat->raw,
-                            answer_to(heartbeat->source));
+    sockets_.send_heartbeat(heartbeat->heartbeat.machine, address_, heartbeat->raw,
+                            response_callback(heartbeat->source));
   else if (const auto* request = std::get_if<UserRequest>(&input))
-    sockets_.send_user_request(listen_, *request, answer_to(request->source));
+    sockets_.send_user_request(address_, *request, response_callback(request->source));
   return {};
 }
 
--- a/tools/scale/remote_controller.hpp
+++ b/tools/scale/remote_controller.hpp
@@ -23,17 +23,17 @@
   virtual void send_user_request(const std::string& address, const UserRequest& request,
                                  std::function<void(int, std::string)> done) = 0;
   /// Hands the outcome of a request to the region's simulation. Status 0: no response.
-  virtual void answered(std::size_t node, const Response& response) = 0;
+  virtual void response_received(std::size_t node, const Response& response) = 0;
 };
 
 /// Sends the simulation's heartbeats and user requests to a controller's process, which it owns.
 class RemoteController : public sim::SimulatedController {
  public:
-  RemoteController(RegionSockets& sockets, std::size_t node, std::string listen,
+  RemoteController(RegionSockets& sockets, std::size_t node, std::string address,
                    std::unique_ptr<ChildProcess> process)
       : sockets_(sockets),
         node_(node),
-        listen_(std::move(listen)),
+        address_(std::move(address)),
         process_(std::move(process)),
         alive_(std::make_shared<bool>(true)) {}
   ~RemoteController() override { *alive_ = false; }
@@ -46,11 +46,11 @@
   [[nodiscard]] std::uint64_t epoch() const override { return 0; }
 
  private:
-  std::function<void(int, std::string)> answer_to(const RequestSource& source);
+  std::function<void(int, std::string)> response_callback(const RequestSource& source);
 
   RegionSockets& sockets_;
   const std::size_t node_;
-  const std::string listen_;
+  const std::string address_;
   std::unique_ptr<ChildProcess> process_;
   /// False after this controller's destruction. The callbacks of pending requests share it, and
   /// then report status 0.
--- a/tools/scale/report_builder.cpp
+++ b/tools/scale/report_builder.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr std::uint64_t kSamplesPerSecond = 4;
-constexpr double kIdleWhenSaturated = 0.05;
-constexpr std::size_t kMostNamed = 20;
+constexpr double kSaturatedIdleShare = 0.05;
+constexpr std::size_t kMaxNamedViolations = 20;
 
-void add(TrafficCounts& sum, const TrafficCounts& more) {
+void add_counts(TrafficCounts& sum, const TrafficCounts& more) {
   sum.set_messages_in(sum.messages_in() + more.messages_in());
   sum.set_messages_out(sum.messages_out() + more.messages_out());
   sum.set_bytes_in(sum.bytes_in() + more.bytes_in());
@@ -25,8 +25,8 @@
   out.set_count(static_cast<std::uint32_t>(values.size()));
   if (values.empty()) return out;
   std::sort(values.begin(), values.end());
-  const auto quantile = [&](double part) {
-    return gsl_stats_quantile_from_sorted_data(values.data(), 1, values.size(), part);
+  const auto quantile = [&](double probability) {
+    return gsl_stats_quantile_from_sorted_data(values.data(), 1, values.size(), probability);
   };
   out.set_median(quantile(0.5));
   out.set_p90(quantile(0.9));
@@ -36,20 +36,20 @@
 }
 
 template <typename... Values>
-std::string line(const char* format, const Values&... values) {
+std::string format_line(const char* format, const Values&... values) {
   return fmt::sprintf(format, values...) + "\n";
 }
 
-std::string describe(const char* what, const Distribution& distribution) {
-  if (distribution.count() == 0) return line("%-28s none", what);
-  return line("%-28s %u: median %.0f, p90 %.0f, p99 %.0f, largest %.0f ms", what,
-              distribution.count(), distribution.median(), distribution.p90(), distribution.p99(),
-              distribution.largest());
+std::string format_distribution(const char* what, const Distribution& distribution) {
+  if (distribution.count() == 0) return format_line("%-28s none", what);
+  return format_line("%-28s %u: median %.0f, p90 %.0f, p99 %.0f, largest %.0f ms", what,
+                     distribution.count(), distribution.median(), distribution.p90(),
+                     distribution.p99(), distribution.largest());
 }
 
 }  // namespace
 
-ReportBuilder::ReportBuilder(const Plan& plan) : plan_(plan), machine_(read_machine()) {
+ReportBuilder::ReportBuilder(const Plan& plan) : plan_(plan), machine_stats_(read_machine_stats()) {
   report_.set_plan(plan.name());
   report_.set_workers(0);
   report_.set_tasks_running_peak(0);
@@ -69,46 +69,46 @@
   report_.set_late_ms_max(0);
 }
 
-void ReportBuilder::process_started(int pid, ProcessRole role, const std::string& region) {
+void ReportBuilder::add_process(int pid, ProcessRole role, const std::string& region) {
   Process process;
   process.role = role;
   process.region = region;
   processes_[pid] = process;
 }
 
-void ReportBuilder::failed(const std::string& what) { report_.add_failure(what); }
+void ReportBuilder::add_failure(const std::string& what) { report_.add_failure(what); }
 
-void ReportBuilder::progress(int region, const Progress& progress) {
-  Moment& moment = moments_[progress.sample()];
-  if (!moment.regions.insert(region).second) return;
-  moment.workers += progress.workers();
-  moment.tasks += progress.tasks_running();
-  moment.starts += progress.starts();
-  moment.team_gpus.resize(plan_.fleet().teams());
+void ReportBuilder::add_progress(int region, const Progress& progress) {
+  Sample& sample = samples_[progress.sample()];
+  if (!sample.regions.insert(region).second) return;
+  sample.workers += progress.workers();
+  sample.tasks += progress.tasks_running();
+  sample.starts += progress.starts();
+  sample.team_gpus.resize(plan_.fleet().teams());
   for (int team = 0; team < progress.team_gpus_size(); ++team)
-    moment.team_gpus[static_cast<std::size_t>(team)] += progress.team_gpus(team);
-  if (moment.regions.size() < static_cast<std::size_t>(plan_.region_size())) return;
-  take_moment(progress.sample(), moment);
+    sample.team_gpus[static_cast<std::size_t>(team)] += progress.team_gpus(team);
+  if (sample.regions.size() < static_cast<std::size_t>(plan_.region_size())) return;
+  add_sample(progress.sample(), sample);
   // Earlier samples that some region has skipped never become complete.
-  moments_.erase(moments_.begin(), moments_.upper_bound(progress.sample()));
+  samples_.erase(samples_.begin(), samples_.upper_bound(progress.sample()));
 }
 
-void ReportBuilder::take_moment(std::uint64_t number, const Moment& moment) {
-  report_.set_workers(std::max(report_.workers(), moment.workers));
-  report_.set_tasks_running_peak(std::max(report_.tasks_running_peak(), moment.tasks));
-  starts_at_.emplace(number / kSamplesPerSecond, moment.starts);
-  double used = 0;
-  for (const double gpus : moment.team_gpus) used = std::max(used, gpus);
+void ReportBuilder::add_sample(std::uint64_t sample_number, const Sample& sample) {
+  report_.set_workers(std::max(report_.workers(), sample.workers));
+  report_.set_tasks_running_peak(std::max(report_.tasks_running_peak(), sample.tasks));
+  starts_by_second_.emplace(sample_number / kSamplesPerSecond, sample.starts);
+  double max_gpus_used = 0;
+  for (const double gpus : sample.team_gpus) max_gpus_used = std::max(max_gpus_used, gpus);
   if (plan_.fleet().team_gpus_max() <= 0) return;
-  const double part = used / plan_.fleet().team_gpus_max();
-  report_.set_team_limit_used_peak(std::max(report_.team_limit_used_peak(), part));
-  team_limit_used_.push_back(part);
+  const double share_used = max_gpus_used / plan_.fleet().team_gpus_max();
+  report_.set_team_limit_used_peak(std::max(report_.team_limit_used_peak(), share_used));
+  team_limit_used_.push_back(share_used);
 }
 
-void ReportBuilder::result(const RegionResult& result) {
+void ReportBuilder::add_result(const RegionResult& result) {
   for (const auto& [rule, cases] : result.rules()) (*report_.mutable_rules())[rule] += cases;
   for (const std::string& what : result.broken())
-    if (static_cast<std::size_t>(report_.broken_size()) < kMostNamed)
+    if (static_cast<std::size_t>(report_.broken_size()) < kMaxNamedViolations)
       report_.add_broken(result.region() + ": " + what);
   report_.set_starts(report_.starts() + static_cast<std::uint32_t>(result.starts()));
   report_.set_jobs(report_.jobs() + static_cast<std::uint32_t>(result.jobs()));
@@ -123,41 +123,41 @@
   report_.set_late_ms_max(std::max(report_.late_ms_max(), result.late_ms_max()));
   for (const std::uint32_t wait : result.submission_ms()) submission_ms_.push_back(wait);
   for (const std::uint32_t wait : result.urgent_ms()) urgent_ms_.push_back(wait);
-  add(workers_, result.workers());
-  add(users_, result.users());
-  add(kv_store_, result.state());
-  add(cloud_, result.cloud());
-  reports_ += result.reports();
+  add_counts(workers_, result.workers());
+  add_counts(users_, result.users());
+  add_counts(kv_store_, result.state());
+  add_counts(cloud_, result.cloud());
+  heartbeats_ += result.reports();
   worker_seconds_ += result.worker_seconds();
 }
 
 void ReportBuilder::sample_processes() {
   memory_mb_ = 0;
-  running_ = 0;
+  running_processes_ = 0;
   for (auto& [pid, process] : processes_) {
     if (!process.running) continue;
-    const auto stats = read_process(pid);
+    const auto stats = read_process_stats(pid);
     process.running = stats.has_value();
     if (!stats) continue;
-    ++running_;
+    ++running_processes_;
     process.cpu_s = stats->cpu_s;
     process.memory_peak_mb = std::max(process.memory_peak_mb, stats->memory_mb);
     memory_mb_ += stats->memory_mb;
   }
-  report_.set_processes(std::max(report_.processes(), running_));
+  report_.set_processes(std::max(report_.processes(), running_processes_));
   report_.set_memory_peak_mb(std::max(report_.memory_peak_mb(), memory_mb_));
-  const MachineStats now = read_machine();
-  const double idle = now.idle_s - machine_.idle_s, busy = now.busy_s - machine_.busy_s;
-  if (idle < kIdleWhenSaturated * (idle + busy))
+  const MachineStats now = read_machine_stats();
+  const double idle = now.idle_s - machine_stats_.idle_s, busy = now.busy_s - machine_stats_.busy_s;
+  if (idle < kSaturatedIdleShare * (idle + busy))
     report_.set_saturated_seconds(report_.saturated_seconds() + 1);
-  machine_ = now;
+  machine_stats_ = now;
   ++seconds_sampled_;
 }
 
 std::vector<int> ReportBuilder::controllers_running() const {
   std::vector<int> out;
   for (const auto& [pid, process] : processes_)
-    if (process.role == ProcessRole::SimulatedController && read_process(pid)) out.push_back(pid);
+    if (process.role == ProcessRole::Controller && read_process_stats(pid)) out.push_back(pid);
   return out;
 }
 
@@ -182,42 +182,42 @@
   // The controller with the most processor time in its region is taken to be the leader.
   std::map<std::string, const Process*> busiest;
   for (const auto& [pid, process] : processes_) {
-    if (process.role != ProcessRole::SimulatedController) continue;
-    const Process*& most = busiest[process.region];
-    if (most == nullptr || process.cpu_s > most->cpu_s) most = &process;
+    if (process.role != ProcessRole::Controller) continue;
+    const Process*& busiest_here = busiest[process.region];
+    if (busiest_here == nullptr || process.cpu_s > busiest_here->cpu_s) busiest_here = &process;
   }
-  const auto sum = [&](const std::string& name, const auto& belongs) {
+  const auto add_process_role = [&](const std::string& name, const auto& in_role) {
     Role& role = add_role(report, name);
-    double cores = 0, most = 0, memory = 0, largest = 0;
+    double cores = 0, max_cores = 0, memory = 0, max_memory_mb = 0;
     std::uint32_t count = 0;
     for (const auto& [pid, process] : processes_) {
-      if (!belongs(process)) continue;
+      if (!in_role(process)) continue;
       ++count;
       cores += process.cpu_s / seconds;
-      most = std::max(most, process.cpu_s / seconds);
+      max_cores = std::max(max_cores, process.cpu_s / seconds);
       memory += process.memory_peak_mb;
-      largest = std::max(largest, process.memory_peak_mb);
+      max_memory_mb = std::max(max_memory_mb, process.memory_peak_mb);
     }
     role.set_processes(count);
     role.set_cores(cores);
-    role.set_cores_of_largest(most);
+    role.set_cores_of_largest(max_cores);
     role.set_memory_peak_mb(memory);
-    role.set_memory_peak_mb_of_largest(largest);
+    role.set_memory_peak_mb_of_largest(max_memory_mb);
     return cores;
   };
-  const auto leads = [&](const Process& process) {
-    return process.role == ProcessRole::SimulatedController &&
-           busiest.at(process.region) == &process;
+  const auto is_busiest = [&](const Process& process) {
+    return process.role == ProcessRole::Controller && busiest.at(process.region) == &process;
   };
-  double control = sum("controller, busiest of its region", leads);
-  control += sum("controller, others", [&](const Process& process) {
-    return process.role == ProcessRole::SimulatedController && !leads(process);
+  double controller_cores = add_process_role("controller, busiest of its region", is_busiest);
+  controller_cores += add_process_role("controller, others", [&](const Process& process) {
+    return process.role == ProcessRole::Controller && !is_busiest(process);
   });
-  double fakes = sum("stand-ins (workers, services, users)",
-                     [](const Process& process) { return process.role == ProcessRole::Region; });
-  fakes +=
-      sum("main process", [](const Process& process) { return process.role == ProcessRole::Main; });
-  report.set_stand_ins_share(fakes / std::max(1e-9, fakes + control));
+  double stand_in_cores =
+      add_process_role("stand-ins (workers, services, users)",
+                       [](const Process& process) { return process.role == ProcessRole::Region; });
+  stand_in_cores += add_process_role(
+      "main process", [](const Process& process) { return process.role == ProcessRole::Main; });
+  report.set_stand_ins_share(stand_in_cores / std::max(1e-9, stand_in_cores + controller_cores));
 }
 
 void ReportBuilder::add_worker_share(RunReport& report) const {
@@ -225,7 +225,7 @@
   const double seconds = std::max(1.0, worker_seconds_);
   share.set_bytes_in_per_s(static_cast<double>(workers_.bytes_in()) / seconds);
   share.set_bytes_out_per_s(static_cast<double>(workers_.bytes_out()) / seconds);
-  share.set_reports_per_s(static_cast<double>(reports_) / seconds);
+  share.set_reports_per_s(static_cast<double>(heartbeats_) / seconds);
   if (plan_.has_targets()) share.set_target_bytes_per_s(1000 * plan_.targets().worker_kb_per_s());
 }
 
@@ -246,9 +246,9 @@
   }
   report.set_rules_broken(broken);
   double peak = 0;
-  for (auto it = starts_at_.begin(); it != starts_at_.end(); ++it) {
+  for (auto it = starts_by_second_.begin(); it != starts_by_second_.end(); ++it) {
     const auto next = std::next(it);
-    if (next == starts_at_.end()) break;
+    if (next == starts_by_second_.end()) break;
     const auto seconds = static_cast<double>(next->first - it->first);
     peak = std::max(peak, static_cast<double>(next->second - it->second) / seconds);
   }
@@ -260,10 +260,10 @@
   add_service(report, "users' connections", users_);
   add_service(report, "state service", kv_store_);
   add_service(report, "cloud", cloud_);
-  TrafficCounts between;
-  between.set_messages_in(links.messages_in);
-  between.set_bytes_in(links.bytes_in);
-  add_service(report, "links between regions", between);
+  TrafficCounts link_counts;
+  link_counts.set_messages_in(links.messages_in);
+  link_counts.set_bytes_in(links.bytes_in);
+  add_service(report, "links between regions", link_counts);
   const std::vector<double> second_half(
       team_limit_used_.begin() + static_cast<std::ptrdiff_t>(team_limit_used_.size() / 2),
       team_limit_used_.end());
@@ -285,35 +285,36 @@
 
 std::string report_table(const RunReport& report) {
   std::string out;
-  out += line("%-28s %s, %.0f s", "plan", report.plan(), report.seconds());
-  out += line("%-28s %u", "rules broken", report.rules_broken());
-  for (const auto& [rule, cases] : report.rules()) out += line("  %-26s %u", rule, cases);
-  out += line("%-28s %u", "workers", report.workers());
-  out += line("%-28s %u", "tasks running, peak", report.tasks_running_peak());
-  out += line("%-28s %u, at the peak %.0f a second", "starts", report.starts(),
-              report.starts_per_s_peak());
-  out += line("%-28s %u, %.0f MB at the peak", "processes", report.processes(),
-              report.memory_peak_mb());
+  out += format_line("%-28s %s, %.0f s", "plan", report.plan(), report.seconds());
+  out += format_line("%-28s %u", "rules broken", report.rules_broken());
+  for (const auto& [rule, cases] : report.rules()) out += format_line("  %-26s %u", rule, cases);
+  out += format_line("%-28s %u", "workers", report.workers());
+  out += format_line("%-28s %u", "tasks running, peak", report.tasks_running_peak());
+  out += format_line("%-28s %u, at the peak %.0f a second", "starts", report.starts(),
+                     report.starts_per_s_peak());
+  out += format_line("%-28s %u, %.0f MB at the peak", "processes", report.processes(),
+                     report.memory_peak_mb());
   for (const Role& role : report.role()) {
     if (role.has_cores())
-      out += line("%-38s %3u processes, %.2f cores (most %.3f), %.0f MB (most %.0f)", role.role(),
-                  role.processes(), role.cores(), role.cores_of_largest(), role.memory_peak_mb(),
-                  role.memory_peak_mb_of_largest());
+      out += format_line("%-38s %3u processes, %.2f cores (most %.3f), %.0f MB (most %.0f)",
+                         role.role(), role.processes(), role.cores(), role.cores_of_largest(),
+                         role.memory_peak_mb(), role.memory_peak_mb_of_largest());
     else
-      out += line("%-38s %.0f messages/s, %.1f KB/s", role.role(), role.messages_per_s(),
-                  role.bytes_per_s() / 1000);
+      out += format_line("%-38s %.0f messages/s, %.1f KB/s", role.role(), role.messages_per_s(),
+                         role.bytes_per_s() / 1000);
   }
-  out += line("%-28s %.2f reports/s, %.0f bytes/s out, %.0f in", "per worker",
-              report.per_worker().reports_per_s(), report.per_worker().bytes_out_per_s(),
-              report.per_worker().bytes_in_per_s());
-  out += describe("submissions answered", report.submission_ms());
-  out += describe("urgent work started", report.urgent_start_ms());
-  out += line("%-28s %u", "urgent work not started", report.urgent_waiting());
-  out += line("%-28s %.3f at the peak, %.3f in the mean of the second half", "team's limit used",
-              report.team_limit_used_peak(), report.team_limit_used_mean());
-  out += line("%-28s %.2f; machine saturated for %u s; a region late by %u ms at most",
-              "stand-ins' share", report.stand_ins_share(), report.saturated_seconds(),
-              report.late_ms_max());
+  out += format_line("%-28s %.2f reports/s, %.0f bytes/s out, %.0f in", "per worker",
+                     report.per_worker().reports_per_s(), report.per_worker().bytes_out_per_s(),
+                     report.per_worker().bytes_in_per_s());
+  out += format_distribution("submissions answered", report.submission_ms());
+  out += format_distribution("urgent work started", report.urgent_start_ms());
+  out += format_line("%-28s %u", "urgent work not started", report.urgent_waiting());
+  out += format_line("%-28s %.3f at the peak, %.3f in the mean of the second half",
+                     "team's limit used", report.team_limit_used_peak(),
+                     report.team_limit_used_mean());
+  out += format_line("%-28s %.2f; machine saturated for %u s; a region late by %u ms at most",
+                     "stand-ins' share", report.stand_ins_share(), report.saturated_seconds(),
+                     report.late_ms_max());
   for (const std::string& what : report.broken()) out += "broken: " + what + "\n";
   for (const std::string& what : report.failure()) out += "failed: " + what + "\n";
   return out;
--- a/tools/scale/report_builder.hpp
+++ b/tools/scale/report_builder.hpp
@@ -14,23 +14,23 @@
 
 namespace sailreel::scale {
 
-enum class ProcessRole : std::uint8_t { Main, Region, SimulatedController };
+enum class ProcessRole : std::uint8_t { Main, Region, Controller };
 
 class ReportBuilder {
  public:
   explicit ReportBuilder(const Plan& plan);
 
-  void process_started(int pid, ProcessRole role, const std::string& region);
-  void progress(int region, const Progress& progress);
-  void result(const RegionResult& result);
-  void failed(const std::string& what);
+  void add_process(int pid, ProcessRole role, const std::string& region);
+  void add_progress(int region, const Progress& progress);
+  void add_result(const RegionResult& result);
+  void add_failure(const std::string& what);
 
   /// Samples the resource usage of all processes and of the machine. Must be called once a second:
   /// the report counts calls as seconds.
   void sample_processes();
   /// Memory and number of the processes that ran at the last call of sample_processes().
   [[nodiscard]] double memory_mb() const { return memory_mb_; }
-  [[nodiscard]] std::uint32_t processes() const { return running_; }
+  [[nodiscard]] std::uint32_t processes() const { return running_processes_; }
   /// Process ids of the controllers that still run.
   [[nodiscard]] std::vector<int> controllers_running() const;
 
@@ -45,14 +45,14 @@
     double cpu_s = 0, memory_peak_mb = 0;
   };
   /// Totals of one sample over the regions that have reported it.
-  struct Moment {
+  struct Sample {
     std::set<int> regions;
     std::uint32_t workers = 0, tasks = 0;
     std::uint64_t starts = 0;
     std::vector<double> team_gpus;
   };
   [[nodiscard]] bool limits_span_regions() const { return plan_.division() != WHOLE_LIMIT_EACH; }
-  void take_moment(std::uint64_t number, const Moment& moment);
+  void add_sample(std::uint64_t sample_number, const Sample& sample);
   void add_roles(RunReport& report);
   Role& add_role(RunReport& report, const std::string& name) const;
   void add_service(RunReport& report, const std::string& name, const TrafficCounts& traffic) const;
@@ -61,17 +61,17 @@
   const Plan plan_;
   RunReport report_;
   std::map<int, Process> processes_;
-  std::map<std::uint64_t, Moment> moments_;
+  std::map<std::uint64_t, Sample> samples_;
   /// Total starts at the first complete sample of each second.
-  std::map<std::uint64_t, std::uint64_t> starts_at_;
+  std::map<std::uint64_t, std::uint64_t> starts_by_second_;
   std::vector<double> submission_ms_, urgent_ms_;
   TrafficCounts workers_, users_, kv_store_, cloud_;
-  std::uint64_t reports_ = 0;
+  std::uint64_t heartbeats_ = 0;
   double worker_seconds_ = 0;
   double memory_mb_ = 0;
-  std::uint32_t running_ = 0;
+  std::uint32_t running_processes_ = 0;
   std::uint32_t seconds_sampled_ = 0;
-  MachineStats machine_;
+  MachineStats machine_stats_;
   std::vector<double> team_limit_used_;  // largest share of any team, in each complete sample
 };
 
--- a/tools/scale/run.hpp
+++ b/tools/scale/run.hpp
@@ -20,9 +20,9 @@
 struct RunOptions {
   std::string program;  // path of this program, which the regions' processes run
   std::string plan_path;
-  std::string controller;  // path of the controller program
-  std::string directory;   // for settings files and logs
-  bool progress = false;   // shows a progress line on standard error
+  std::string controller_program;  // path of the controller program
+  std::string directory;           // for settings files and logs
+  bool progress = false;           // shows a progress line on standard error
 };
 
 class Run {
@@ -36,36 +36,36 @@
   /// failure.
   RunReport run();
   /// Makes run() return, with this failure in the report.
-  void stop(const std::string& why);
+  void stop(const std::string& failure);
 
  private:
   struct RegionState {
     std::unique_ptr<ChildProcess> process;
     MessageReader reader;
     Progress progress;
-    bool done = false;
-    bool ended = false;
+    bool has_result = false;
+    bool exited = false;
   };
 
   void start_regions();
-  void plan_cuts();
-  void region_output(int region, std::string_view bytes);
-  void region_ended(int region, int status, int signal);
-  void take(int region, const RegionMessage& message);
-  void watch();
+  void schedule_cuts();
+  void handle_region_output(int region, std::string_view bytes);
+  void handle_region_exit(int region, int status, int signal);
+  void handle_message(int region, const RegionMessage& message);
+  void monitor();
   void show_progress() const;
-  void end_if_over();
+  void check_completion();
 
   const Plan plan_;
   const RunOptions options_;
   EventLoop loop_;
-  ReportBuilder report_;
+  ReportBuilder report_builder_;
   std::vector<RegionState> regions_;
   Time begin_ms_ = 0;
   Relay relay_;
   std::vector<std::unique_ptr<Timer>> cut_timers_;
-  Timer watch_timer_;
-  bool over_ = false;
+  Timer monitor_timer_;
+  bool finished_ = false;
 };
 
 }  // namespace sailreel::scale
--- a/tools/scale/workload.hpp
+++ b/tools/scale/workload.hpp
@@ -21,22 +21,24 @@
   void task_started(const TaskKey& key, Time now);
 
   /// Time from the submission to the start of each urgent job that has started, in milliseconds.
-  [[nodiscard]] const std::vector<std::uint32_t>& urgent_waits() const { return urgent_waits_; }
+  [[nodiscard]] const std::vector<std::uint32_t>& urgent_waits_ms() const {
+    return urgent_waits_ms_;
+  }
   /// Number of urgent jobs that haven't started and have waited for longer than `patience`.
-  [[nodiscard]] std::uint32_t urgent_waiting(Time now, Time patience) const;
+  [[nodiscard]] std::uint32_t urgent_waiting(Time now, Time max_wait) const;
 
  private:
   void submit_services(std::uint32_t tasks, Time begin);
   void submit_arrays(double tasks, Time begin, Time end);
-  void submit_urgent(double per_s, Time begin, Time end);
+  void submit_urgent(double jobs_per_s, Time begin, Time end);
   [[nodiscard]] JobSpec next_job(JobKind kind, Priority priority, std::uint32_t tasks);
 
   const Plan& plan_;
-  const std::uint64_t first_id_;
+  const std::uint64_t first_job_number_;
   sim::SimulatedRegion& region_;
-  std::uint32_t next_ = 0;
-  std::map<std::string, Time> urgent_since_;
-  std::vector<std::uint32_t> urgent_waits_;
+  std::uint32_t next_job_number_ = 0;
+  std::map<std::string, Time> urgent_submitted_at_;
+  std::vector<std::uint32_t> urgent_waits_ms_;
 };
 
 }  // namespace sailreel::scale
