--- a/tools/scale/main.cpp
+++ b/tools/scale/main.cpp
@@ -1,4 +1,4 @@
-// sailreel-scale: plays a plan with real controllers and hollow workers on loopback addresses.
+// sailreel-scale: runs a plan with real controllers and simulated workers on loopback addresses.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -18,14 +18,16 @@
 
 namespace scale = sailreel::scale;
 
-constexpr int kRuleBroken = 1;
-constexpr int kBadPlan = 2;
-constexpr int kNotPlayed = 3;
+constexpr int kExitRuleBroken = 1;
+constexpr int kExitInvalidPlan = 2;
+constexpr int kExitNotCompleted = 3;
 
-/// A folder for settings files and logs, which is gone when the run is over.
+/// Directory for settings files and logs: the given one, which is kept, or else a temporary one,
+/// which is removed after the run.
 class RunDirectory {
  public:
-  explicit RunDirectory(std::string wanted) : path_(std::move(wanted)), kept_(!path_.empty()) {
+  explicit RunDirectory(std::string requested_path)
+      : path_(std::move(requested_path)), kept_(!path_.empty()) {
     if (kept_) {
       std::filesystem::create_directories(path_);
       return;
@@ -33,7 +35,7 @@
     std::string pattern =
         (std::filesystem::temp_directory_path() / "sailreel-scale-XXXXXX").string();
     if (mkdtemp(pattern.data()) == nullptr)
-      throw std::runtime_error("cannot make a folder for the run");
+      throw std::runtime_error("cannot create a temporary directory for the run");
     path_ = pattern;
   }
   ~RunDirectory() {
@@ -49,11 +51,11 @@
   bool kept_;
 };
 
-int play(const scale::Plan& plan, scale::RunOptions options, const std::string& report_path,
-         const std::string& directory) {
+int run_plan(const scale::Plan& plan, scale::RunOptions options, const std::string& report_path,
+             const std::string& directory) {
   scale::check_machine(plan);
-  const RunDirectory folder(directory);
-  options.directory = folder.path();
+  const RunDirectory run_directory(directory);
+  options.directory = run_directory.path();
   options.progress = isatty(STDERR_FILENO) != 0;
   const bool progress = options.progress;
   scale::Run run(plan, std::move(options));
@@ -65,8 +67,8 @@
     file << scale::report_json(report);
     if (!file.flush()) throw std::runtime_error("cannot write " + report_path);
   }
-  if (report.rules_broken() > 0) return kRuleBroken;
-  return report.failure().empty() ? 0 : kNotPlayed;
+  if (report.rules_broken() > 0) return kExitRuleBroken;
+  return report.failure().empty() ? 0 : kExitNotCompleted;
 }
 
 }  // namespace
@@ -74,24 +76,24 @@
 // NOLINTNEXTLINE(bugprone-exception-escape): CLI11 may throw anything; that ends the process
 int main(int argc, char** argv) {
   CLI::App app{
-      "Plays a plan with real controllers and hollow workers on loopback addresses.\n"
-      "Exit status: 0 played without a broken rule, 1 a rule was broken, 2 a bad plan or a\n"
-      "machine that is too small, 3 not played to the end."};
+      "Runs a plan with real controllers and simulated workers on loopback addresses.\n"
+      "Exit status: 0 completed, no rule broken; 1 a rule was broken; 2 invalid plan, or the\n"
+      "machine is too small; 3 not completed."};
   std::string plan_path, report_path, directory;
   std::string controller =
       (std::filesystem::read_symlink("/proc/self/exe").parent_path() / "sailreel").string();
   std::optional<int> region;
   sailreel::Time begin_ms = 0;
   app.add_option("--plan", plan_path, "Plan (protobuf text format)")->required();
-  app.add_option("--report", report_path, "Where the report goes (JSON)");
-  app.add_option("--controller", controller, "Program of the controllers");
-  app.add_option("--directory", directory, "Keep settings files and logs in this folder");
+  app.add_option("--report", report_path, "Write the report to this file (JSON)");
+  app.add_option("--controller", controller, "Path of the controller program");
+  app.add_option("--directory", directory, "Keep settings files and logs in this directory");
   app.add_option("--region", region)->group("");
   app.add_option("--begin-ms", begin_ms)->group("");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kBadPlan;
+    return app.exit(e) == 0 ? 0 : kExitInvalidPlan;
   }
   std::signal(SIGPIPE, SIG_IGN);
   try {
@@ -103,13 +105,13 @@
     scale::RunOptions options;
     options.program = std::filesystem::read_symlink("/proc/self/exe").string();
     options.plan_path = plan_path;
-    options.controller = controller;
-    return play(plan, std::move(options), report_path, directory);
+    options.controller_program = controller;
+    return run_plan(plan, std::move(options), report_path, directory);
   } catch (const scale::PlanError& e) {
     std::cerr << "sailreel-scale: " << e.what() << '\n';
-    return kBadPlan;
+    return kExitInvalidPlan;
   } catch (const std::exception& e) {
     std::cerr << "sailreel-scale: " << e.what() << '\n';
-    return kNotPlayed;
+    return kExitNotCompleted;
   }
 }
--- a/tools/scale/region_process.hpp
+++ b/tools/scale/region_process.hpp
@@ -1,5 +1,5 @@
-// The process of one region: its controllers as processes, and everything around them as a model
-// behind sockets (key-value store, cloud, workers, users).
+// The process of one region. Its controllers are child processes; the key-value store, the cloud,
+// the workers and the users are simulated, and reach the controllers over sockets.
 #pragma once
 
 #include <map>
@@ -20,11 +20,12 @@
 
 struct RegionOptions {
   int region = 0;
-  std::string program;    // of a controller
-  std::string directory;  // for settings files and logs
-  Time begin_ms = 0;      // on the steady clock, the same for all regions
+  std::string controller_program;  // path of the controller program
+  std::string directory;           // for settings files and logs
+  Time begin_ms = 0;               // start of the run on the steady clock, the same for all regions
 };
 
+/// Advances the simulation of a region in real time, and connects it to the controllers' processes.
 class RegionProcess : public RegionSockets {
  public:
   RegionProcess(const Plan& plan, RegionOptions options);
@@ -32,15 +33,15 @@
   RegionProcess(const RegionProcess&) = delete;
   RegionProcess& operator=(const RegionProcess&) = delete;
 
-  /// Until the plan's end, or until the main process ends.
+  /// Runs until the plan's end, or until the main process ends, and then exits this process.
   void run();
 
  private:
-  /// A hollow worker: only its protocol is real, no task runs there.
+  /// Sockets of a simulated worker, which speaks the real protocol but runs no tasks.
   struct WorkerSockets {
     std::unique_ptr<HttpClient> client;
     std::unique_ptr<HttpServer> server;
-    /// Address of the controller that got its last heartbeat.
+    /// Address of the controller that the worker's last heartbeat was sent to.
     std::string controller_address;
   };
 
@@ -48,7 +49,7 @@
                       const std::string& body, std::function<void(int, std::string)> done) override;
   void send_user_request(const std::string& address, const UserRequest& request,
                          std::function<void(int, std::string)> done) override;
-  void answered(std::size_t node, const Response& response) override;
+  void response_received(std::size_t node, const Response& response) override;
 
   std::unique_ptr<sim::SimulatedController> start_controller(std::size_t node,
                                                              const Settings& settings);
@@ -56,21 +57,21 @@
   void serve_kv_store(const ServerRequest& request);
   void serve_cloud(const ServerRequest& request);
   void serve_worker(const std::string& machine, HttpServer& server, const ServerRequest& request);
-  void plan_faults();
+  void schedule_faults();
   void inject(const Fault& fault);
   void remove_zone_workers(const std::string& zone);
   [[nodiscard]] std::size_t busiest_controller() const;
   void advance();
   void sample();
-  void sweep();
-  void tell(const RegionMessage& message);
+  void check_timeouts();
+  void send_message(const RegionMessage& message);
   void finish();
   [[nodiscard]] RegionResult result();
   [[nodiscard]] Time elapsed() const;
 
   const Plan plan_;
   const RegionOptions options_;
-  const int main_process_;
+  const int main_process_id_;
   EventLoop loop_;
   HttpClient users_;
   std::unique_ptr<HttpServer> kv_store_, cloud_;
@@ -78,7 +79,7 @@
   std::map<std::size_t, int> controller_pids_;
   std::unique_ptr<sim::SimulatedRegion> region_;
   std::unique_ptr<Workload> workload_;
-  Timer clock_timer_, sample_timer_, sweep_timer_;
+  Timer clock_timer_, sample_timer_, timeout_check_timer_;
   bool advancing_ = false;
   double worker_seconds_ = 0;
   std::uint64_t kv_writes_ = 0;
--- a/tools/scale/run.hpp
+++ b/tools/scale/run.hpp
@@ -1,5 +1,5 @@
-// The main process of a scale run: starts the regions' processes, watches them and the machine, and
-// puts the report together.
+// The main process of a scale run: starts the regions' processes, monitors them and the machine,
+// and builds the report.
 #pragma once
 
 #include <map>
@@ -18,11 +18,11 @@
 namespace sailreel::scale {
 
 struct RunOptions {
-  std::string program;  // this program, for the regions' processes
+  std::string program;  // path of this program, which the regions' processes run
   std::string plan_path;
-  std::string controller;  // the controllers' program
-  std::string directory;   // for settings files and logs
-  bool progress = false;   // a line on standard error, rewritten each second
+  std::string controller_program;  // path of the controller program
+  std::string directory;           // for settings files and logs
+  bool progress = false;           // shows a progress line on standard error
 };
 
 class Run {
@@ -32,39 +32,40 @@
   Run(const Run&) = delete;
   Run& operator=(const Run&) = delete;
 
-  /// Plays the plan to its end, or until something fails; the report says what.
+  /// Runs the plan to its end or to the first failure, and ends all processes. The report has the
+  /// failure.
   RunReport run();
-  /// Ends all processes; may be called from a signal's handler in the loop.
-  void stop(const std::string& why);
+  /// Makes run() return, with this failure in the report.
+  void stop(const std::string& failure);
 
  private:
   struct RegionState {
     std::unique_ptr<ChildProcess> process;
     MessageReader reader;
     Progress progress;
-    bool done = false;
-    bool ended = false;
+    bool has_result = false;
+    bool exited = false;
   };
 
   void start_regions();
-  void plan_cuts();
-  void region_output(int region, std::string_view bytes);
-  void region_ended(int region, int status, int signal);
-  void take(int region, const RegionMessage& message);
-  void watch();
+  void schedule_cuts();
+  void handle_region_output(int region, std::string_view bytes);
+  void handle_region_exit(int region, int status, int signal);
+  void handle_message(int region, const RegionMessage& message);
+  void monitor();
   void show_progress() const;
-  void end_if_over();
+  void check_completion();
 
   const Plan plan_;
   const RunOptions options_;
   EventLoop loop_;
-  ReportBuilder report_;
+  ReportBuilder report_builder_;
   std::vector<RegionState> regions_;
   Time begin_ms_ = 0;
   Relay relay_;
   std::vector<std::unique_ptr<Timer>> cut_timers_;
-  Timer watch_timer_;
-  bool over_ = false;
+  Timer monitor_timer_;
+  bool finished_ = false;
 };
 
 }  // namespace sailreel::scale
