--- a/sim/simulated_region.cpp
+++ b/sim/simulated_region.cpp
@@ -166,7 +166,7 @@
 }
 
 void SimulatedRegion::perform(std::size_t node, const ArmTimer& timer) {
-  at(now_ + timer.in_ms, [this, node, alive = still_alive(node)] {
+  at(now_ + timer.delay_ms, [this, node, alive = still_alive(node)] {
     if (alive()) feed(node, Tick{});
   });
 }
@@ -227,7 +227,7 @@
   at(now_ + call.timeout_ms, fail);
 }
 
-void SimulatedRegion::perform(std::size_t, const SendRegion& send) const {
+void SimulatedRegion::perform(std::size_t, const SendToRegion& send) const {
   if (on_region_message) on_region_message(send.region, send.message);
 }
 
@@ -248,7 +248,7 @@
 
 // Encodes and decodes the message as between real controllers, so that simulations cover the codec
 // too.
-void SimulatedRegion::perform(std::size_t node, const SendPeer& peer) {
+void SimulatedRegion::perform(std::size_t node, const SendToPeer& peer) {
   const std::string to = settings_[node].peers[peer.peer].name;
   const std::size_t receiver = node_index(to);
   // A link ends with the sending process, so its number encodes the node and its incarnation.
--- a/sim/simulated_region.hpp
+++ b/sim/simulated_region.hpp
@@ -358,8 +358,8 @@
   void perform(std::size_t node, const CallKvStore& call);
   void perform(std::size_t node, const CallCloud& call);
   void perform(std::size_t node, const CallWorker& call);
-  void perform(std::size_t node, const SendPeer& peer);
-  void perform(std::size_t node, const SendRegion& send) const;
+  void perform(std::size_t node, const SendToPeer& peer);
+  void perform(std::size_t node, const SendToRegion& send) const;
   void receive(std::size_t from, std::size_t to, std::uint64_t link, const PeerMessage& message);
   void receive_from_peer(std::size_t to, std::size_t from, const PeerMessage& message);
   void handle_node_response(std::size_t node, const Response& response);
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -135,16 +135,18 @@
                            });
   }
 
-  void execute(const SendPeer& action) { peer_network_.send_to_peer(action.peer, action.message); }
+  void execute(const SendToPeer& action) {
+    peer_network_.send_to_peer(action.peer, action.message);
+  }
 
-  void execute(const SendRegion& action) {
+  void execute(const SendToRegion& action) {
     PeerMessage message;
     message.kind = PeerMessage::Kind::Region;
     message.region = action.message;
     peer_network_.send_to_region(action.region, message);
   }
 
-  void execute(const ArmTimer& action) { tick_timer_.set(action.in_ms); }
+  void execute(const ArmTimer& action) { tick_timer_.set(action.delay_ms); }
 
   static void execute(const Log& action) {
     const auto level = action.level == Log::Level::Debug     ? spdlog::level::debug
--- a/src/controller/actions.hpp
+++ b/src/controller/actions.hpp
@@ -31,17 +31,17 @@
 struct HeartbeatReceived {
   RequestSource source;
   Heartbeat heartbeat;
-  std::string raw;  // the encoded heartbeat as received, for forwarding
+  std::string encoded;  // the encoded heartbeat as received, for forwarding
 };
 /// The response to a CallKvStore action.
 struct KvResponseReceived {
   std::uint64_t call = 0;
-  KvResponse reply;
+  KvResponse response;
 };
 /// The response to a CallCloud action.
 struct CloudResponseReceived {
   std::uint64_t call = 0;
-  CloudResponse reply;
+  CloudResponse response;
 };
 /// The response to a CallWorker action.
 struct WorkerResponseReceived {
@@ -100,26 +100,26 @@
   Time valid_until = kNever;
 };
 /// Sends a message to a controller of this region.
-struct SendPeer {
+struct SendToPeer {
   std::size_t peer = 0;
   PeerMessage message;
 };
 /// Sends a message to the leader of another region. The other controllers of that region ignore it.
-struct SendRegion {
+struct SendToRegion {
   std::size_t region = 0;  // index among the other regions, in the order of the options
   RegionMessage message;
 };
-/// Requests a Tick after `in_ms`.
+/// Requests a Tick after `delay_ms`.
 struct ArmTimer {
-  Time in_ms = 0;
+  Time delay_ms = 0;
 };
 /// Writes a log line.
 struct Log {
   enum class Level : std::uint8_t { Debug, Info, Error, Warning } level = Level::Info;
   std::string text;
 };
-using Action =
-    std::variant<Response, CallKvStore, CallCloud, CallWorker, SendPeer, SendRegion, ArmTimer, Log>;
+using Action = std::variant<Response, CallKvStore, CallCloud, CallWorker, SendToPeer, SendToRegion,
+                            ArmTimer, Log>;
 
 /// The time of a step. `now`: monotonic, in ms; `wall_ms`: wall clock, in ms since the Unix epoch.
 struct Clock {
--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -496,7 +496,7 @@
     if (!machine.heard_in_epoch) {
       if (!machine.recorded || !reconciling_)
         if (now - machine.launched > ms(type->boot_s * kFailedBootRatio) && now >= expiry(machine))
-          terminate_instance(machine, TerminationCause::NeverCameUp);
+          terminate_instance(machine, TerminationCause::NeverStarted);
       continue;
     }
     if (!machine.empty()) continue;
--- a/src/controller/causes.cpp
+++ b/src/controller/causes.cpp
@@ -46,7 +46,7 @@
       return "commit rejected by the key-value store";
     case StepDownCause::AttemptNumbersUsedUp:
       return "attempt numbers used up";
-    case StepDownCause::NoWorkerHeard:
+    case StepDownCause::NoWorkerReachable:
       return "no worker is heard";
   }
   return "";
@@ -88,7 +88,7 @@
       return "unknown team";
     case Infeasibility::AboveQuotaLimit:
       return "more than the team's limit";
-    case Infeasibility::NeverAllAtOnce:
+    case Infeasibility::GangDoesNotFit:
       return "its tasks can't run at the same time in the zones that it allows";
     case Infeasibility::NoMachineType:
       return "a task fits no allowed machine type";
@@ -100,7 +100,7 @@
   switch (cause) {
     case TerminationCause::LaunchFailed:
       return "launch failed";
-    case TerminationCause::NeverCameUp:
+    case TerminationCause::NeverStarted:
       return "never came up";
     case TerminationCause::Idle:
       return "idle";
--- a/src/controller/causes.hpp
+++ b/src/controller/causes.hpp
@@ -28,7 +28,7 @@
   CheckpointOverwritten,  // the manifest was written under another epoch
   CommitRejected,         // the key-value store does not accept a commit of this size
   AttemptNumbersUsedUp,   // the epoch has no attempt number left; the next epoch has a new range
-  NoWorkerHeard,          // no worker reaches this leader; a peer may be better connected
+  NoWorkerReachable,      // no worker reaches this leader; a peer may be better connected
 };
 
 /// Why a request is answered with 503.
@@ -51,14 +51,14 @@
 enum class Infeasibility : std::uint8_t {
   UnknownTeam,
   AboveQuotaLimit,
-  NeverAllAtOnce,  // a gang whose zones can't hold all tasks at the same time
+  GangDoesNotFit,  // a gang whose zones can't hold all tasks at the same time
   NoMachineType,
 };
 
 /// Why the controller terminates a cloud instance.
 enum class TerminationCause : std::uint8_t {
   LaunchFailed,
-  NeverCameUp,
+  NeverStarted,
   Idle,
   Drained,
   SpotNotice,
--- a/src/controller/checkpoint_outcomes.cpp
+++ b/src/controller/checkpoint_outcomes.cpp
@@ -59,7 +59,7 @@
 }
 
 // The job's last record is committed. Only a summary of the finished job is kept.
-void Controller::job_over(Job& job) {
+void Controller::job_finished(Job& job) {
   const std::string id = job.spec().id;
   const bool done = job.record.phase == Phase::Done;
   outbox_.log(Log::Level::Info, done ? LogEvent::JobDone : LogEvent::JobCancelled, {{"job", id}});
--- a/src/controller/checkpoint_transaction.cpp
+++ b/src/controller/checkpoint_transaction.cpp
@@ -67,7 +67,7 @@
 void CheckpointWriter::start_commit() {
   commit_ = CheckpointCommit{};
   commit_.recent_records = recent_records_;
-  if (manifest_bytes_of(recent_records_) > value_limit(kValueFill)) return start_flush();
+  if (manifest_bytes_of(recent_records_) > max_value_bytes(kValueFill)) return start_flush();
   commit_.seq = manifest_seq_ + 1;
   const std::size_t allowed_operations =
       1 + (!commit_is_urgent() ? std::max(kMinWritesBesideManifest,
@@ -75,7 +75,7 @@
                                : operations_within_budget(kUrgentReserveShare));
   const std::size_t max_operations = operations_limit();
   CompareAndSwapBuilder transaction(std::min(max_operations, allowed_operations),
-                                    kMaxConditionBytes + value_limit(1));
+                                    kMaxConditionBytes + max_value_bytes(1));
 
   const LeaderTerm leader = listener_.leader_term();
   Manifest manifest{commit_.seq, leader.epoch, {}};
@@ -84,7 +84,7 @@
   add_shares(transaction);
   // If the manifest is about to be flushed, the machine lists get at most half of the operations.
   // The flush needs the others, also where the store allows few operations in a transaction.
-  if (manifest_bytes_of(commit_.recent_records) > value_limit(kFlushStartFill))
+  if (manifest_bytes_of(commit_.recent_records) > max_value_bytes(kFlushStartFill))
     transaction.limit_operations(1 + (std::min(max_operations, allowed_operations) - 1) / 2);
   add_machine_shards(transaction);
   transaction.limit_operations(std::min(max_operations, allowed_operations));
@@ -98,15 +98,16 @@
     commit_.recent_records[id] = job->in_flight_record = encode_with_seq(*job, commit_.seq);
   for (const auto& [id, text] : commit_.recent_records) manifest_bytes += text.size() + 1;
   // A full manifest takes no more records until it is flushed, so the flush may use all operations.
-  const bool manifest_full = manifest_bytes > value_limit(kValueFill);
+  const bool manifest_full = manifest_bytes > max_value_bytes(kValueFill);
   transaction.limit_operations(
       manifest_full
           ? max_operations
           : std::min(max_operations, std::max(allowed_operations, transaction.operations())));
-  if (manifest_bytes > value_limit(kFlushStartFill))
+  if (manifest_bytes > max_value_bytes(kFlushStartFill))
     manifest_bytes -=
-        flush_recent_records(transaction, manifest_bytes - value_limit(kFlushTargetFill));
-  if (manifest_bytes > value_limit(kValueFill)) postpone_excess(changed, postponed, manifest_bytes);
+        flush_recent_records(transaction, manifest_bytes - max_value_bytes(kFlushTargetFill));
+  if (manifest_bytes > max_value_bytes(kValueFill))
+    postpone_excess(changed, postponed, manifest_bytes);
 
   std::vector<std::string> records;
   for (const auto& [id, text] : commit_.recent_records) records.push_back(text);
@@ -163,7 +164,7 @@
 }
 
 bool CheckpointWriter::scale_out_fits(const ScaleOutRequest& scale_out) const {
-  return scale_out_bytes() + scale_out_size(scale_out) <= value_limit(kScaleOutFill);
+  return scale_out_bytes() + scale_out_size(scale_out) <= max_value_bytes(kScaleOutFill);
 }
 
 // Flushes records of a manifest that was written under higher limits and is now too large to be
@@ -241,7 +242,7 @@
         {machine->name, machine->address, {machine->images.begin(), machine->images.end()}});
     machine_names.push_back(machine->name);
   }
-  const std::string value = encode_machines_within(std::move(records), value_limit(kValueFill));
+  const std::string value = encode_machines_within(std::move(records), max_value_bytes(kValueFill));
   const std::string key = machines_key(shard);
   const bool added = machine_names.empty() ? transaction.erase(key) : transaction.put(key, value);
   if (!added) return false;
@@ -269,7 +270,7 @@
 // of an older version reads only regular pieces. As long as one may lead, regular pieces are
 // written nevertheless, unless the store has rejected a commit.
 bool CheckpointWriter::use_small_pieces() const {
-  return value_limit(1) < encode_piece(std::string(kPieceBits / kBitsPerDigit, '0')).size() &&
+  return max_value_bytes(1) < encode_piece(std::string(kPieceBits / kBitsPerDigit, '0')).size() &&
          (gangs_enabled_ || rejected_commits_ > 0);
 }
 
@@ -331,7 +332,7 @@
     bytes += text.size() + 1;
     records.push_back(std::move(text));
   }
-  if (bytes > value_limit(kShardGrowthFill)) {
+  if (bytes > max_value_bytes(kShardGrowthFill)) {
     // The shard is larger than a value may be. Its jobs are assigned other shards when they change.
     shards_.close(shard);
     return false;
@@ -367,7 +368,7 @@
 void CheckpointWriter::postpone_excess(std::map<std::string, Job*>& changed,
                                        std::vector<Job*>& postponed, std::size_t manifest_bytes) {
   for (auto it = changed.begin();
-       it != changed.end() && manifest_bytes > value_limit(kValueFill);) {
+       it != changed.end() && manifest_bytes > max_value_bytes(kValueFill);) {
     const auto recent = commit_.recent_records.find(it->first);
     if (recent == commit_.recent_records.end()) {
       ++it;
--- a/src/controller/checkpoint_writer.cpp
+++ b/src/controller/checkpoint_writer.cpp
@@ -27,7 +27,7 @@
       peers_(environment.peers),
       scale_outs_(environment.scale_outs),
       listener_(environment.listener),
-      shards_(value_limit(kValueFill)) {}
+      shards_(max_value_bytes(kValueFill)) {}
 
 void CheckpointWriter::load(const Snapshot& image) {
   manifest_seq_ = image.manifest.seq;
@@ -42,11 +42,11 @@
 // limits, is not written again, so that its records stay readable. A job of such a shard is
 // assigned another shard when it changes.
 void CheckpointWriter::load_shards(const Snapshot& image) {
-  shards_ = JobShards(value_limit(kValueFill));
+  shards_ = JobShards(max_value_bytes(kValueFill));
   for (const std::string& key : image.unreadable)
     if (const auto shard = shard_number(key)) shards_.close(*shard);
   for (const auto& [shard, bytes] : image.shard_bytes)
-    if (bytes > value_limit(kShardGrowthFill)) shards_.close(shard);
+    if (bytes > max_value_bytes(kShardGrowthFill)) shards_.close(shard);
   for (const auto& [id, shard] : image.shard_of) {
     const JobRecord& record = image.jobs.at(id);
     shards_.add(id, shard, record_reserve(record.final, encode_record(record).size()));
@@ -87,8 +87,8 @@
   stale_image_shards_.insert(machine_shard(machine));
 }
 
-void CheckpointWriter::finished_on(const std::string& machine, const Job& job,
-                                   std::uint32_t index) {
+void CheckpointWriter::mark_task_finished(const std::string& machine, const Job& job,
+                                          std::uint32_t index) {
   finished_tasks_.push_back({job.spec().id, index, machine});
 }
 
@@ -96,8 +96,8 @@
 // otherwise with the next one.
 void CheckpointWriter::respond_after_commit(const Job& job, const RequestSource& source,
                                             int status) {
-  if (commit_in_doubt()) return outbox_.reject(source, RejectReason::KvStoreNotResponding);
-  if (too_many_waiting()) return outbox_.reject(source, RejectReason::TooManyRequests);
+  if (commit_outcome_unknown()) return outbox_.reject(source, RejectReason::KvStoreNotResponding);
+  if (too_many_pending_responses()) return outbox_.reject(source, RejectReason::TooManyRequests);
   // The commit in flight may have been sent before the job's last change. Without the check of
   // `dirty`, a cancellation got the response "running" with the commit that only recorded the
   // request to cancel.
@@ -106,11 +106,11 @@
       .push_back({source, status, job.spec().id});
 }
 
-bool CheckpointWriter::too_many_waiting() const {
-  return pending_responses_.size() + commit_.pending_responses.size() > most_open_requests();
+bool CheckpointWriter::too_many_pending_responses() const {
+  return pending_responses_.size() + commit_.pending_responses.size() > max_open_requests();
 }
 
-std::size_t CheckpointWriter::most_open_requests() const {
+std::size_t CheckpointWriter::max_open_requests() const {
   return settings_.limits.sockets * (1 + peers_.size());
 }
 
@@ -159,7 +159,7 @@
   return !stale_image_shards_.empty() && operations_within_budget(kImageHintReserveShare) > 0;
 }
 
-std::size_t CheckpointWriter::value_limit(double fill) const {
+std::size_t CheckpointWriter::max_value_bytes(double fill) const {
   const double divisor = std::exp2(static_cast<double>(rejected_commits_));
   return static_cast<std::size_t>(std::max(kMinValueKb, settings_.store.value_kb / divisor) * 1024 *
                                   fill);
@@ -273,7 +273,7 @@
   const std::vector<Job*> finished_jobs = mark_jobs_committed(commit.jobs);
   for (const PendingResponse& response : commit.pending_responses)
     listener_.respond_with_committed_job(response.source, response.status, response.id);
-  for (Job* job : finished_jobs) listener_.job_over(*job);
+  for (Job* job : finished_jobs) listener_.job_finished(*job);
 }
 
 void CheckpointWriter::mark_machines_committed(const std::vector<std::string>& names) {
--- a/src/controller/checkpoint_writer.hpp
+++ b/src/controller/checkpoint_writer.hpp
@@ -56,7 +56,7 @@
   virtual void respond_with_committed_job(const RequestSource& source, int status,
                                           const std::string& id) = 0;
   /// The job's last record is committed; the job has to be removed from the tables.
-  virtual void job_over(Job& job) = 0;
+  virtual void job_finished(Job& job) = 0;
 
   /// The store rejects the commit because of its size. It is unknown whether an earlier copy of the
   /// commit was carried out, so the lease has to be given back: the next leader reads the
@@ -118,7 +118,7 @@
   /// A pending scale-out request was added or removed.
   void mark_scale_outs_changed() { scale_outs_changed_ = true; }
   /// The task has finished on the machine. Once this is committed, the worker may forget the task.
-  void finished_on(const std::string& machine, const Job& job, std::uint32_t index);
+  void mark_task_finished(const std::string& machine, const Job& job, std::uint32_t index);
 
   /// Responds with the job once its present state is committed.
   void respond_after_commit(const Job& job, const RequestSource& source, int status);
@@ -127,23 +127,23 @@
   void commit_if_due();
 
   /// Whether the commit in flight wasn't answered, so that it may or may not have been carried out.
-  [[nodiscard]] bool commit_in_doubt() const { return commit_.retries > 0; }
+  [[nodiscard]] bool commit_outcome_unknown() const { return commit_.retries > 0; }
   /// Whether more responses wait for commits than all controllers together have sockets.
-  [[nodiscard]] bool too_many_waiting() const;
+  [[nodiscard]] bool too_many_pending_responses() const;
   /// The largest possible number of open requests: each of them has a socket at one of the
   /// controllers.
-  [[nodiscard]] std::size_t most_open_requests() const;
+  [[nodiscard]] std::size_t max_open_requests() const;
   /// Whether gangs may be accepted: it is committed that every controller understands them.
   [[nodiscard]] bool gangs_enabled() const { return gangs_enabled_; }
   /// Sequence number of the last committed manifest.
   [[nodiscard]] std::uint64_t manifest_seq() const { return manifest_seq_; }
   /// The share `fill` of the largest value, in bytes, that may be written. The largest value is the
   /// limit of the settings, halved for each commit that the store has rejected nevertheless.
-  [[nodiscard]] std::size_t value_limit(double fill) const;
+  [[nodiscard]] std::size_t max_value_bytes(double fill) const;
   /// Whether the manifest has room for one more pending scale-out.
   [[nodiscard]] bool scale_out_fits(const ScaleOutRequest& scale_out) const;
   /// The number of machines examined so far: a measure of work that is the same on every run.
-  [[nodiscard]] std::uint64_t examined() const { return examined_; }
+  [[nodiscard]] std::uint64_t machines_examined() const { return examined_; }
 
  private:
   /// A request that gets its response after a commit.
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -86,7 +86,7 @@
   election_.tick();
 }
 
-void Controller::campaign_begun() { requeue_lookups(); }
+void Controller::campaign_started() { requeue_lookups(); }
 
 // Responses to requests made under an earlier term are dropped, so lookups that wait for one are
 // queued again.
@@ -121,7 +121,7 @@
   stops_due_.clear();
   zone_reached_.clear();
   zone_unreachable_at_.clear();
-  outbox_.forget_leader_calls();
+  outbox_.drop_leader_calls();
   terminating_ = listing_ = false;
   listed_up_to_.clear();
   reconciling_ = false;
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -63,7 +63,9 @@
   /// The number of jobs and machines examined so far, without the periodic scans of the whole fleet
   /// (a fixed number per heartbeat interval). Unlike elapsed time, this measure of work is the same
   /// on every run.
-  [[nodiscard]] std::uint64_t examined() const { return examined_ + checkpoint_.examined(); }
+  [[nodiscard]] std::uint64_t examined() const {
+    return examined_ + checkpoint_.machines_examined();
+  }
 
  private:
   // controller.cpp
@@ -86,7 +88,7 @@
   [[nodiscard]] Time worker_lease() const { return ms(settings_.workers.lease_s); }
 
   void leadership_tick();
-  void campaign_begun() override;
+  void campaign_started() override;
   void stepped_down(StepDownCause cause, bool led) override;
   void lease_regained() override;
   void requeue_lookups();
@@ -125,7 +127,7 @@
   void scale_outs_committed(const std::vector<std::string>& names) override;
   void respond_with_committed_job(const RequestSource& source, int status,
                                   const std::string& id) override;
-  void job_over(Job& job) override;
+  void job_finished(Job& job) override;
   void commit_rejected() override;
   void checkpoint_overwritten() override;
   void respond_committed(const RequestSource& source, int status, const Job& job);
--- a/src/controller/controller_heartbeats.cpp
+++ b/src/controller/controller_heartbeats.cpp
@@ -11,7 +11,7 @@
   if (heartbeat.leading && heartbeat.acknowledged_incarnation == incarnation_)
     keep_alive_permit_.extend(heartbeat.epoch,
                               heartbeat.acknowledged_clock + Time{heartbeat.keep_ms});
-  election_.note_epoch(heartbeat.epoch, heartbeat.leading);
+  election_.observe_peer_epoch(heartbeat.epoch, heartbeat.leading);
 }
 
 void Controller::send_heartbeats() {
--- a/src/controller/failure_detection.cpp
+++ b/src/controller/failure_detection.cpp
@@ -19,7 +19,7 @@
 
 void Controller::machine_tick() {
   const FleetContact contact = fleet_contact();
-  if (workers_lost(contact)) return election_.resign(StepDownCause::NoWorkerHeard);
+  if (workers_lost(contact)) return election_.resign(StepDownCause::NoWorkerReachable);
   const bool few_are_silent = few_silent(contact.silent, contact.up);
   for (auto& [name, machine] : tables_.machines) watch_machine(*machine, few_are_silent);
   // This comes before the inquiries to silent machines, because it sends an inquiry to one
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -31,7 +31,7 @@
   // A request is forwarded once, or twice if its first receiver has no path to the leader. Without
   // this limit, two controllers that take each other for the leader would forward it in a loop.
   const bool may_forward = (request.source.kind == RequestSource::Kind::Local || request.relay) &&
-                           forwarded_.size() < checkpoint_.most_open_requests();
+                           forwarded_.size() < checkpoint_.max_open_requests();
   if (const auto leader = peers_.leader(clock_.now); leader && may_forward) {
     // A leader of a version without gang scheduling would accept the job but not schedule it as a
     // gang.
@@ -94,9 +94,9 @@
     return outbox_.respond(request.source, 422, encode_error(to_string(*cause)));
   if (spec->kind == JobKind::Gang && !checkpoint_.gangs_enabled())
     return outbox_.reject(request.source, RejectReason::GangsNotEnabled);
-  if (checkpoint_.commit_in_doubt())
+  if (checkpoint_.commit_outcome_unknown())
     return outbox_.reject(request.source, RejectReason::KvStoreNotResponding);
-  if (checkpoint_.too_many_waiting())
+  if (checkpoint_.too_many_pending_responses())
     return outbox_.reject(request.source, RejectReason::TooManySubmissions);
   JobRecord record;
   record.spec = std::move(*spec);
@@ -106,7 +106,7 @@
   if (record.spec.kind == JobKind::Gang) record.started = record.spec.tasks;
   // The record has to fit into one value of the key-value store: a large one is moved from the
   // manifest to a shard at once.
-  if (record_reserve(false, encode_record(record).size()) > checkpoint_.value_limit(kValueFill))
+  if (record_reserve(false, encode_record(record).size()) > checkpoint_.max_value_bytes(kValueFill))
     return outbox_.respond(request.source, 422,
                            encode_error("its description is too large to be kept"));
   Job& job = tables_.add_job(std::move(record));
@@ -165,7 +165,7 @@
 // True if direct stop commands are likely to end the job promptly: its tasks are on known machines
 // that send heartbeats, and no commit is in doubt.
 bool Controller::stops_at_once(const Job& job) const {
-  if (job.unknown > 0 || checkpoint_.commit_in_doubt()) return false;
+  if (job.unknown > 0 || checkpoint_.commit_outcome_unknown()) return false;
   return std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& task) {
     return task.machine == nullptr || (task.machine->heard_in_epoch && !task.machine->silent);
   });
--- a/src/controller/leader_election.cpp
+++ b/src/controller/leader_election.cpp
@@ -115,7 +115,7 @@
   const std::uint64_t term = ++term_;
   watch_in_flight_ = false;
   nonce_ += 1 + random_();
-  listener_.campaign_begun();
+  listener_.campaign_started();
   KvRequest grant_request;
   grant_request.kind = KvRequest::Kind::Grant;
   const Time requested_at = clock_.now;
@@ -254,7 +254,7 @@
   step_down(cause);
 }
 
-void LeaderElection::note_epoch(std::uint64_t epoch, bool leading) {
+void LeaderElection::observe_peer_epoch(std::uint64_t epoch, bool leading) {
   if (role_ == Role::Leader && leading && epoch > epoch_)
     step_down(StepDownCause::HigherEpochAtPeer);
   else if (role_ == Role::Follower)
--- a/src/controller/leader_election.hpp
+++ b/src/controller/leader_election.hpp
@@ -30,7 +30,7 @@
 
     /// A campaign has begun under a new term. Continuations of the previous term do nothing from
     /// now on.
-    virtual void campaign_begun() = 0;
+    virtual void campaign_started() = 0;
     /// The election is won. The role is `Loading` until `checkpoint_loaded` is called.
     virtual void elected() = 0;
     /// `led`: the role was `Leader` before. Otherwise a campaign failed, or the checkpoint was not
@@ -87,7 +87,7 @@
   void resign(StepDownCause cause) { resign(cause, Resignation{}); }
   /// Processes an epoch that a peer has reported. `leading`: the peer reports that it leads under
   /// this epoch. If it does and the epoch is higher than this leader's, this leader steps down.
-  void note_epoch(std::uint64_t epoch, bool leading);
+  void observe_peer_epoch(std::uint64_t epoch, bool leading);
 
  private:
   [[nodiscard]] Time worker_lease() const { return ms(settings_.workers.lease_s); }
--- a/src/controller/outbox.cpp
+++ b/src/controller/outbox.cpp
@@ -71,21 +71,21 @@
                                 std::max(worker_lease() / 14, kMinWorkerTimeoutMs), valid_until});
 }
 
-bool Outbox::worker_calls_full() const {
+bool Outbox::worker_call_limit_reached() const {
   return worker_calls_.size() >= settings_.limits.sockets / kSocketsPerWorkerCall;
 }
 
-void Outbox::forget_leader_calls() {
+void Outbox::drop_leader_calls() {
   worker_calls_.clear();
   cloud_calls_.clear();
 }
 
 void Outbox::send_to_peer(std::size_t peer, PeerMessage message) {
-  actions_.push_back(SendPeer{peer, std::move(message)});
+  actions_.push_back(SendToPeer{peer, std::move(message)});
 }
 
 void Outbox::send_to_region(std::size_t region, RegionMessage message) {
-  actions_.push_back(SendRegion{region, std::move(message)});
+  actions_.push_back(SendToRegion{region, std::move(message)});
 }
 
 void Outbox::arm_timer(Time in_ms) { actions_.push_back(ArmTimer{in_ms}); }
@@ -94,17 +94,17 @@
   actions_.push_back(Log{level, format_log_line(log_epoch_, event, fields)});
 }
 
-void Outbox::log_text(Log::Level level, const std::string& text) {
+void Outbox::log_formatted(Log::Level level, const std::string& text) {
   actions_.push_back(Log{level, "epoch=" + std::to_string(log_epoch_) + " " + text});
 }
 
 // The continuation is removed before it runs, because it may make further calls.
 void Outbox::handle(const KvResponseReceived& input) {
-  if (auto entry = kv_calls_.extract(input.call)) entry.mapped()(input.reply);
+  if (auto entry = kv_calls_.extract(input.call)) entry.mapped()(input.response);
 }
 
 void Outbox::handle(const CloudResponseReceived& input) {
-  if (auto entry = cloud_calls_.extract(input.call)) entry.mapped()(input.reply);
+  if (auto entry = cloud_calls_.extract(input.call)) entry.mapped()(input.response);
 }
 
 void Outbox::handle(const WorkerResponseReceived& input) {
--- a/src/controller/outbox.hpp
+++ b/src/controller/outbox.hpp
@@ -61,10 +61,10 @@
   void call_worker(const std::string& address, std::string body, Time valid_until,
                    WorkerContinuation continuation);
   /// Whether all sockets that are set aside for direct calls to workers are in use.
-  [[nodiscard]] bool worker_calls_full() const;
+  [[nodiscard]] bool worker_call_limit_reached() const;
   /// Drops the continuations of calls that only a leader makes, which are those to workers and to
   /// the cloud.
-  void forget_leader_calls();
+  void drop_leader_calls();
 
   void send_to_peer(std::size_t peer, PeerMessage message);
   void send_to_region(std::size_t region, RegionMessage message);
@@ -72,7 +72,7 @@
 
   void log(Log::Level level, LogEvent event, std::initializer_list<LogField> fields = {});
   /// Logs a line whose event and fields are formatted already; the epoch is put before them.
-  void log_text(Log::Level level, const std::string& text);
+  void log_formatted(Log::Level level, const std::string& text);
   /// Sets the epoch of all further log lines.
   void set_log_epoch(std::uint64_t epoch) { log_epoch_ = epoch; }
 
--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -78,7 +78,7 @@
       (team->limits.cpus_max > 0 &&
        spec.need.cpus * concurrent_tasks > team->limits.cpus_max + kSlack))
     return Infeasibility::AboveQuotaLimit;
-  if (never_all_at_once(spec)) return Infeasibility::NeverAllAtOnce;
+  if (never_all_at_once(spec)) return Infeasibility::GangDoesNotFit;
   for (const MachineType& type : tables_.types) {
     if (!tables_.type_allowed(spec, type.name) || !spec.need.fits_in(type.size)) continue;
     if (spec.zone.empty() || type.zones.empty() ||
--- a/src/controller/preemption.cpp
+++ b/src/controller/preemption.cpp
@@ -36,7 +36,7 @@
 // more than an interval away. Stops are also sent in the responses to heartbeats, so nothing
 // depends on the direct ones. A direct stop that arrives after its attempt has ended has no effect.
 void Controller::stop_tick() {
-  while (!stops_due_.empty() && !outbox_.worker_calls_full()) {
+  while (!stops_due_.empty() && !outbox_.worker_call_limit_reached()) {
     Machine* machine = tables_.machine(*stops_due_.begin());
     stops_due_.erase(stops_due_.begin());
     if (machine == nullptr || !machine->heard_in_epoch || machine->silent || machine->terminating ||
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -238,7 +238,7 @@
 void Controller::probe_machine(Machine& target) {
   // Without a free socket, the probe waits for a later tick. It must not count as failed: with more
   // machines than sockets, that made a failover a second longer.
-  if (target.address.empty() || outbox_.worker_calls_full()) return;
+  if (target.address.empty() || outbox_.worker_call_limit_reached()) return;
   target.probing = true;
   const std::string name = target.name;
   const Time sent = clock_.now;
--- a/src/controller/share_moves.cpp
+++ b/src/controller/share_moves.cpp
@@ -31,7 +31,7 @@
     else if (const auto* stop = std::get_if<federation::PreemptBeyondCap>(&action))
       stop_beyond_cap(stop->team, stop->below);
     else if (const auto* event = std::get_if<federation::ShareEvent>(&action))
-      outbox_.log_text(event->is_error ? Log::Level::Error : Log::Level::Info, event->text);
+      outbox_.log_formatted(event->is_error ? Log::Level::Error : Log::Level::Info, event->text);
   }
   if (quotas_.take_cap_raised()) scheduling_needed_ = true;
 }
--- a/src/controller/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -174,7 +174,7 @@
   for (std::uint32_t i = 0; is_gang(job) && i < job.spec().tasks; ++i) tables_.mark_done(job, i);
   if (job.active() && job.record.done.count() == job.spec().tasks) job.record.phase = Phase::Done;
   checkpoint_.mark_changed(job);
-  checkpoint_.finished_on(machine.name, job, index);
+  checkpoint_.mark_task_finished(machine.name, job, index);
 }
 
 void Controller::task_exited(Machine& machine, TaskAttempt& attempt) {
@@ -212,7 +212,8 @@
       // commit.
       attempt.exit_committed =
           job->record.done.test(attempt.key.index) && !job->dirty && !job->in_flight_phase;
-      if (!attempt.exit_committed) checkpoint_.finished_on(machine.name, *job, attempt.key.index);
+      if (!attempt.exit_committed)
+        checkpoint_.mark_task_finished(machine.name, *job, attempt.key.index);
     } else {
       note_finished(*job, attempt.key.index, machine);
       if (task.machine != nullptr && task.machine != &machine)
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -165,7 +165,7 @@
     std::uint64_t call = 0;
     for (const Action& action :
          step(UserRequest{{RequestSource::Kind::Local, 5, 0}, UserOp::Query, "job-1", ""}))
-      if (const auto* peer = std::get_if<SendPeer>(&action)) call = peer->message.request.call;
+      if (const auto* peer = std::get_if<SendToPeer>(&action)) call = peer->message.request.call;
     EXPECT_NE(call, 0U);
     now += after;
     PeerMessageReceived response;
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -24,7 +24,7 @@
 
 class Election : public testing::Test, protected LeaderElection::Listener {
  protected:
-  void campaign_begun() override { ++campaigns_; }
+  void campaign_started() override { ++campaigns_; }
   void elected() override { ++elections_; }
   void stepped_down(StepDownCause cause, bool led) override {
     step_downs_.emplace_back(cause, led);
@@ -225,8 +225,8 @@
 TEST_F(Election, AResignationRevokesTheLeaseAndBacksOff) {
   become_leader();
   const Time resigned = clock_.now, worker_lease = ms(settings_.workers.lease_s);
-  election_.resign(StepDownCause::NoWorkerHeard);
-  EXPECT_EQ(step_downs_, (StepDowns{{StepDownCause::NoWorkerHeard, true}}));
+  election_.resign(StepDownCause::NoWorkerReachable);
+  EXPECT_EQ(step_downs_, (StepDowns{{StepDownCause::NoWorkerReachable, true}}));
   EXPECT_EQ(election_.lease_expiry(), resigned);
   tick_after(0);
   EXPECT_EQ(answer(ok()).kind, KvRequest::Kind::Revoke);
@@ -262,13 +262,14 @@
 
 TEST_F(Election, AHigherEpochOfALeaderEndsTheLeadership) {
   become_leader();
-  election_.note_epoch(9, false);  // the peer doesn't lead under it, so this lease still holds
-  election_.note_epoch(7, true);
+  election_.observe_peer_epoch(9,
+                               false);  // the peer doesn't lead under it, so this lease still holds
+  election_.observe_peer_epoch(7, true);
   EXPECT_TRUE(election_.is_leader());
   EXPECT_EQ(election_.epoch(), 7U);
-  election_.note_epoch(8, true);
+  election_.observe_peer_epoch(8, true);
   EXPECT_EQ(step_downs_, (StepDowns{{StepDownCause::HigherEpochAtPeer, true}}));
-  election_.note_epoch(8, true);
+  election_.observe_peer_epoch(8, true);
   EXPECT_EQ(election_.epoch(), 8U);
 }
 
--- a/tests/production/production_controller.cpp
+++ b/tests/production/production_controller.cpp
@@ -135,11 +135,11 @@
           return old::UserRequest{translate(in.source), static_cast<old::UserOp>(in.op), in.id,
                                   in.body};
         } else if constexpr (std::is_same_v<T, HeartbeatReceived>) {
-          return old::WorkerReport{translate(in.source), translate(in.heartbeat), in.raw};
+          return old::WorkerReport{translate(in.source), translate(in.heartbeat), in.encoded};
         } else if constexpr (std::is_same_v<T, KvResponseReceived>) {
-          return old::StateAnswer{in.call, translate(in.reply)};
+          return old::StateAnswer{in.call, translate(in.response)};
         } else if constexpr (std::is_same_v<T, CloudResponseReceived>) {
-          return old::CloudAnswer{in.call, translate(in.reply)};
+          return old::CloudAnswer{in.call, translate(in.response)};
         } else if constexpr (std::is_same_v<T, WorkerResponseReceived>) {
           old::WorkerAnswer out{in.call, in.status, {}};
           if (in.heartbeat) out.report = translate(*in.heartbeat);
@@ -198,7 +198,7 @@
           return CallWorker{old_action.call, old_action.address, old_action.body,
                             old_action.timeout_ms, old_action.valid_until};
         else if constexpr (std::is_same_v<T, old::SendPeer>)
-          return SendPeer{old_action.sibling, translate(old_action.message)};
+          return SendToPeer{old_action.sibling, translate(old_action.message)};
         else if constexpr (std::is_same_v<T, old::ArmTimer>)
           return ArmTimer{old_action.in_ms};
         else
--- a/tests/support/behaviour_digest.cpp
+++ b/tests/support/behaviour_digest.cpp
@@ -72,17 +72,17 @@
   add_number(call.valid_until);
 }
 
-void BehaviourDigest::add_action(const SendPeer& message) {
+void BehaviourDigest::add_action(const SendToPeer& message) {
   add_number(static_cast<std::uint64_t>(message.peer));
   add_bytes(encode_peer(message.message));
 }
 
-void BehaviourDigest::add_action(const SendRegion& message) {
+void BehaviourDigest::add_action(const SendToRegion& message) {
   add_number(static_cast<std::uint64_t>(message.region));
   add_bytes(encode_region_message(message.message));
 }
 
-void BehaviourDigest::add_action(const ArmTimer& timer) { add_number(timer.in_ms); }
+void BehaviourDigest::add_action(const ArmTimer& timer) { add_number(timer.delay_ms); }
 
 void BehaviourDigest::add_action(const Log& line) {
   ++log_lines_[static_cast<std::size_t>(line.level)];
--- a/tests/support/behaviour_digest.hpp
+++ b/tests/support/behaviour_digest.hpp
@@ -35,8 +35,8 @@
   void add_action(const CallKvStore& call);
   void add_action(const CallCloud& call);
   void add_action(const CallWorker& call);
-  void add_action(const SendPeer& message);
-  void add_action(const SendRegion& message);
+  void add_action(const SendToPeer& message);
+  void add_action(const SendToRegion& message);
   void add_action(const ArmTimer& timer);
   void add_action(const Log& line);
   void add_bytes(const std::string& bytes);
--- a/tools/scale/remote_controller.cpp
+++ b/tools/scale/remote_controller.cpp
@@ -15,7 +15,7 @@
 
 std::vector<Action> RemoteController::step(Clock, Input input) {
   if (const auto* heartbeat = std::get_if<HeartbeatReceived>(&input))
-    sockets_.send_heartbeat(heartbeat->heartbeat.machine, address_, heartbeat->raw,
+    sockets_.send_heartbeat(heartbeat->heartbeat.machine, address_, heartbeat->encoded,
                             response_callback(heartbeat->source));
   else if (const auto* request = std::get_if<UserRequest>(&input))
     sockets_.send_user_request(address_, *request, response_callback(request->source));
