--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -181,7 +181,7 @@
     const MachineKind kind{machine->type, machine->spot};
     ++supply.by_zone[kind][machine->zone];
     if (!machine->heard_in_epoch && !zone_unreachable(machine->zone) &&
-        clock_.now - machine->launched < ms(type->boot_s * kLateBoot)) {
+        clock_.now - machine->launched < ms(type->boot_s * kLateBootFactor)) {
       supply.coming[kind] += 1;
       supply.coming_in_zone[{kind, machine->zone}] += 1;
     }
@@ -495,7 +495,8 @@
     if (type == nullptr) continue;
     if (!machine.heard_in_epoch) {
       if (!machine.recorded || !reconciling_)
-        if (now - machine.launched > ms(type->boot_s * kFailedBootRatio) && now >= expiry(machine))
+        if (now - machine.launched > ms(type->boot_s * kFailedBootRatio) &&
+            now >= machine_lease_expiry(machine))
           terminate_instance(machine, TerminationCause::NeverStarted);
       continue;
     }
@@ -509,7 +510,7 @@
         now - machine.idle_since < ms(type->boot_s * options_.idle_ratio))
       continue;
     if (!machine.spot) {
-      if (!spare(on_demand, machine)) continue;
+      if (!is_surplus(on_demand, machine)) continue;
       on_demand.size -= machine.size;
     }
     terminate_instance(machine, TerminationCause::Idle);
@@ -518,7 +519,7 @@
 }
 
 // Returns whether the other on-demand machines still provide the headroom that has to remain.
-bool Controller::spare(const OnDemandCapacity& on_demand, const Machine& machine) const {
+bool Controller::is_surplus(const OnDemandCapacity& on_demand, const Machine& machine) const {
   const auto& [size, used] = on_demand;
   const double required_ratio = 1 + kScaleInHeadroomRatio * options_.headroom_ratio;
   return size.gpus - machine.size.gpus >= used.gpus * required_ratio &&
@@ -572,7 +573,7 @@
   // too slow when demand fell and hundreds of machines had to be drained.
   for (Machine* machine : machines_to_drain()) {
     if (draining_machines > usable_machines / kUsableMachinesPerDraining) break;
-    if (!spare(on_demand, *machine) || !drain_machine(*machine, under_way, failed_migrations))
+    if (!is_surplus(on_demand, *machine) || !drain_machine(*machine, under_way, failed_migrations))
       continue;
     on_demand.size -= machine->size;
     ++draining_machines;
@@ -628,7 +629,7 @@
     const ResourceRequest want = resource_request_of(spec);
     if (std::any_of(failed_migrations.begin(), failed_migrations.end(),
                     [&](const FailedMigration& failed) {
-                      return failed.image == spec.image && want.as_much_as(failed.want);
+                      return failed.image == spec.image && want.needs_at_least(failed.want);
                     }))
       return false;
     Machine* target = warm_room(attempt, machine, under_way, plan);
@@ -636,7 +637,7 @@
       // Similar replicas on other machines have no target either, with these exceptions: this
       // machine has room for them, or the migrations planned above take the room, or constraints on
       // the job's zones exclude targets that other jobs may use.
-      const bool room_here = spec.need.fits_in(room_beside(under_way, machine));
+      const bool room_here = spec.need.fits_in(unreserved_room(under_way, machine));
       if (plan.empty() && !room_here && !spec.spread && !spec.one_zone)
         failed_migrations.push_back({want, spec.image});
       return false;
@@ -675,7 +676,7 @@
           // The cloud has confirmed the termination. This proves that none of the machine's tasks
           // runs any more.
           if (Machine* machine = tables_.machine(name))
-            machine_gone(*machine, IncarnationLossCause::Terminated);
+            handle_machine_gone(*machine, IncarnationLossCause::Terminated);
         }
       },
       CloudBudget::Full);
--- a/src/controller/checkpoint_outcomes.cpp
+++ b/src/controller/checkpoint_outcomes.cpp
@@ -53,7 +53,7 @@
   if (!job.orphans.empty()) return;
   job.record.final = true;
   checkpoint_.mark_changed(job);
-  if (job.record.phase == Phase::Active) cancel_over(job);
+  if (job.record.phase == Phase::Active) finish_cancellation(job);
   if (job.spec().tasks > kInlineBits)
     for (std::size_t i = 0; i * kSmallPieceBits < job.spec().tasks; ++i) job.dirty_pieces.insert(i);
 }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -80,7 +80,7 @@
   const Time now = clock_.now;
   if (now >= next_heartbeat_) send_heartbeats();
   const bool elected = election_.is_leader() || election_.role() == Role::Loading;
-  if (elected ? holds_valid_lease(now) : peers_.leader(now).has_value()) last_path_ = now;
+  if (elected ? holds_valid_lease(now) : peers_.leader(now).has_value()) last_healthy_at_ = now;
   if (election_.is_leader() && next_attempt_ > options_.attempts_per_epoch)
     return election_.resign(StepDownCause::AttemptNumbersUsedUp);
   election_.tick();
@@ -136,12 +136,12 @@
   const auto summary = event_loop_lag_.fired(clock_.now);
   if (!summary) return;
   outbox_.log(Log::Level::Warning, LogEvent::ProcessorLimit,
-              {{"limit", "cpu"}, {"late_ms", summary->mean}, {"most_ms", summary->most}});
+              {{"limit", "cpu"}, {"late_ms", summary->mean}, {"most_ms", summary->max}});
 }
 
 bool Controller::healthy(Time now) const {
   // A short gap, such as a failover, doesn't justify removal from the load balancer's list.
-  if (now - last_path_ < worker_lease() / 2) return true;
+  if (now - last_healthy_at_ < worker_lease() / 2) return true;
   // If no peer is better connected, as in an outage of the key-value store, removal from the list
   // helps nobody: it only leaves users without any controller for seconds after the outage ends.
   bool heard = false;
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -70,18 +70,18 @@
  private:
   // controller.cpp
   void handle(const Tick&) { tick(); }
-  void handle(const UserRequest& input) { user_request(input); }
+  void handle(const UserRequest& input) { handle_user_request(input); }
   void handle(const HeartbeatReceived& input) { handle_heartbeat(input); }
   void handle(const KvResponseReceived& input) { outbox_.handle(input); }
   void handle(const CloudResponseReceived& input) { outbox_.handle(input); }
   void handle(const WorkerResponseReceived& input) { outbox_.handle(input); }
   void handle(const PeerMessageReceived& input);
   void handle(const PeerDisconnected& input);
-  void handle(const RegionMessageReceived& input) { region_input(input); }
+  void handle(const RegionMessageReceived& input) { handle_region_message(input); }
   void tick();
   void check_event_loop_lag();
   /// Responses that carry commands or job states must not be sent at or after this time.
-  [[nodiscard]] Time command_until() const { return election_.lease_expiry(); }
+  [[nodiscard]] Time commands_valid_until() const { return election_.lease_expiry(); }
   [[nodiscard]] Time heartbeat_interval() const {
     return ms(settings_.workers.heartbeat_interval_s);
   }
@@ -98,11 +98,11 @@
   void send_heartbeats();
 
   // intake.cpp
-  void user_request(const UserRequest& request);
+  void handle_user_request(const UserRequest& request);
   void lead_submit(const UserRequest& request);
   void lead_query(const UserRequest& request);
   void lead_cancel(const UserRequest& request);
-  void cancel_over(Job& job);
+  void finish_cancellation(Job& job);
   [[nodiscard]] Time cancel_wait() const;
   [[nodiscard]] bool stops_at_once(const Job& job) const;
   void reject_cancel_waits(const std::string& id);
@@ -135,7 +135,7 @@
 
   // share_moves.cpp
   void share_tick();
-  void region_input(const RegionMessageReceived& input);
+  void handle_region_message(const RegionMessageReceived& input);
   void perform_share_actions(std::vector<federation::ShareAction> actions);
   void stop_beyond_cap(const std::string& name, Priority below);
 
@@ -150,7 +150,7 @@
   void load_machines(const Snapshot& checkpoint);
   void reconcile();
   void probe_machine(Machine& target);
-  void inquire_if_due(Machine& machine);
+  void probe_if_due(Machine& machine);
   [[nodiscard]] bool awaits_reconciliation(const Machine& machine) const;
   void probe_tick();
 
@@ -175,25 +175,25 @@
   void begin_incarnation(Machine& m);
   void note_address(Machine& m, const std::string& address);
   void record_heartbeat(Machine& m, const Heartbeat& r);
-  void take_notice(Machine& m, double notice_s);
+  void handle_spot_notice(Machine& m, double notice_s);
 
   // task_status_handler.cpp
   void handle_missing_task(Machine& m, std::size_t index, std::uint64_t heartbeat_seq, bool direct);
   void drop(Machine& m, std::size_t index);
   void drop_unsent(Machine& m);
   void quarantine(Machine& m, QuarantineCause cause);
-  void incarnation_lost(Machine& m, IncarnationLossCause cause);
-  void take_task(Machine& m, const TaskStatus& t, std::vector<bool>& seen);
+  void handle_incarnation_loss(Machine& m, IncarnationLossCause cause);
+  void apply_task_status(Machine& m, const TaskStatus& t, std::vector<bool>& seen);
   TaskAttempt& adopt_attempt(Machine& m, const TaskStatus& t);
   TaskAttempt& add_orphan(Machine& m, const TaskStatus& t, Job* job);
-  void task_state(Machine& m, TaskAttempt& p, AttemptState state);
-  void task_exited(Machine& m, TaskAttempt& p);
-  void task_failed(Job& job, Machine& m);
+  void update_attempt_state(Machine& m, TaskAttempt& p, AttemptState state);
+  void handle_task_exit(Machine& m, TaskAttempt& p);
+  void handle_task_error(Job& job, Machine& m);
   void check_for_fault(Machine& m);
   std::vector<Command> commands_for(Machine& m, std::uint64_t heartbeat_seq);
   static std::string zones_known(const Job& job);
-  void machine_gone(Machine& m, IncarnationLossCause cause);
-  void note_finished(Job& job, std::uint32_t index, const Machine& m);
+  void handle_machine_gone(Machine& m, IncarnationLossCause cause);
+  void record_completed_task(Job& job, std::uint32_t index, const Machine& m);
 
   // image_fetches.cpp
   void note_image(Machine& m, const JobSpec& spec);
@@ -219,7 +219,7 @@
 
   // keepalive.cpp
   [[nodiscard]] Time keep_alive_span() const;
-  [[nodiscard]] Time expiry(const Machine& machine) const;
+  [[nodiscard]] Time machine_lease_expiry(const Machine& machine) const;
   void forward_heartbeat(const HeartbeatReceived& input);
   bool redirect_to_own_zone(const HeartbeatReceived& input);
   [[nodiscard]] std::optional<std::size_t> peer_in_zone(const std::string& zone);
@@ -239,7 +239,7 @@
     std::vector<std::string> types;
     /// True if this request needs at least as much as the other under the same constraints: no
     /// machine that lacks room for the other has room for this one.
-    [[nodiscard]] bool as_much_as(const ResourceRequest& o) const;
+    [[nodiscard]] bool needs_at_least(const ResourceRequest& o) const;
     bool operator==(const ResourceRequest&) const = default;
   };
   static ResourceRequest resource_request_of(const JobSpec& s) {
@@ -322,7 +322,7 @@
   [[nodiscard]] bool open(const Machine& m) const { return usable(m) && !m.draining; }
   using Reservations = std::unordered_map<const Machine*, Resources>;
   /// Returns a machine's free room minus the room that `promised` reserves on it.
-  [[nodiscard]] static Resources room_beside(const Reservations& promised, const Machine& m);
+  [[nodiscard]] static Resources unreserved_room(const Reservations& promised, const Machine& m);
   /// Returns the room that a machine will have once the tasks being stopped or migrated away are
   /// gone, minus the current pass's reservations.
   [[nodiscard]] Resources room_to_come(const Machine& m) const;
@@ -330,7 +330,7 @@
   /// earlier may succeed now.
   void forget_failures();
   using Queues = std::array<std::vector<Job*>, kPriorities>;
-  [[nodiscard]] Queues note_guarantees();
+  [[nodiscard]] Queues mark_guaranteed_jobs();
   void queue_order(std::vector<Job*>& jobs) const;
   [[nodiscard]] bool never_all_at_once(const JobSpec& spec) const;
   /// Returns why no task of the job, or not all tasks of a gang at once, could ever run; empty if
@@ -358,7 +358,7 @@
   [[nodiscard]] Time starved_after() const;
   bool hold_machines(const Job& job, std::uint32_t missing, const std::string& zone);
   /// After this multiple of its type's boot time, a booting machine no longer counts as supply.
-  static constexpr double kLateBoot = 1.3;
+  static constexpr double kLateBootFactor = 1.3;
   [[nodiscard]] std::string zone_to_scale_out_in(const Job& job, const std::string& best) const;
   /// Stops a task and, if it belongs to a gang, all other tasks of the gang.
   void stop_with_gang(TaskAttempt& p, double grace_s);
@@ -457,7 +457,7 @@
   [[nodiscard]] std::vector<Machine*> machines_to_drain() const;
   bool drain_machine(Machine& m, Reservations& under_way,
                      std::vector<FailedMigration>& failed_migrations);
-  [[nodiscard]] bool spare(const OnDemandCapacity& on_demand, const Machine& m) const;
+  [[nodiscard]] bool is_surplus(const OnDemandCapacity& on_demand, const Machine& m) const;
   /// Maps each image to the machines that hold it, ordered by machine name.
   using ImageHolders = std::unordered_map<std::string, std::vector<Machine*>>;
   const ImageHolders& image_holders();
@@ -480,7 +480,7 @@
 
   // leadership
   Time next_heartbeat_ = 0;
-  Time last_path_ = 0;  // last time this controller led, knew a leader or read the checkpoint
+  Time last_healthy_at_ = 0;  // last time this controller led, knew a leader or read the checkpoint
   const std::uint64_t incarnation_;  // random number that identifies this process
   PeerTable peers_;
   LeaderElection election_;
--- a/src/controller/event_loop_lag.hpp
+++ b/src/controller/event_loop_lag.hpp
@@ -16,7 +16,7 @@
  public:
   /// The mean and the maximum lag (ms) of the late firings in a window.
   struct LagSummary {
-    Time mean = 0, most = 0;
+    Time mean = 0, max = 0;
   };
 
   /// A firing counts as late if it comes `late_limit` or more after it was due. Each window lasts
--- a/src/controller/failure_detection.cpp
+++ b/src/controller/failure_detection.cpp
@@ -67,7 +67,7 @@
 void Controller::watch_machine(Machine& machine, bool few_are_silent) {
   const Time now = clock_.now;
   if (!machine.heard_in_epoch) {
-    if (machine.recorded && machine.listed_running && now >= expiry(machine))
+    if (machine.recorded && machine.listed_running && now >= machine_lease_expiry(machine))
       terminate_instance(machine, TerminationCause::UnheardSinceFailover);
     return;
   }
@@ -81,14 +81,14 @@
                  {"zone", machine.zone},
                  {"incarnation", machine.incarnation},
                  {"heard_ms", now - machine.last_heartbeat},
-                 {"lease_ms", expiry(machine) - now}});
+                 {"lease_ms", machine_lease_expiry(machine) - now}});
   }
-  if (!machine.silent || now < expiry(machine)) return;
+  if (!machine.silent || now < machine_lease_expiry(machine)) return;
   machine.incarnation_fence.close(machine.incarnation, now);
-  incarnation_lost(machine, IncarnationLossCause::LeaseExpired);
+  handle_incarnation_loss(machine, IncarnationLossCause::LeaseExpired);
   // When many machines are silent, the network is more likely to be at fault. The machines may come
   // back with their tasks and images, so they get a little more time.
-  if (few_are_silent || now >= expiry(machine) + 2 * worker_lease())
+  if (few_are_silent || now >= machine_lease_expiry(machine) + 2 * worker_lease())
     terminate_instance(machine, TerminationCause::LeaseExpired);
 }
 
@@ -152,7 +152,7 @@
           zone.silent == 1 || zone.silent * kMinMachinesPerDeadMachine <= zone.up;
       if (reached_at <= machine->probe_failed && few_of_zone) terminate_instance(*machine, cause);
     } else {
-      inquire_if_due(*zone.responder);
+      probe_if_due(*zone.responder);
     }
   }
 }
--- a/src/controller/gang_scheduling.cpp
+++ b/src/controller/gang_scheduling.cpp
@@ -159,7 +159,7 @@
   std::vector<Machine*> machines;
   for (Machine* machine : rankings_.machines())
     if (open(*machine) && tables_.allowed(job, *machine) &&
-        job.spec().need.fits_in(room_beside(reservations_, *machine)))
+        job.spec().need.fits_in(unreserved_room(reservations_, *machine)))
       machines.push_back(machine);
   return machines;
 }
@@ -168,7 +168,7 @@
 // the machine is penalized for GPUs that would be left without the CPUs to use them.
 GangCandidate Controller::gang_candidate(const Job& job, const Machine& machine) const {
   const JobSpec& spec = job.spec();
-  const Resources room = room_beside(reservations_, machine);
+  const Resources room = unreserved_room(reservations_, machine);
   GangCandidate candidate{machine.zone, capped_task_slots(room, spec.need, job.queued), 0};
   candidate.delay_s = heartbeat_due_s(machine) + fetch_s(job, machine);
   if (job.error_machines.contains(machine.name)) candidate.delay_s += kFailedMachinePenaltyS;
@@ -248,7 +248,7 @@
 Time Controller::starved_after() const {
   double boot_s = 0;
   for (const MachineType& type : tables_.types) boot_s = std::max(boot_s, type.boot_s);
-  return worker_lease() + ms(kLateBoot * boot_s);
+  return worker_lease() + ms(kLateBootFactor * boot_s);
 }
 
 // Reserves the free room of the emptiest machines that will have room for the missing tasks once
@@ -268,7 +268,7 @@
     if (!open(*machine) || !tables_.allowed(job, *machine) ||
         (!zone.empty() && machine->zone != zone))
       continue;
-    const Resources room = room_beside(reservations_, *machine);
+    const Resources room = unreserved_room(reservations_, *machine);
     Resources future_room = room;
     for (const TaskAttempt& attempt : machine->attempts)
       if (attempt.held && attempt.job != nullptr && attempt.job->spec().kind != JobKind::Service)
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -34,7 +34,7 @@
   machine->answered = now;
   const auto commands = commands_for(*machine, heartbeat.seq);
   outbox_.respond(input.source, 200, encode_heartbeat_response(election_.epoch(), commands), 0,
-                  command_until());
+                  commands_valid_until());
 }
 
 // Keeps the worker's tasks alive for a bounded time while this controller can't tell whether it
@@ -63,7 +63,7 @@
     // certainly expired. Otherwise reconciliation would wait for it as long as such heartbeats
     // arrive.
     if (machine->fencing_token_refused_since == 0) machine->fencing_token_refused_since = now;
-    if (now >= expiry(*machine)) {
+    if (now >= machine_lease_expiry(*machine)) {
       machine->lease_passed = true;
       machine->fencing_token_refused_since = now;
     } else if (now - machine->fencing_token_refused_since > worker_lease() / 2) {
@@ -72,7 +72,7 @@
   }
   if (machine != nullptr) machine->answered = now;
   outbox_.respond(input.source, 200, encode_heartbeat_response(election_.epoch(), {}), 0,
-                  command_until());
+                  commands_valid_until());
 }
 
 // Rejects a heartbeat of an incarnation that is proved to have ended. Without this check,
@@ -92,7 +92,7 @@
   if (!holds_valid_lease(clock_.now)) return;
   if (machine.address.empty()) machine.address = heartbeat.address;
   machine.probe_incarnation = std::max(machine.probe_incarnation, heartbeat.incarnation);
-  inquire_if_due(machine);
+  probe_if_due(machine);
 }
 
 // True if the heartbeat shows tasks although its machine isn't known. Starts are sent only to
@@ -137,13 +137,14 @@
   record_heartbeat(machine, heartbeat);
 
   std::vector<bool> reported(machine.attempts.size(), false);
-  for (const TaskStatus& status : heartbeat.tasks) take_task(machine, status, reported);
+  for (const TaskStatus& status : heartbeat.tasks) apply_task_status(machine, status, reported);
   for (std::size_t i = reported.size(); i-- > 0;)
     if (!reported[i]) handle_missing_task(machine, i, heartbeat.seq, sent_at.has_value());
   // The check for faults follows the task statuses, because cordoning the machine changes its list
   // of attempts.
   if (!machine.error_jobs.empty()) check_for_fault(machine);
-  if (heartbeat.notice_s && machine.notice_until == 0) take_notice(machine, *heartbeat.notice_s);
+  if (heartbeat.notice_s && machine.notice_until == 0)
+    handle_spot_notice(machine, *heartbeat.notice_s);
   if (machine.empty() && machine.idle_since == 0) machine.idle_since = clock_.now;
   if (!machine.empty()) machine.idle_since = 0;
   return HeartbeatOutcome::Taken;
@@ -174,7 +175,7 @@
   const Time now = clock_.now;
   if (now - machine.answered < worker_lease() / 2 && now - machine.steady_since > worker_lease())
     quarantine(machine, QuarantineCause::ReceivesNothing);
-  incarnation_lost(machine, IncarnationLossCause::NewIncarnation);
+  handle_incarnation_loss(machine, IncarnationLossCause::NewIncarnation);
 }
 
 // Notes the machine's address, and has a machine that isn't in the checkpoint recorded there.
@@ -197,7 +198,8 @@
   // its old lease still counted. A full lease is assumed only once until the machine sends a
   // heartbeat itself, so that a machine whose heartbeats reach no controller is terminated
   // eventually.
-  const bool lease_unknown = heartbeat.incarnation > machine.incarnation || now >= expiry(machine);
+  const bool lease_unknown =
+      heartbeat.incarnation > machine.incarnation || now >= machine_lease_expiry(machine);
   if (!machine.heard_in_epoch || (lease_unknown && machine.last_own_heartbeat >= machine.answered))
     machine.answered = now;
   if (!machine.heard_in_epoch || now - machine.last_heartbeat > silent_after())
@@ -218,7 +220,7 @@
 
 // Handles a notice that the cloud will preempt the machine: the machine is cordoned, and tasks that
 // can save a checkpoint are stopped now so that they save one.
-void Controller::take_notice(Machine& machine, double notice_s) {
+void Controller::handle_spot_notice(Machine& machine, double notice_s) {
   machine.notice_until = clock_.now + ms(notice_s);
   cordon(machine, CordonCause::SpotNotice);
   for (TaskAttempt& attempt : machine.attempts)
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -21,7 +21,7 @@
 constexpr double kKvPageKb = 512;
 }  // namespace
 
-void Controller::user_request(const UserRequest& request) {
+void Controller::handle_user_request(const UserRequest& request) {
   if (holds_valid_lease(clock_.now)) {
     if (request.op == UserOp::Submit) return lead_submit(request);
     if (request.op == UserOp::Query) return lead_query(request);
@@ -71,7 +71,7 @@
 }
 
 void Controller::respond_with_job(const RequestSource& source, int status, const JobView& view) {
-  outbox_.respond(source, status, encode_job(view), 0, command_until());
+  outbox_.respond(source, status, encode_job(view), 0, commands_valid_until());
 }
 
 void Controller::lead_submit(const UserRequest& request) {
@@ -82,7 +82,8 @@
       return respond_with_job(request.source, 200, view(*id, found->second));
     if (const Job* job = tables_.job(*id)) return respond_committed(request.source, 200, *job);
   }
-  if (id && unknown_jobs_) return respond_unknown(request.source, unknown_jobs_, command_until());
+  if (id && unknown_jobs_)
+    return respond_unknown(request.source, unknown_jobs_, commands_valid_until());
   auto spec = decode_submission(request.body);
   if (!spec)
     return outbox_.respond(
@@ -124,7 +125,7 @@
   if (const auto found = tables_.finished.find(request.id); found != tables_.finished.end())
     return respond_with_job(request.source, 200, view(request.id, found->second));
   if (const Job* job = tables_.job(request.id)) return respond_committed(request.source, 200, *job);
-  respond_unknown(request.source, unknown_jobs_, command_until());
+  respond_unknown(request.source, unknown_jobs_, commands_valid_until());
 }
 
 void Controller::respond_unknown(const RequestSource& source, bool unreadable, Time valid_until) {
@@ -136,7 +137,7 @@
   if (const auto found = tables_.finished.find(request.id); found != tables_.finished.end())
     return respond_with_job(request.source, 200, view(request.id, found->second));
   Job* job = tables_.job(request.id);
-  if (job == nullptr) return respond_unknown(request.source, unknown_jobs_, command_until());
+  if (job == nullptr) return respond_unknown(request.source, unknown_jobs_, commands_valid_until());
   if (job->record.phase != Phase::Active) {
     if (job->record.phase == job->committed_phase)
       return respond_committed(request.source, 200, *job);
@@ -181,7 +182,7 @@
 // Marks the job as cancelled once no task of it is on a machine any more. An earlier response would
 // start the `cancel_s` period while some machines can't be reached, and tasks that a controller of
 // a partitioned zone keeps alive there would outlast it.
-void Controller::cancel_over(Job& job) {
+void Controller::finish_cancellation(Job& job) {
   job.record.phase = Phase::Cancelled;
   const auto waits = cancel_waits_.extract(job.spec().id);
   if (!waits) return;
@@ -334,7 +335,7 @@
 
 void Controller::finish_lookups(bool succeeded) {
   refreshing_ = false;
-  if (succeeded) last_path_ = snapshot_read_at_ = clock_.now;
+  if (succeeded) last_healthy_at_ = snapshot_read_at_ = clock_.now;
   const auto lookups = std::move(lookups_served_);
   lookups_served_.clear();
   for (const Lookup& lookup : lookups) {
--- a/src/controller/keepalive.cpp
+++ b/src/controller/keepalive.cpp
@@ -19,7 +19,7 @@
 // Returns the time by which the tasks on a machine have certainly ended, unless another of its
 // heartbeats is answered before. A peer's report of its latest answer to a worker may be as old as
 // the acknowledgement timeout, so that time is added to the worker's lease.
-Time Controller::expiry(const Machine& machine) const {
+Time Controller::machine_lease_expiry(const Machine& machine) const {
   const Time last_answer =
       std::max(machine.answered, peers_.latest_possible_keep_alive(clock_.now));
   const Time by_last_answer =
--- a/src/controller/peer_table.cpp
+++ b/src/controller/peer_table.cpp
@@ -67,7 +67,7 @@
   return relay_peers;
 }
 
-bool PeerTable::all_share_limits() const {
+bool PeerTable::all_support_quota_shares() const {
   return std::all_of(views_.begin(), views_.end(),
                      [](const PeerView& view) { return view.shares_limits; });
 }
--- a/src/controller/peer_table.hpp
+++ b/src/controller/peer_table.hpp
@@ -78,7 +78,7 @@
   /// since is assumed to come back with the same version or a later one.
   [[nodiscard]] bool all_understand_gangs() const;
   /// The same for quota shares between regions.
-  [[nodiscard]] bool all_share_limits() const;
+  [[nodiscard]] bool all_support_quota_shares() const;
   /// Returns the latest time (ms) at which any peer may have answered a worker's heartbeat by
   /// itself.
   [[nodiscard]] Time latest_possible_keep_alive(Time now) const;
--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -29,14 +29,14 @@
          clock_.now - machine.last_own_heartbeat <= silent_after();
 }
 
-Resources Controller::room_beside(const Reservations& reservations, const Machine& machine) {
+Resources Controller::unreserved_room(const Reservations& reservations, const Machine& machine) {
   Resources room = machine.room();
   if (const auto it = reservations.find(&machine); it != reservations.end()) room -= it->second;
   return room;
 }
 
 Resources Controller::room_to_come(const Machine& machine) const {
-  Resources room = room_beside(reservations_, machine);
+  Resources room = unreserved_room(reservations_, machine);
   for (const TaskAttempt& attempt : machine.attempts)
     if (attempt.held && (attempt.stop || attempt.migrating)) room += attempt.need;
   return room;
@@ -88,7 +88,7 @@
   return Infeasibility::NoMachineType;
 }
 
-bool Controller::ResourceRequest::as_much_as(const ResourceRequest& other) const {
+bool Controller::ResourceRequest::needs_at_least(const ResourceRequest& other) const {
   return each.cpus >= other.each.cpus && each.gpus >= other.each.gpus &&
          each.memory_gb >= other.each.memory_gb && spot == other.spot && zone == other.zone &&
          any_type == other.any_type && types == other.types;
@@ -96,7 +96,7 @@
 
 // Marks each job as guaranteed if it fits into its team's guaranteed quota together with the team's
 // earlier unfinished jobs. Returns the jobs that have tasks to place, by priority.
-Controller::Queues Controller::note_guarantees() {
+Controller::Queues Controller::mark_guaranteed_jobs() {
   Queues waiting;
   std::vector<Resources> totals(tables_.teams.size());
   for (auto& [order, job] : tables_.in_order) {
@@ -144,7 +144,7 @@
   unmet_demand_.clear();
   unmet_of_team_.clear();
   forget_failures();
-  Queues waiting_jobs = note_guarantees();
+  Queues waiting_jobs = mark_guaranteed_jobs();
   // For each resource, the smallest amount that a waiting job requests per task. This pass places
   // nothing on a machine with less room.
   std::optional<Resources> least_need;
@@ -196,7 +196,7 @@
     machine->open_index = machine->room_index = {};
     if (!open(*machine)) continue;
     preemption_rankings_.add(*machine);
-    if (!least_need->fits_in(room_beside(reservations_, *machine))) continue;
+    if (!least_need->fits_in(unreserved_room(reservations_, *machine))) continue;
     rankings_.add(*machine);
     machine->reserved.fill(0);
     for (const CachedImage& image : machine->images)
@@ -385,7 +385,7 @@
 MachineRating<Controller::BinPackingScore> Controller::bin_packing_score(
     const JobSpec& spec, const Machine& machine, bool may_queue_fetch) const {
   if (!open(machine)) return {};
-  const Resources room = room_beside(reservations_, machine);
+  const Resources room = unreserved_room(reservations_, machine);
   if (!spec.need.fits_in(room) || !tables_.suits(spec, machine)) return {};
   const double image_state = machine.has_image(spec.image)  ? 0
                              : machine.fetching(spec.image) ? 1
@@ -424,7 +424,7 @@
   const JobSpec& spec = job.spec();
   const ResourceRequest want = resource_request_of(spec);
   for (const ResourceRequest& failed : no_room_for_)
-    if (want.as_much_as(failed)) return nullptr;
+    if (want.needs_at_least(failed)) return nullptr;
   const auto rate = [this, spec, may_queue_fetch](const Machine& machine) {
     ++examined_;
     return bin_packing_score(spec, machine, may_queue_fetch);
--- a/src/controller/preemption.cpp
+++ b/src/controller/preemption.cpp
@@ -50,7 +50,7 @@
     if (stops.empty()) continue;
     outbox_.call_worker(
         machine->address, encode_direct(election_.epoch(), machine->incarnation, stops),
-        command_until(),
+        commands_valid_until(),
         [this, name = machine->name, sent = clock_.now](int status,
                                                         const std::optional<Heartbeat>& heartbeat) {
           if (status == 200 && heartbeat && heartbeat->machine == name &&
@@ -104,7 +104,7 @@
     if (failed.priority == spec.priority && failed.team == job.team &&
         failed.guaranteed == job.guaranteed &&
         (failed.image.empty() || (warm_only && failed.image == spec.image)) &&
-        want.as_much_as(failed.want))
+        want.needs_at_least(failed.want))
       return false;
   if (preempt_on_best_machine(job, warm_only, zone)) return true;
   // If the zones of a job's own tasks restrict it, its failure doesn't imply that other jobs fail.
@@ -273,7 +273,7 @@
   const JobSpec& spec = job.spec();
   const ResourceRequest want = resource_request_of(spec);
   for (const FailedMigration& failed : no_migration_for_)
-    if (failed.image == spec.image && want.as_much_as(failed.want)) return false;
+    if (failed.image == spec.image && want.needs_at_least(failed.want)) return false;
   Machine* best = nullptr;
   std::vector<PlannedMigration> best_plan;
   const auto holders = image_holders().find(spec.image);
@@ -347,7 +347,7 @@
     if (machine->zone == from.zone ? !tables_.type_allowed(spec, machine->type)
                                    : !tables_.allowed(*attempt.job, *machine))
       continue;
-    Resources room = room_beside(reservations, *machine);
+    Resources room = unreserved_room(reservations, *machine);
     for (const PlannedMigration& step : plan)
       if (step.to == machine) room -= step.attempt_record->need;
     if (spec.need.fits_in(room)) return machine;
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -209,7 +209,7 @@
 // leader's fencing token.
 bool Controller::awaits_reconciliation(const Machine& machine) const {
   return machine.recorded && !machine.heard_in_epoch && !machine.lease_passed &&
-         clock_.now < expiry(machine);
+         clock_.now < machine_lease_expiry(machine);
 }
 
 // Probes machines that aren't heard, in the order in which they became due: there may be fewer
@@ -221,15 +221,15 @@
   for (auto& [name, machine] : tables_.machines) {
     const bool awaited = reconciling_ && awaits_reconciliation(*machine);
     const bool silent = machine->heard_in_epoch && machine->silent && !machine->terminating &&
-                        clock_.now < expiry(*machine);
+                        clock_.now < machine_lease_expiry(*machine);
     if (awaited || silent) unheard.push_back(machine.get());
   }
   std::stable_sort(unheard.begin(), unheard.end(),
                    [](const Machine* a, const Machine* b) { return a->probe_at < b->probe_at; });
-  for (Machine* machine : unheard) inquire_if_due(*machine);
+  for (Machine* machine : unheard) probe_if_due(*machine);
 }
 
-void Controller::inquire_if_due(Machine& machine) {
+void Controller::probe_if_due(Machine& machine) {
   if (!machine.probing && clock_.now >= machine.probe_at) probe_machine(machine);
 }
 
@@ -244,7 +244,8 @@
   const Time sent = clock_.now;
   outbox_.call_worker(
       target.address, encode_direct(election_.epoch(), target.probe_incarnation, {}),
-      command_until(), [this, name, sent](int status, const std::optional<Heartbeat>& heartbeat) {
+      commands_valid_until(),
+      [this, name, sent](int status, const std::optional<Heartbeat>& heartbeat) {
         Machine* machine = tables_.machine(name);
         if (machine == nullptr) return;
         machine->probing = false;
--- a/src/controller/share_moves.cpp
+++ b/src/controller/share_moves.cpp
@@ -13,10 +13,10 @@
   // Tasks that are not known to this leader may run and count against the share. Until they can be
   // ruled out, no share may be given to another region.
   const bool complete = !reconciling_ && !unknown_jobs_ && !unknown_machines_;
-  perform_share_actions(quotas_.observe(clock_.now, complete, peers_.all_share_limits()));
+  perform_share_actions(quotas_.observe(clock_.now, complete, peers_.all_support_quota_shares()));
 }
 
-void Controller::region_input(const RegionMessageReceived& input) {
+void Controller::handle_region_message(const RegionMessageReceived& input) {
   if (!holds_valid_lease(clock_.now)) return;
   perform_share_actions(quotas_.handle_message(clock_.now, input.message));
   if (input.message.kind != RegionMessage::Kind::Demand) return;
--- a/src/controller/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -61,7 +61,7 @@
 }
 
 // Drops all attempts of a machine whose incarnation has certainly ended.
-void Controller::incarnation_lost(Machine& machine, IncarnationLossCause cause) {
+void Controller::handle_incarnation_loss(Machine& machine, IncarnationLossCause cause) {
   if (machine.attempts.empty()) return;
   outbox_.log(Log::Level::Info, LogEvent::IncarnationLost,
               {{"machine", machine.name},
@@ -77,8 +77,8 @@
   scheduling_needed_ = true;
 }
 
-void Controller::take_task(Machine& machine, const TaskStatus& status,
-                           std::vector<bool>& reported) {
+void Controller::apply_task_status(Machine& machine, const TaskStatus& status,
+                                   std::vector<bool>& reported) {
   TaskAttempt* attempt = machine.find(status.key, status.attempt);
   if (attempt != nullptr) {
     const auto index = static_cast<std::size_t>(attempt - machine.attempts.data());
@@ -89,16 +89,16 @@
   if (attempt->state == AttemptState::Exited) return;
   switch (status.state) {
     case RunState::Fetching:
-      return task_state(machine, *attempt, AttemptState::Fetching);
+      return update_attempt_state(machine, *attempt, AttemptState::Fetching);
     case RunState::Waiting:
-      return task_state(machine, *attempt, AttemptState::Waiting);
+      return update_attempt_state(machine, *attempt, AttemptState::Waiting);
     case RunState::Running:
-      return task_state(machine, *attempt, AttemptState::Running);
+      return update_attempt_state(machine, *attempt, AttemptState::Running);
     case RunState::Saving:
-      return task_state(machine, *attempt, AttemptState::Saving);
+      return update_attempt_state(machine, *attempt, AttemptState::Saving);
     case RunState::Exited:
       attempt->cause = status.cause;
-      return task_exited(machine, *attempt);
+      return handle_task_exit(machine, *attempt);
   }
 }
 
@@ -148,7 +148,7 @@
   return machine.attempts.back();
 }
 
-void Controller::task_state(Machine& machine, TaskAttempt& attempt, AttemptState state) {
+void Controller::update_attempt_state(Machine& machine, TaskAttempt& attempt, AttemptState state) {
   if (state == attempt.state) return;
   const auto is_running = [](AttemptState attempt_state) {
     return attempt_state == AttemptState::Running || attempt_state == AttemptState::Saving;
@@ -168,7 +168,7 @@
               {{"machine", machine.name}, {"task", attempt.key}, {"attempt", attempt.attempt}});
 }
 
-void Controller::note_finished(Job& job, std::uint32_t index, const Machine& machine) {
+void Controller::record_completed_task(Job& job, std::uint32_t index, const Machine& machine) {
   tables_.mark_done(job, index);
   // The tasks of a gang complete together, so one completed task completes all.
   for (std::uint32_t i = 0; is_gang(job) && i < job.spec().tasks; ++i) tables_.mark_done(job, i);
@@ -177,7 +177,7 @@
   checkpoint_.mark_task_finished(machine.name, job, index);
 }
 
-void Controller::task_exited(Machine& machine, TaskAttempt& attempt) {
+void Controller::handle_task_exit(Machine& machine, TaskAttempt& attempt) {
   const Time now = clock_.now;
   Job* job = attempt.job;
   Job* orphan_of = attempt.orphan_of;
@@ -215,7 +215,7 @@
       if (!attempt.exit_committed)
         checkpoint_.mark_task_finished(machine.name, *job, attempt.key.index);
     } else {
-      note_finished(*job, attempt.key.index, machine);
+      record_completed_task(*job, attempt.key.index, machine);
       if (task.machine != nullptr && task.machine != &machine)
         for (TaskAttempt& other : task.machine->attempts)
           if (other.job == job && other.key.index == attempt.key.index && other.held)
@@ -228,7 +228,7 @@
   attempt.exit_committed = true;
   switch (attempt.cause) {
     case ExitCause::Error:
-      task_failed(*job, machine);
+      handle_task_error(*job, machine);
       task.not_before = now + std::min<Time>(heartbeat_interval() * job->errors, worker_lease());
       outbox_.log(Log::Level::Info, LogEvent::TaskError,
                   {{"machine", machine.name}, {"task", attempt.key}, {"errors", job->errors}});
@@ -251,7 +251,7 @@
 // submitted with a mistake fails on every machine, while a faulty machine fails several jobs that
 // run elsewhere. Without this distinction, two jobs with a mistake would cause every machine that
 // they run on to be terminated.
-void Controller::task_failed(Job& job, Machine& machine) {
+void Controller::handle_task_error(Job& job, Machine& machine) {
   ++job.errors;
   job.error_machines.insert(machine.name);
   if (!job.suspect()) {
@@ -347,10 +347,10 @@
 }
 
 // Removes a machine whose termination the cloud has confirmed.
-void Controller::machine_gone(Machine& machine, IncarnationLossCause cause) {
+void Controller::handle_machine_gone(Machine& machine, IncarnationLossCause cause) {
   outbox_.log(Log::Level::Info, LogEvent::MachineGone,
               {{"machine", machine.name}, {"cause", cause}});
-  incarnation_lost(machine, cause);
+  handle_incarnation_loss(machine, cause);
   if (machine.recorded || machine.record_dirty) checkpoint_.mark_machine_changed(machine.name);
   reservations_.erase(&machine);
   scheduling_needed_ = true;
--- a/tests/slow_processor_test.cpp
+++ b/tests/slow_processor_test.cpp
@@ -240,7 +240,7 @@
   ASSERT_GT(summaries.size(), 2U);
   for (const EventLoopLag::LagSummary& summary : summaries) {
     EXPECT_NEAR(static_cast<double>(summary.mean), 300, 2);
-    EXPECT_EQ(summary.most, 350);
+    EXPECT_EQ(summary.max, 350);
   }
 }
 
