--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -471,7 +471,7 @@
   machine.cordon_cause = cause;
   outbox_.log(Log::Level::Info, LogEvent::MachineCordoned,
               {{"machine", machine.name}, {"cause", cause}});
-  drop_unsent(machine);
+  drop_unsent_on_machine(machine);
   if (cause == CordonCause::Faulty)
     for (TaskAttempt& attempt : machine.attempts)
       if (attempt.held && attempt.job != nullptr) stop_with_gang(attempt, grace_for(*attempt.job));
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -50,7 +50,7 @@
   peers_.mark_disconnected(input.peer);
   for (auto& [call, forwarded] : forwarded_)
     if (forwarded.peer == input.peer) forwarded.until = clock_.now;
-  intake_tick();
+  user_request_tick();
 }
 
 // The order matters: leadership is updated first, then the state of machines. Whatever sends
@@ -58,7 +58,7 @@
 void Controller::tick() {
   check_event_loop_lag();
   leadership_tick();
-  intake_tick();
+  user_request_tick();
   if (election_.is_leader()) {
     reconcile();
     machine_tick();
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -103,18 +103,18 @@
   void lead_query(const UserRequest& request);
   void lead_cancel(const UserRequest& request);
   void finish_cancellation(Job& job);
-  [[nodiscard]] Time cancel_wait() const;
-  [[nodiscard]] bool stops_at_once(const Job& job) const;
+  [[nodiscard]] Time cancel_response_timeout() const;
+  [[nodiscard]] bool can_stop_promptly(const Job& job) const;
   void reject_cancel_waits(const std::string& id);
   std::optional<std::size_t> relaying_peer();
   void forward(const RequestSource& source, UserOp op, const std::string& id, std::string body,
                std::size_t peer, std::uint64_t fencing_token = 0, bool relay = false);
   void handle_peer_response(std::size_t peer, const PeerResponse& response);
-  void intake_tick();
-  void look_up(const RequestSource& source, const std::string& id);
+  void user_request_tick();
+  void look_up_in_checkpoint(const RequestSource& source, const std::string& id);
   void respond_unknown(const RequestSource& source, bool unreadable, Time valid_until);
-  void refresh();
-  void refresh_list(const std::string& from, std::uint64_t revision);
+  void refresh_snapshot();
+  void list_snapshot_keys(const std::string& from, std::uint64_t revision);
   void finish_lookups(bool ok);
   [[nodiscard]] JobView view(const Job& job) const;
   [[nodiscard]] JobView view(const std::string& id, const FinishedJob& job) const;
@@ -173,14 +173,14 @@
   [[nodiscard]] bool unknown_with_tasks(const Heartbeat& heartbeat);
   void apply_first_heartbeat(Machine& m, const Heartbeat& r);
   void begin_incarnation(Machine& m);
-  void note_address(Machine& m, const std::string& address);
+  void record_address(Machine& m, const std::string& address);
   void record_heartbeat(Machine& m, const Heartbeat& r);
   void handle_spot_notice(Machine& m, double notice_s);
 
   // task_status_handler.cpp
   void handle_missing_task(Machine& m, std::size_t index, std::uint64_t heartbeat_seq, bool direct);
-  void drop(Machine& m, std::size_t index);
-  void drop_unsent(Machine& m);
+  void drop_attempt(Machine& m, std::size_t index);
+  void drop_unsent_on_machine(Machine& m);
   void quarantine(Machine& m, QuarantineCause cause);
   void handle_incarnation_loss(Machine& m, IncarnationLossCause cause);
   void apply_task_status(Machine& m, const TaskStatus& t, std::vector<bool>& seen);
@@ -196,9 +196,9 @@
   void record_completed_task(Job& job, std::uint32_t index, const Machine& m);
 
   // image_fetches.cpp
-  void note_image(Machine& m, const JobSpec& spec);
-  void note_fetch_begun(Machine& m, const JobSpec& spec);
-  void note_fetch_ended(Machine& m, const std::string& image);
+  void record_image_held(Machine& m, const JobSpec& spec);
+  void record_fetch_started(Machine& m, const JobSpec& spec);
+  void record_fetch_finished(Machine& m, const std::string& image);
   [[nodiscard]] std::size_t fetch_limit() const;
 
   // failure_detection.cpp
@@ -209,11 +209,11 @@
   };
   void machine_tick();
   [[nodiscard]] FleetContact fleet_contact() const;
-  [[nodiscard]] bool workers_lost(const FleetContact& contact) const;
+  [[nodiscard]] bool lost_contact_with_workers(const FleetContact& contact) const;
   void watch_machine(Machine& m, bool few_are_silent);
   [[nodiscard]] Time silent_after() const;
   [[nodiscard]] Time unheard_after() const;
-  [[nodiscard]] static bool few_silent(std::size_t silent, std::size_t of);
+  [[nodiscard]] static bool machines_likely_at_fault(std::size_t silent, std::size_t of);
   void detect_dead_machines();
   [[nodiscard]] bool zone_unreachable(const std::string& zone) const;
 
@@ -505,7 +505,7 @@
   };
   /// Handles a forwarded request that the peer has not answered in time, or whose response is no
   /// longer valid.
-  void time_out(const Forwarded& f);
+  void handle_forward_timeout(const Forwarded& f);
   std::map<std::uint64_t, Forwarded> forwarded_;
   std::uint64_t next_forward_ = 1;
   /// The checkpoint as a follower reads it for queries, and as a new leader is loading it.
--- a/src/controller/failure_detection.cpp
+++ b/src/controller/failure_detection.cpp
@@ -13,14 +13,14 @@
 
 // True if so few machines are silent that the machines are likely to be at fault, and not the
 // network.
-bool Controller::few_silent(std::size_t silent, std::size_t total) {
+bool Controller::machines_likely_at_fault(std::size_t silent, std::size_t total) {
   return silent <= std::max<std::size_t>(2, total / 10) && (silent < total || total == 1);
 }
 
 void Controller::machine_tick() {
   const FleetContact contact = fleet_contact();
-  if (workers_lost(contact)) return election_.resign(StepDownCause::NoWorkerReachable);
-  const bool few_are_silent = few_silent(contact.silent, contact.up);
+  if (lost_contact_with_workers(contact)) return election_.resign(StepDownCause::NoWorkerReachable);
+  const bool few_are_silent = machines_likely_at_fault(contact.silent, contact.up);
   for (auto& [name, machine] : tables_.machines) watch_machine(*machine, few_are_silent);
   // This comes before the inquiries to silent machines, because it sends an inquiry to one
   // responding machine of each zone. With few sockets, inquiries to machines that don't respond
@@ -50,7 +50,7 @@
 // key-value store, once kept its lease while every task died (recorded incident on
 // tbilisi-listings). If no peer hears this controller either, it resigns even if up to a quarter of
 // the workers still get through.
-bool Controller::workers_lost(const FleetContact& contact) const {
+bool Controller::lost_contact_with_workers(const FleetContact& contact) const {
   const Time now = clock_.now;
   if (!holds_valid_lease(now) || settings_.peers.empty() || contact.up <= 1 ||
       now - election_.elected_at() <= unheard_after())
@@ -75,7 +75,7 @@
   if (!machine.silent && now - machine.last_heartbeat > silent_after()) {
     machine.silent = true;
     machine.silent_since = now;
-    drop_unsent(machine);
+    drop_unsent_on_machine(machine);
     outbox_.log(Log::Level::Info, LogEvent::MachineSilent,
                 {{"machine", machine.name},
                  {"zone", machine.zone},
@@ -130,7 +130,7 @@
   }
   for (const auto& [name, zone] : zones)
     if (zone.responder == nullptr && zone.up > 1) zone_unreachable_at_[name] = clock_.now;
-  const bool few_are_silent = few_silent(all_silent, all_up);
+  const bool few_are_silent = machines_likely_at_fault(all_silent, all_up);
   for (auto& [name, machine] : tables_.machines) {
     if (machine->terminating || machine->zone.empty() || !is_silent(*machine) ||
         machine->probe_failures < 2)
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -133,7 +133,7 @@
     apply_first_heartbeat(machine, heartbeat);
   else if (heartbeat.incarnation > machine.incarnation)
     begin_incarnation(machine);
-  note_address(machine, heartbeat.address);
+  record_address(machine, heartbeat.address);
   record_heartbeat(machine, heartbeat);
 
   std::vector<bool> reported(machine.attempts.size(), false);
@@ -179,7 +179,7 @@
 }
 
 // Notes the machine's address, and has a machine that isn't in the checkpoint recorded there.
-void Controller::note_address(Machine& machine, const std::string& address) {
+void Controller::record_address(Machine& machine, const std::string& address) {
   if (machine.address != address) {
     machine.address = address;
     if (machine.recorded) checkpoint_.mark_machine_changed(machine.name);
--- a/src/controller/image_fetches.cpp
+++ b/src/controller/image_fetches.cpp
@@ -7,8 +7,8 @@
 namespace sailreel {
 
 // Records that the machine holds the job's image, since a task of the job waits or runs there.
-void Controller::note_image(Machine& machine, const JobSpec& spec) {
-  note_fetch_ended(machine, spec.image);
+void Controller::record_image_held(Machine& machine, const JobSpec& spec) {
+  record_fetch_finished(machine, spec.image);
   if (machine.recorded && !machine.has_image(spec.image))
     checkpoint_.mark_images_changed(machine.name);
   machine.touch_image(spec.image, spec.image_gb);
@@ -16,7 +16,7 @@
 
 // Records that the machine fetches the job's image from now on, unless it holds or fetches it
 // already.
-void Controller::note_fetch_begun(Machine& machine, const JobSpec& spec) {
+void Controller::record_fetch_started(Machine& machine, const JobSpec& spec) {
   const MachineType* type = tables_.type(machine.type);
   if (type == nullptr || type->fetch_gb_per_s <= 0 || machine.has_image(spec.image)) return;
   for (const Fetch& fetch : machine.fetching_now)
@@ -33,7 +33,7 @@
 // a machine's rate: the protocol's documents say that they may, and both behaviours were observed.
 // Of two fetches that began together, the later one to end tells: it took either its own time or
 // the time of both.
-void Controller::note_fetch_ended(Machine& machine, const std::string& image) {
+void Controller::record_fetch_finished(Machine& machine, const std::string& image) {
   const auto entry = std::find_if(machine.fetching_now.begin(), machine.fetching_now.end(),
                                   [&](const Fetch& fetch) { return fetch.image == image; });
   if (entry == machine.fetching_now.end()) return;
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -42,7 +42,7 @@
   }
   if (request.source.kind != RequestSource::Kind::Local)
     return outbox_.reject(request.source, RejectReason::NoLeader);
-  if (request.op == UserOp::Query) return look_up(request.source, request.id);
+  if (request.op == UserOp::Query) return look_up_in_checkpoint(request.source, request.id);
   const std::optional<std::size_t> relay = relaying_peer();
   if (!relay || !may_forward) return outbox_.reject(request.source, RejectReason::NoLeader);
   forward(request.source, request.op, request.id, request.body, *relay, 0, true);
@@ -152,20 +152,22 @@
     stop_job(*job);
     scheduling_needed_ = true;
   }
-  cancel_waits_[request.id].push_back({request.source, clock_.now + cancel_wait()});
+  cancel_waits_[request.id].push_back({request.source, clock_.now + cancel_response_timeout()});
   finalize_if_over(*job);
   if (job->record.final) return;
   // If the job can't end promptly, its users are told so at once.
-  if (!stops_at_once(*job)) reject_cancel_waits(request.id);
+  if (!can_stop_promptly(*job)) reject_cancel_waits(request.id);
 }
 
 // How long (ms) the response to a cancellation waits for the job's tasks to end: about the time
 // that a direct stop command and its response take.
-Time Controller::cancel_wait() const { return std::clamp<Time>(worker_lease() / 50, 100, 500); }
+Time Controller::cancel_response_timeout() const {
+  return std::clamp<Time>(worker_lease() / 50, 100, 500);
+}
 
 // True if direct stop commands are likely to end the job promptly: its tasks are on known machines
 // that send heartbeats, and no commit is in doubt.
-bool Controller::stops_at_once(const Job& job) const {
+bool Controller::can_stop_promptly(const Job& job) const {
   if (job.unknown > 0 || checkpoint_.commit_outcome_unknown()) return false;
   return std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& task) {
     return task.machine == nullptr || (task.machine->heard_in_epoch && !task.machine->silent);
@@ -218,14 +220,15 @@
   const Time valid_until =
       response.valid_ms ? forwarded.sent + *response.valid_ms - *response.valid_ms / 500 : kNever;
   const bool late = clock_.now >= std::min(forwarded.until, valid_until);
-  if (late || (response.status == 503 && forwarded.op == UserOp::Query)) return time_out(forwarded);
+  if (late || (response.status == 503 && forwarded.op == UserOp::Query))
+    return handle_forward_timeout(forwarded);
   outbox_.respond(forwarded.source, response.status, response.body, response.retry_after_s,
                   valid_until);
 }
 
-void Controller::time_out(const Forwarded& forwarded) {
+void Controller::handle_forward_timeout(const Forwarded& forwarded) {
   if (forwarded.op == UserOp::Query)
-    look_up(forwarded.source, forwarded.id);
+    look_up_in_checkpoint(forwarded.source, forwarded.id);
   else if (forwarded.op == UserOp::Heartbeat)
     // The worker isn't redirected: if its zone has just been partitioned, it could reach no other
     // controller and would lose its lease.
@@ -234,12 +237,13 @@
     outbox_.reject(forwarded.source, RejectReason::LeaderNotResponding);
 }
 
-void Controller::intake_tick() {
+void Controller::user_request_tick() {
   const Time now = clock_.now;
   std::vector<std::uint64_t> expired;
   for (const auto& [call, forwarded] : forwarded_)
     if (now >= forwarded.until) expired.push_back(call);
-  for (const std::uint64_t call : expired) time_out(forwarded_.extract(call).mapped());
+  for (const std::uint64_t call : expired)
+    handle_forward_timeout(forwarded_.extract(call).mapped());
   for (auto it = cancel_waits_.begin(); it != cancel_waits_.end();) {
     std::erase_if(it->second, [&](const CancelWait& wait) {
       if (now < wait.until) return false;
@@ -254,17 +258,17 @@
       outbox_.reject(lookup.source, RejectReason::SnapshotUnreadable);
       return true;
     });
-  if (!lookups_.empty() && !refreshing_ && now >= next_refresh_) refresh();
+  if (!lookups_.empty() && !refreshing_ && now >= next_refresh_) refresh_snapshot();
 }
 
-void Controller::look_up(const RequestSource& source, const std::string& id) {
+void Controller::look_up_in_checkpoint(const RequestSource& source, const std::string& id) {
   lookups_.push_back({source, id, clock_.now});
-  if (!refreshing_ && clock_.now >= next_refresh_) refresh();
+  if (!refreshing_ && clock_.now >= next_refresh_) refresh_snapshot();
 }
 
 // Brings the snapshot up to the current revision, then answers all lookups that were waiting when
 // the refresh began.
-void Controller::refresh() {
+void Controller::refresh_snapshot() {
   if (election_.is_leader() || election_.role() == Role::Loading) {
     // These lookups were requested while the lease had expired or the checkpoint was loading. They
     // are answered from this controller's own tables once it holds a valid lease.
@@ -290,7 +294,7 @@
     snapshot_loaded_ = false;
   if (!snapshot_loaded_) {
     snapshot_ = Snapshot{};
-    return refresh_list("", 0);
+    return list_snapshot_keys("", 0);
   }
   const std::uint64_t term = election_.term();
   KvRequest watch;
@@ -310,7 +314,7 @@
   if (!sent) finish_lookups(false);
 }
 
-void Controller::refresh_list(const std::string& from, std::uint64_t revision) {
+void Controller::list_snapshot_keys(const std::string& from, std::uint64_t revision) {
   const std::uint64_t term = election_.term();
   KvRequest list;
   list.kind = KvRequest::Kind::List;
@@ -325,7 +329,7 @@
     // latest.
     const std::uint64_t first_revision = revision == 0 ? response.revision : revision;
     if (response.more && !response.items.empty())
-      return refresh_list(response.items.back().key, first_revision);
+      return list_snapshot_keys(response.items.back().key, first_revision);
     snapshot_loaded_ = true;
     snapshot_revision_ = first_revision;
     finish_lookups(true);
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -179,7 +179,8 @@
   if (!missing.empty()) detect_dead_machines();
   // A machine that the former leader terminated without recording it would cause the same delay.
   // The cloud no longer lists it, so its zone is unknown.
-  if (now - election_.elected_at() > silent_after() && few_silent(missing.size(), recorded))
+  if (now - election_.elected_at() > silent_after() &&
+      machines_likely_at_fault(missing.size(), recorded))
     for (Machine* machine : missing)
       if (machine->zone.empty() && machine->probe_failures >= 2)
         terminate_instance(*machine, TerminationCause::SilentSinceFailover);
--- a/src/controller/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -33,12 +33,12 @@
     outbox_.log(Log::Level::Info, LogEvent::TaskMissing,
                 {{"machine", machine.name}, {"task", attempt.key}, {"attempt", attempt.attempt}});
   }
-  drop(machine, index);
+  drop_attempt(machine, index);
   scheduling_needed_ = true;
 }
 
 // Removes an attempt from the machine's list; this may complete the job.
-void Controller::drop(Machine& machine, std::size_t index) {
+void Controller::drop_attempt(Machine& machine, std::size_t index) {
   const TaskAttempt& attempt = machine.attempts[index];
   Job* job = attempt.job != nullptr ? attempt.job : attempt.orphan_of;
   tables_.erase(machine, index);
@@ -48,9 +48,9 @@
 }
 
 // Drops the attempts whose start hasn't been sent; their tasks can be placed elsewhere at once.
-void Controller::drop_unsent(Machine& machine) {
+void Controller::drop_unsent_on_machine(Machine& machine) {
   for (std::size_t i = machine.attempts.size(); i-- > 0;)
-    if (machine.attempts[i].state == AttemptState::Reserved) drop(machine, i);
+    if (machine.attempts[i].state == AttemptState::Reserved) drop_attempt(machine, i);
   scheduling_needed_ = true;
 }
 
@@ -71,7 +71,7 @@
                {"heard_ms", clock_.now - machine.last_heartbeat},
                {"answered_ms", clock_.now - machine.answered},
                {"cause", cause}});
-  while (!machine.attempts.empty()) drop(machine, machine.attempts.size() - 1);
+  while (!machine.attempts.empty()) drop_attempt(machine, machine.attempts.size() - 1);
   machine.idle_since = clock_.now;
   machine.fetching_now.clear();
   scheduling_needed_ = true;
@@ -157,13 +157,13 @@
   attempt.state = state;
   attempt.since = clock_.now;
   if (state == AttemptState::Waiting && attempt.job != nullptr)
-    note_image(machine, attempt.job->spec());
+    record_image_held(machine, attempt.job->spec());
   if (is_running(state) == was_running) return;
   if (attempt.job != nullptr) review_gang(*attempt.job);
   if (attempt.job != nullptr && attempt.held) attempt.job->running += was_running ? -1 : 1;
   if (was_running) return;
   attempt.running_since = clock_.now;
-  if (attempt.job != nullptr) note_image(machine, attempt.job->spec());
+  if (attempt.job != nullptr) record_image_held(machine, attempt.job->spec());
   outbox_.log(Log::Level::Debug, LogEvent::TaskRunning,
               {{"machine", machine.name}, {"task", attempt.key}, {"attempt", attempt.attempt}});
 }
@@ -302,14 +302,14 @@
         commands.push_back({Command::Op::Forget, attempt.key, attempt.attempt, 0});
     } else if (attempt.stop) {
       if (attempt.state == AttemptState::Reserved) {
-        drop(machine, i);
+        drop_attempt(machine, i);
       } else if (attempt.state != AttemptState::Saving || attempt.grace_s <= 0) {
         commands.push_back({Command::Op::Stop, attempt.key, attempt.attempt, attempt.grace_s});
       }
     } else if (attempt.state == AttemptState::Reserved && attempt.job != nullptr &&
                !Tables::zone_allowed(*attempt.job, machine.zone)) {
       // After this attempt was placed, tasks of the job were found in other zones.
-      drop(machine, i);
+      drop_attempt(machine, i);
       scheduling_needed_ = true;
     }
   }
@@ -322,7 +322,7 @@
       continue;
     attempt.state = AttemptState::Sent;
     attempt.sent_seq = heartbeat_seq;
-    note_fetch_begun(machine, attempt.job->spec());
+    record_fetch_started(machine, attempt.job->spec());
     ++attempt.sends;
     attempt.since = clock_.now;
     commands.push_back({Command::Op::Start, attempt.key, attempt.attempt, 0});
