--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -233,7 +233,7 @@
   Resources freed;
   for (const auto& [name, machine] : tables_.machines) {
     const MachineType* type = tables_.type(machine->type);
-    if (type == nullptr || !usable(*machine)) continue;
+    if (type == nullptr || !can_start_tasks(*machine)) continue;
     for (const TaskAttempt& attempt : machine->attempts) {
       if (!attempt.held || attempt.job == nullptr || attempt.job->spec().kind == JobKind::Service)
         continue;
@@ -258,7 +258,8 @@
       allowance.gpus -= count * type->size.gpus;
     }
   for (const auto& [name, machine] : tables_.machines)
-    if (!machine->spot && machine->draining && usable(*machine)) allowance -= machine->size;
+    if (!machine->spot && machine->draining && can_start_tasks(*machine))
+      allowance -= machine->size;
   return allowance;
 }
 
@@ -474,7 +475,8 @@
   drop_unsent_on_machine(machine);
   if (cause == CordonCause::Faulty)
     for (TaskAttempt& attempt : machine.attempts)
-      if (attempt.held && attempt.job != nullptr) stop_with_gang(attempt, grace_for(*attempt.job));
+      if (attempt.held && attempt.job != nullptr)
+        stop_with_gang(attempt, grace_period_s(*attempt.job));
 }
 
 void Controller::terminate_instance(Machine& machine, TerminationCause cause) {
@@ -532,7 +534,7 @@
 Controller::OnDemandCapacity Controller::on_demand_capacity() const {
   OnDemandCapacity capacity;
   for (const auto& [name, machine] : tables_.machines) {
-    if (!usable(*machine) || machine->spot) continue;
+    if (!can_start_tasks(*machine) || machine->spot) continue;
     if (!machine->draining) capacity.size += machine->size;
     for (const TaskAttempt& attempt : machine->attempts)
       if (attempt.held && (attempt.job == nullptr || !attempt.job->spec().spot))
@@ -555,12 +557,12 @@
     // Usable machines stop draining: if they continued while work waits for on-demand capacity, a
     // new machine would be launched for each of them.
     for (auto& [name, machine] : tables_.machines)
-      machine->draining = machine->draining && !usable(*machine);
+      machine->draining = machine->draining && !can_start_tasks(*machine);
   }
   if (reconciling_ || clock_.now < drain_not_before_) return;
   std::size_t usable_machines = 0, draining_machines = 0;
   for (const auto& [name, machine] : tables_.machines) {
-    if (machine->spot || !usable(*machine)) continue;
+    if (machine->spot || !can_start_tasks(*machine)) continue;
     ++usable_machines;
     draining_machines += machine->draining ? 1 : 0;
   }
@@ -590,7 +592,8 @@
   };
   std::vector<Candidate> candidates;
   for (const auto& [name, machine] : tables_.machines) {
-    if (machine->spot || !usable(*machine) || machine->draining || machine->empty()) continue;
+    if (machine->spot || !can_start_tasks(*machine) || machine->draining || machine->empty())
+      continue;
     Resources moved;
     std::size_t tasks = 0;
     bool possible = true;
@@ -632,7 +635,7 @@
                       return failed.image == spec.image && want.needs_at_least(failed.want);
                     }))
       return false;
-    Machine* target = warm_room(attempt, machine, under_way, plan);
+    Machine* target = find_migration_target(attempt, machine, under_way, plan);
     if (target == nullptr) {
       // Similar replicas on other machines have no target either, with these exceptions: this
       // machine has room for them, or the migrations planned above take the room, or constraints on
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -269,19 +269,19 @@
   };
   void schedule_all();
   bool place_job(Job& job);
-  bool due(Job& job, std::uint32_t index);
+  bool task_due(Job& job, std::uint32_t index);
   std::optional<std::uint32_t> place_tasks(Job& job, bool one_by_one);
-  bool warm_room_made(const Job& job, const Machine& m);
+  bool make_room_at_image_holder(const Job& job, const Machine& m);
   void bind(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt);
-  void unplace(Job& job);
+  void drop_unsent_of_job(Job& job);
   void record_unmet_demand(const Job& job, const TeamQuota& team, std::uint32_t tasks,
                            const std::string& zone);
-  [[nodiscard]] bool late_if_cold(const Job& job, const Machine& m, const char* slo) const;
-  std::uint64_t attempt_number();
+  [[nodiscard]] bool fetch_violates_slo(const Job& job, const Machine& m, const char* slo) const;
+  std::uint64_t new_attempt_number();
   /// How well a machine suits a task: compared lexicographically, most important criterion first;
   /// lower is better.
   using BinPackingScore = std::array<double, 6>;
-  static constexpr std::size_t kScoreFailed = 0, kScoreTogether = 4;
+  static constexpr std::size_t kScoreFailed = 0, kScoreSameJobReplicas = 4;
   [[nodiscard]] MachineRating<BinPackingScore> bin_packing_score(const JobSpec& spec,
                                                                  const Machine& m,
                                                                  bool may_queue_fetch) const;
@@ -306,7 +306,7 @@
     ResourceRequest want;
     bool operator==(const PreemptionKey&) const = default;
   };
-  [[nodiscard]] std::size_t most_rankings() const;
+  [[nodiscard]] std::size_t max_rankings() const;
   void begin_rankings(const std::optional<Resources>& least_need);
   void end_rankings();
   /// Records that a machine's free room or its tasks have changed during the current pass, so that
@@ -316,22 +316,24 @@
   void unreserve(Machine& m, const Resources& room);
   /// Returns the best machine for one more task of the job, or null if none has room.
   Machine* best_machine(const Job& job, bool may_queue_fetch);
-  Machine* migration_target(const Job& job, std::uint32_t index);
-  [[nodiscard]] bool usable(const Machine& m) const;
+  Machine* take_migration_target(const Job& job, std::uint32_t index);
+  [[nodiscard]] bool can_start_tasks(const Machine& m) const;
   /// Whether the machine is usable and not draining, so that any work may be placed on it.
-  [[nodiscard]] bool open(const Machine& m) const { return usable(m) && !m.draining; }
+  [[nodiscard]] bool accepts_new_tasks(const Machine& m) const {
+    return can_start_tasks(m) && !m.draining;
+  }
   using Reservations = std::unordered_map<const Machine*, Resources>;
   /// Returns a machine's free room minus the room that `promised` reserves on it.
   [[nodiscard]] static Resources unreserved_room(const Reservations& promised, const Machine& m);
   /// Returns the room that a machine will have once the tasks being stopped or migrated away are
   /// gone, minus the current pass's reservations.
-  [[nodiscard]] Resources room_to_come(const Machine& m) const;
+  [[nodiscard]] Resources room_after_stops(const Machine& m) const;
   /// Clears the failures recorded in this pass. Called when room has grown, as requests that failed
   /// earlier may succeed now.
-  void forget_failures();
+  void clear_failed_requests();
   using Queues = std::array<std::vector<Job*>, kPriorities>;
   [[nodiscard]] Queues mark_guaranteed_jobs();
-  void queue_order(std::vector<Job*>& jobs) const;
+  void sort_queue(std::vector<Job*>& jobs) const;
   [[nodiscard]] bool never_all_at_once(const JobSpec& spec) const;
   /// Returns why no task of the job, or not all tasks of a gang at once, could ever run; empty if
   /// they could.
@@ -342,7 +344,7 @@
   /// jobs.
   void review_gang(const Job& job);
   void review_gangs();
-  Gang& gang_of(const Job& job);
+  Gang& gang_state(const Job& job);
   [[nodiscard]] static bool is_gang(const Job& job) { return job.spec().kind == JobKind::Gang; }
   [[nodiscard]] GangView gang_view(const Job& job) const;
   [[nodiscard]] bool start_overdue(const Machine& m) const;
@@ -355,8 +357,8 @@
   [[nodiscard]] double fetch_s(const Job& job, const Machine& m) const;
   [[nodiscard]] GangZones gang_zones(const Job& job) const;
   void make_room_for_gang(Job& job, const GangPlan& plan, const std::vector<Machine*>& machines);
-  [[nodiscard]] Time starved_after() const;
-  bool hold_machines(const Job& job, std::uint32_t missing, const std::string& zone);
+  [[nodiscard]] Time starvation_timeout() const;
+  bool reserve_machines_for_gang(const Job& job, std::uint32_t missing, const std::string& zone);
   /// After this multiple of its type's boot time, a booting machine no longer counts as supply.
   static constexpr double kLateBootFactor = 1.3;
   [[nodiscard]] std::string zone_to_scale_out_in(const Job& job, const std::string& best) const;
@@ -394,7 +396,7 @@
   [[nodiscard]] bool may_preempt(const Job& job, const TaskAttempt& p) const;
   void stop_task(TaskAttempt& p, double grace_s);
   void stop_job(Job& job);
-  [[nodiscard]] double grace_for(const Job& job) const;
+  [[nodiscard]] double grace_period_s(const Job& job) const;
 
   // autoscaler.cpp
   void autoscale_tick();
@@ -461,9 +463,9 @@
   /// Maps each image to the machines that hold it, ordered by machine name.
   using ImageHolders = std::unordered_map<std::string, std::vector<Machine*>>;
   const ImageHolders& image_holders();
-  [[nodiscard]] Machine* warm_room(const TaskAttempt& p, const Machine& from,
-                                   const Reservations& promised,
-                                   const std::vector<PlannedMigration>& plan);
+  [[nodiscard]] Machine* find_migration_target(const TaskAttempt& p, const Machine& from,
+                                               const Reservations& promised,
+                                               const std::vector<PlannedMigration>& plan);
   void send_terminations();
   void terminate_instance(Machine& m, TerminationCause cause);
   void cordon(Machine& m, CordonCause cause);
@@ -592,8 +594,8 @@
   std::vector<FailedMigration> no_migration_for_;
   /// Rankings of the machines that had room for the smallest waiting request when the pass began,
   /// and of all machines that accepted work then.
-  RankingsByKind<RankingKey, BinPackingScore> rankings_{&Machine::room_index};
-  RankingsByKind<PreemptionKey, double> preemption_rankings_{&Machine::open_index};
+  RankingsByKind<RankingKey, BinPackingScore> rankings_{&Machine::placement_index};
+  RankingsByKind<PreemptionKey, double> preemption_rankings_{&Machine::preemption_index};
   std::vector<Machine*> machines_changed_;  // during the current pass, in order
   /// Cache for `image_holders()`; empty if it has to be rebuilt.
   ImageHolders image_holders_;
--- a/src/controller/gang.hpp
+++ b/src/controller/gang.hpp
@@ -54,7 +54,7 @@
   GangDecision decide(const GangView& view, Time now);
 
   /// Reports that a task has exited without completing, which ends the attempt for all tasks.
-  void attempt_over() { phase_ = GangPhase::Stopping; }
+  void end_attempt() { phase_ = GangPhase::Stopping; }
 
  private:
   Time wait_ms_;
--- a/src/controller/gang_scheduling.cpp
+++ b/src/controller/gang_scheduling.cpp
@@ -30,7 +30,7 @@
   if (is_gang(job)) gangs_to_review_.insert(job.spec().id);
 }
 
-Gang& Controller::gang_of(const Job& job) {
+Gang& Controller::gang_state(const Job& job) {
   return gangs_.try_emplace(job.spec().id, ms(settings_.workers.gang_wait_s)).first->second;
 }
 
@@ -73,7 +73,7 @@
     Job* job = tables_.job(id);
     if (job == nullptr || !job->active()) continue;
     const GangView view = gang_view(*job);
-    switch (gang_of(*job).decide(view, clock_.now)) {
+    switch (gang_state(*job).decide(view, clock_.now)) {
       case GangDecision::Wait:
         break;
       case GangDecision::StopRest:
@@ -93,9 +93,9 @@
 // Carries out the decision for a gang within a scheduling pass. Returns false if tasks still have
 // to be placed because they are not due yet or found no room.
 bool Controller::place_gang(Job& job) {
-  GangDecision decision = gang_of(job).decide(gang_view(job), clock_.now);
+  GangDecision decision = gang_state(job).decide(gang_view(job), clock_.now);
   if (decision == GangDecision::Unplace) {
-    unplace(job);
+    drop_unsent_of_job(job);
     decision = GangDecision::PlaceAll;
   }
   switch (decision) {
@@ -103,7 +103,7 @@
       stop_gang(job, 0);
       return true;
     case GangDecision::PlaceAll:
-      return gang_due(job) && place_gang_tasks(job, attempt_number());
+      return gang_due(job) && place_gang_tasks(job, new_attempt_number());
     case GangDecision::PlaceMissing: {
       const auto placed_task = std::find_if(job.tasks.begin(), job.tasks.end(),
                                             [](const Task& t) { return t.machine != nullptr; });
@@ -158,7 +158,7 @@
 std::vector<Machine*> Controller::gang_machines(const Job& job) const {
   std::vector<Machine*> machines;
   for (Machine* machine : rankings_.machines())
-    if (open(*machine) && tables_.allowed(job, *machine) &&
+    if (accepts_new_tasks(*machine) && tables_.allowed(job, *machine) &&
         job.spec().need.fits_in(unreserved_room(reservations_, *machine)))
       machines.push_back(machine);
   return machines;
@@ -238,14 +238,14 @@
       reserve(*machines[i], reserved.back().second);
     }
   while (preempted < plan.missing && preempt_for(job, false, zone)) ++preempted;
-  const bool starved = clock_.now - job.accepted > starved_after();
-  if (preempted > 0 || (starved && hold_machines(job, plan.missing, zone))) return;
+  const bool starved = clock_.now - job.accepted > starvation_timeout();
+  if (preempted > 0 || (starved && reserve_machines_for_gang(job, plan.missing, zone))) return;
   for (const auto& [machine, room] : reserved) unreserve(*machine, room);
 }
 
 // The time (ms) after which a waiting gang counts as starved. By then, an instance launched for it
 // is up, or none could be launched.
-Time Controller::starved_after() const {
+Time Controller::starvation_timeout() const {
   double boot_s = 0;
   for (const MachineType& type : tables_.types) boot_s = std::max(boot_s, type.boot_s);
   return worker_lease() + ms(kLateBootFactor * boot_s);
@@ -256,7 +256,8 @@
 // tasks take each part of a machine as it becomes free, and a gang that needs whole machines never
 // starts. Returns false and reserves nothing if the machines that are up can't hold all missing
 // tasks; other jobs then use the room.
-bool Controller::hold_machines(const Job& job, std::uint32_t missing, const std::string& zone) {
+bool Controller::reserve_machines_for_gang(const Job& job, std::uint32_t missing,
+                                           const std::string& zone) {
   struct Candidate {
     Machine* machine;
     Resources room;
@@ -265,7 +266,7 @@
   std::vector<Candidate> candidates;
   for (auto& [name, machine] : tables_.machines) {
     ++examined_;
-    if (!open(*machine) || !tables_.allowed(job, *machine) ||
+    if (!accepts_new_tasks(*machine) || !tables_.allowed(job, *machine) ||
         (!zone.empty() && machine->zone != zone))
       continue;
     const Resources room = unreserved_room(reservations_, *machine);
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -225,7 +225,7 @@
   cordon(machine, CordonCause::SpotNotice);
   for (TaskAttempt& attempt : machine.attempts)
     if (attempt.held && attempt.job != nullptr && attempt.job->spec().checkpoint_s > 0)
-      stop_with_gang(attempt, grace_for(*attempt.job));
+      stop_with_gang(attempt, grace_period_s(*attempt.job));
 }
 
 }  // namespace sailreel
--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 // True if tasks can be started on the machine.
-bool Controller::usable(const Machine& machine) const {
+bool Controller::can_start_tasks(const Machine& machine) const {
   // Starts are sent only in the responses to a machine's own heartbeats. If a machine that answers
   // inquiries but reaches no controller itself were usable, waiting tasks would be placed on it
   // again and again without being started.
@@ -35,14 +35,14 @@
   return room;
 }
 
-Resources Controller::room_to_come(const Machine& machine) const {
+Resources Controller::room_after_stops(const Machine& machine) const {
   Resources room = unreserved_room(reservations_, machine);
   for (const TaskAttempt& attempt : machine.attempts)
     if (attempt.held && (attempt.stop || attempt.migrating)) room += attempt.need;
   return room;
 }
 
-void Controller::forget_failures() {
+void Controller::clear_failed_requests() {
   no_room_for_.clear();
   no_preemption_for_.clear();
   no_migration_for_.clear();
@@ -122,7 +122,7 @@
 
 // Sorts jobs in the order in which they are served: guaranteed jobs first, then by deadline, then
 // by order of acceptance.
-void Controller::queue_order(std::vector<Job*>& jobs) const {
+void Controller::sort_queue(std::vector<Job*>& jobs) const {
   const auto deadline = [](const Job* j) {
     return j->spec().deadline_s ? j->accepted + ms(*j->spec().deadline_s) : kNever;
   };
@@ -143,7 +143,7 @@
     if (const Machine* machine = tables_.machine(move.to)) reservations_[machine] += move.need;
   unmet_demand_.clear();
   unmet_of_team_.clear();
-  forget_failures();
+  clear_failed_requests();
   Queues waiting_jobs = mark_guaranteed_jobs();
   // For each resource, the smallest amount that a waiting job requests per task. This pass places
   // nothing on a machine with less room.
@@ -158,7 +158,7 @@
     }
   begin_rankings(least_need);
   for (std::vector<Job*>& waiting : waiting_jobs) {
-    queue_order(waiting);
+    sort_queue(waiting);
     // One queue per team, reversed because jobs are taken from the back.
     std::map<TeamQuota*, std::vector<Job*>> queues;
     for (Job* job : waiting) queues[job->team].push_back(job);
@@ -193,8 +193,8 @@
   if (!least_need) return;
   for (auto& [name, machine] : tables_.machines) {
     ++examined_;
-    machine->open_index = machine->room_index = {};
-    if (!open(*machine)) continue;
+    machine->preemption_index = machine->placement_index = {};
+    if (!accepts_new_tasks(*machine)) continue;
     preemption_rankings_.add(*machine);
     if (!least_need->fits_in(unreserved_room(reservations_, *machine))) continue;
     rankings_.add(*machine);
@@ -216,7 +216,7 @@
 }
 
 // The number of rankings that fit into the rankings' share of the memory.
-std::size_t Controller::most_rankings() const {
+std::size_t Controller::max_rankings() const {
   const double bytes = settings_.limits.memory_mb * 1024 * 1024 * kRankingMemoryShare;
   const auto machines = static_cast<double>(tables_.machines.size() + 1);
   return static_cast<std::size_t>(
@@ -239,7 +239,7 @@
 }
 
 // True if this pass has to place the task. Advances `next_queued` past tasks that aren't queued.
-bool Controller::due(Job& job, std::uint32_t index) {
+bool Controller::task_due(Job& job, std::uint32_t index) {
   const Task& task = job.tasks[index];
   if (task.state != TaskState::Queued) {
     if (index == job.next_queued) ++job.next_queued;
@@ -256,11 +256,11 @@
 std::optional<std::uint32_t> Controller::place_tasks(Job& job, bool one_by_one) {
   std::uint32_t waiting = 0;
   for (std::uint32_t i = job.next_queued; i < job.tasks.size() && job.queued > 0; ++i) {
-    if (!due(job, i)) continue;
+    if (!task_due(job, i)) continue;
     if (job.team == nullptr || !job.team->allows(job.spec().need)) return {};
-    Machine* machine = migration_target(job, i);
+    Machine* machine = take_migration_target(job, i);
     if (machine == nullptr) machine = best_machine(job, false);
-    if (machine != nullptr && warm_room_made(job, *machine)) {
+    if (machine != nullptr && make_room_at_image_holder(job, *machine)) {
       ++waiting;
       continue;
     }
@@ -273,7 +273,7 @@
       ++waiting;
       continue;
     }
-    bind(job, i, *machine, attempt_number());
+    bind(job, i, *machine, new_attempt_number());
     if (one_by_one) return 0;
   }
   return 0;
@@ -282,10 +282,10 @@
 // If fetching the image on `machine` would violate an SLO, tries to make room for the task on a
 // machine that holds the image: by preemption for the `wait` SLO, otherwise by migrating replicas.
 // Returns true if room is reserved there.
-bool Controller::warm_room_made(const Job& job, const Machine& machine) {
-  const bool violates_wait = late_if_cold(job, machine, "wait");
+bool Controller::make_room_at_image_holder(const Job& job, const Machine& machine) {
+  const bool violates_wait = fetch_violates_slo(job, machine, "wait");
   if (violates_wait && preempt_for(job, true)) return true;
-  const bool violates_guarantee = job.guaranteed && late_if_cold(job, machine, "guarantee");
+  const bool violates_guarantee = job.guaranteed && fetch_violates_slo(job, machine, "guarantee");
   return (violates_wait || violates_guarantee) && migrate_for(job);
 }
 
@@ -330,7 +330,7 @@
 
 // True if a task that fetches its image on this machine would start later than an objective of kind
 // `slo` allows.
-bool Controller::late_if_cold(const Job& job, const Machine& machine, const char* slo) const {
+bool Controller::fetch_violates_slo(const Job& job, const Machine& machine, const char* slo) const {
   const JobSpec& spec = job.spec();
   if (machine.has_image(spec.image) || machine.fetching(spec.image)) return false;
   const MachineType* type = tables_.type(machine.type);
@@ -344,7 +344,7 @@
 }
 
 // Removes the job's attempts whose start has not been sent yet; their tasks are queued again.
-void Controller::unplace(Job& job) {
+void Controller::drop_unsent_of_job(Job& job) {
   for (const Task& task : job.tasks) {
     if (task.machine == nullptr) continue;
     ++examined_;
@@ -355,27 +355,27 @@
     }
     machine_changed(machine);
   }
-  forget_failures();
+  clear_failed_requests();
 }
 
 // Returns a new attempt number. The high bits hold the epoch, so the numbers increase across epochs
 // without any stored state.
-std::uint64_t Controller::attempt_number() {
+std::uint64_t Controller::new_attempt_number() {
   return (election_.epoch() << kAttemptBits) + next_attempt_++;
 }
 
 // Returns the target machine of a replica that was stopped for migration, or null if the task is
 // not migrating or can no longer start there. Ends the migration and releases the room reserved for
 // it.
-Machine* Controller::migration_target(const Job& job, std::uint32_t index) {
+Machine* Controller::take_migration_target(const Job& job, std::uint32_t index) {
   if (migrations_.empty()) return nullptr;
   const auto node = migrations_.extract(task_name({job.spec().id, index}));
   if (!node) return nullptr;
   Machine* machine = tables_.machine(node.mapped().to);
   if (machine == nullptr) return nullptr;
   unreserve(*machine, node.mapped().need);
-  forget_failures();
-  const bool possible = open(*machine) && machine->has_image(job.spec().image) &&
+  clear_failed_requests();
+  const bool possible = accepts_new_tasks(*machine) && machine->has_image(job.spec().image) &&
                         job.spec().need.fits_in(machine->room()) && tables_.allowed(job, *machine);
   return possible ? machine : nullptr;
 }
@@ -384,7 +384,7 @@
 // or has failed.
 MachineRating<Controller::BinPackingScore> Controller::bin_packing_score(
     const JobSpec& spec, const Machine& machine, bool may_queue_fetch) const {
-  if (!open(machine)) return {};
+  if (!accepts_new_tasks(machine)) return {};
   const Resources room = unreserved_room(reservations_, machine);
   if (!spec.need.fits_in(room) || !tables_.suits(spec, machine)) return {};
   const double image_state = machine.has_image(spec.image)  ? 0
@@ -414,7 +414,7 @@
   // The replicas of a service are spread over machines, so that the loss of one affects few of
   // them.
   if (job.spec().kind == JobKind::Service && job.placed > 0)
-    kind_score[kScoreTogether] = static_cast<double>(std::count_if(
+    kind_score[kScoreSameJobReplicas] = static_cast<double>(std::count_if(
         machine.attempts.begin(), machine.attempts.end(),
         [&](const TaskAttempt& attempt) { return attempt.job == &job && attempt.held; }));
   return kind_score;
@@ -430,7 +430,7 @@
     return bin_packing_score(spec, machine, may_queue_fetch);
   };
   MachineRanking<BinPackingScore>& ranking = rankings_.get(
-      {spec.image, spec.priority, may_queue_fetch, want}, most_rankings(), machines_changed_, rate);
+      {spec.image, spec.priority, may_queue_fetch, want}, max_rankings(), machines_changed_, rate);
   if (!ranking.any_room()) {
     no_room_for_.push_back(want);
     return nullptr;
--- a/src/controller/preemption.cpp
+++ b/src/controller/preemption.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 // The grace period in seconds for the job's tasks; 0 if they don't save their progress.
-double Controller::grace_for(const Job& job) const {
+double Controller::grace_period_s(const Job& job) const {
   const JobSpec& spec = job.spec();
   // Slightly longer than a task needs to save its progress: with less, the progress is lost.
   return spec.checkpoint_s > 0 ? spec.save_s * 1.1 + 0.1 : 0;
@@ -118,17 +118,17 @@
                                                        const std::string& zone) {
   const auto rate = [this, &job, warm_only](const Machine& machine) -> MachineRating<double> {
     ++examined_;
-    if (!open(machine) || !tables_.suits(job.spec(), machine)) return {};
+    if (!accepts_new_tasks(machine) || !tables_.suits(job.spec(), machine)) return {};
     if (warm_only && !machine.has_image(job.spec().image)) return {};
     const std::optional<PreemptionPlan> plan =
-        preemption_plan_on(*preemption_rankings_.machines()[*machine.open_index], job);
+        preemption_plan_on(*preemption_rankings_.machines()[*machine.preemption_index], job);
     if (!plan) return {};
     return {plan->cost, true};
   };
   const JobSpec& spec = job.spec();
   return preemption_rankings_.get({spec.image, spec.priority, job.team, job.guaranteed, warm_only,
                                    zone, resource_request_of(spec)},
-                                  most_rankings(), machines_changed_, rate);
+                                  max_rankings(), machines_changed_, rate);
 }
 
 bool Controller::preempt_on_best_machine(const Job& job, bool warm_only, const std::string& zone) {
@@ -152,7 +152,7 @@
   for (TaskAttempt* attempt : plan->victims) {
     outbox_.log(Log::Level::Info, LogEvent::TaskPreempted,
                 {{"machine", best->name}, {"task", attempt->key}, {"for", job.spec().id}});
-    stop_with_gang(*attempt, grace_for(*attempt->job));
+    stop_with_gang(*attempt, grace_period_s(*attempt->job));
   }
   return true;
 }
@@ -164,7 +164,7 @@
   const JobSpec& spec = job.spec();
   PreemptionPlan plan;
   plan.cost = machine.has_image(spec.image) ? 0 : 1;
-  Resources room = room_to_come(machine);
+  Resources room = room_after_stops(machine);
   if (spec.need.fits_in(room)) return plan;
   Resources max_room = room;
   std::vector<TaskAttempt*> candidates;
@@ -252,7 +252,7 @@
     const Machine* to = tables_.machine(move.to);
     TaskAttempt* attempt = from != nullptr ? from->find(move.key, move.attempt) : nullptr;
     const bool obsolete = !move.begun && (attempt == nullptr || attempt->stop || !attempt->held ||
-                                          to == nullptr || !usable(*to));
+                                          to == nullptr || !can_start_tasks(*to));
     if (obsolete || clock_.now >= move.until) {
       if (attempt != nullptr) attempt->migrating = false;
       it = migrations_.erase(it);
@@ -261,7 +261,7 @@
     ++it;
     if (move.begun || clock_.now - to->last_own_heartbeat < min_heartbeat_age) continue;
     move.begun = true;
-    stop_task(*attempt, grace_for(*attempt->job));
+    stop_task(*attempt, grace_period_s(*attempt->job));
   }
 }
 
@@ -280,7 +280,7 @@
   if (holders == image_holders().end()) return false;
   for (Machine* machine : holders->second) {
     ++examined_;
-    if (!open(*machine) || !tables_.allowed(job, *machine)) continue;
+    if (!accepts_new_tasks(*machine) || !tables_.allowed(job, *machine)) continue;
     std::optional<std::vector<PlannedMigration>> plan = plan_migrations(*machine, job);
     if (!plan || (best != nullptr && plan->size() >= best_plan.size())) continue;
     best = machine;
@@ -306,12 +306,12 @@
 std::optional<std::vector<Controller::PlannedMigration>> Controller::plan_migrations(
     Machine& machine, const Job& job) {
   const Resources& need = job.spec().need;
-  Resources room = room_to_come(machine);
+  Resources room = room_after_stops(machine);
   std::vector<PlannedMigration> plan;
   for (TaskAttempt& attempt : machine.attempts) {
     if (need.fits_in(room) || plan.size() >= kMaxMigrationsPerStart) break;
     if (!migratable(attempt) || attempt.job == &job) continue;
-    Machine* to = warm_room(attempt, machine, reservations_, plan);
+    Machine* to = find_migration_target(attempt, machine, reservations_, plan);
     if (to == nullptr) continue;
     room += attempt.need;
     plan.push_back({&attempt, to});
@@ -334,15 +334,15 @@
 
 // Returns a machine to which a running replica can migrate, or null: one that holds its image and
 // has room for it in addition to the room in `promised` and the migrations of the plan so far.
-Machine* Controller::warm_room(const TaskAttempt& attempt, const Machine& from,
-                               const Reservations& reservations,
-                               const std::vector<PlannedMigration>& plan) {
+Machine* Controller::find_migration_target(const TaskAttempt& attempt, const Machine& from,
+                                           const Reservations& reservations,
+                                           const std::vector<PlannedMigration>& plan) {
   const JobSpec& spec = attempt.job->spec();
   const auto holders = image_holders().find(spec.image);
   if (holders == image_holders().end()) return nullptr;
   for (Machine* machine : holders->second) {
     ++examined_;
-    if (machine == &from || machine->spot != from.spot || !open(*machine)) continue;
+    if (machine == &from || machine->spot != from.spot || !accepts_new_tasks(*machine)) continue;
     // A migration within a zone can't violate the job's zone constraints.
     if (machine->zone == from.zone ? !tables_.type_allowed(spec, machine->type)
                                    : !tables_.allowed(*attempt.job, *machine))
--- a/src/controller/share_moves.cpp
+++ b/src/controller/share_moves.cpp
@@ -57,7 +57,7 @@
     if (attempt->stop) continue;  // was stopped above, with another task of its gang
     outbox_.log(Log::Level::Info, LogEvent::PreemptedForQuota, {{"task", attempt->key}});
     remaining -= is_gang(*attempt->job) ? attempt->need.times(attempt->job->placed) : attempt->need;
-    stop_with_gang(*attempt, grace_for(*attempt->job));
+    stop_with_gang(*attempt, grace_period_s(*attempt->job));
   }
 }
 
--- a/src/controller/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -204,7 +204,7 @@
   Task& task = job->tasks[attempt.key.index];
   // In a completed gang, tasks that exited for another reason count as completed as well.
   const bool gang_done = is_gang(*job) && task.state == TaskState::Done;
-  if (is_gang(*job) && was_held && attempt.cause != ExitCause::Done) gang_of(*job).attempt_over();
+  if (is_gang(*job) && was_held && attempt.cause != ExitCause::Done) gang_state(*job).end_attempt();
   if (attempt.cause == ExitCause::Done && job->spec().kind != JobKind::Service) {
     job->proven = true;
     if (task.state == TaskState::Done && (!was_held || gang_done)) {
@@ -313,7 +313,7 @@
       scheduling_needed_ = true;
     }
   }
-  if (!machine.recorded || !usable(machine)) return commands;
+  if (!machine.recorded || !can_start_tasks(machine)) return commands;
   for (TaskAttempt& attempt : machine.attempts) {
     if (commands.size() >= kMaxCommandsPerResponse) break;
     if (attempt.state != AttemptState::Reserved || attempt.job == nullptr ||
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -197,7 +197,7 @@
   std::array<std::uint32_t, kPriorities> reserved{};
   /// Its indices among those machines of the current scheduling pass that accept work, and among
   /// those that have room as well.
-  std::optional<std::size_t> open_index, room_index;
+  std::optional<std::size_t> preemption_index, placement_index;
 
   [[nodiscard]] Resources room() const {
     Resources available = size;
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -69,7 +69,7 @@
 TEST(GangStates, AnExitEndsTheAttemptWhileOtherTasksStillWait) {
   Gang gang(kWaitMs);
   gang.decide(all_placed(4), 0);
-  gang.attempt_over();
+  gang.end_attempt();
   GangView view = all_placed(4);
   view.placed = 3;
   EXPECT_EQ(gang.decide(view, 1), GangDecision::StopRest);
--- a/tests/machine_ranking_test.cpp
+++ b/tests/machine_ranking_test.cpp
@@ -95,7 +95,7 @@
 // the machines' current state, and a kept one must be updated only for machines that have changed.
 TEST(MachineRanking, ADroppedRankingIsRebuilt) {
   std::vector<Machine> machines(3);
-  RankingsByKind<Kind, double> rankings(&Machine::open_index);
+  RankingsByKind<Kind, double> rankings(&Machine::preemption_index);
   for (Machine& machine : machines) rankings.add(machine);
   std::vector<Machine*> changes;
   std::size_t rated = 0;
