--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -38,7 +38,7 @@
   Impl(const Settings& settings, const Options& options)
       : settings_(settings),
         controller_(settings, options, random_seed()),
-        sockets_(share_sockets(settings, PeerNetwork::region_link_count(options.federation))),
+        sockets_(distribute_sockets(settings, PeerNetwork::region_link_count(options.federation))),
         service_client_(loop_, sockets_.services),
         worker_client_(loop_, sockets_.worker_calls),
         server_(loop_, settings.listen, sockets_.server, kMaxBody, kIdleTimeoutMs,
--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -48,8 +48,8 @@
 void Controller::autoscale_tick() {
   poll_cloud();
   if (tables_.types.empty()) return;
-  if (clock_.now >= next_sizing_) {
-    next_sizing_ = clock_.now + std::max<Time>(200, heartbeat_interval() / 4);
+  if (clock_.now >= next_autoscaling_) {
+    next_autoscaling_ = clock_.now + std::max<Time>(200, heartbeat_interval() / 4);
     autoscale();
     scale_in_idle();
   }
@@ -76,24 +76,24 @@
       next_types_ = now + 6 * worker_lease();
   }
   // A list of which some pages have been read is read to its end.
-  if ((now >= next_list_ || !listed_up_to_.empty()) && !listing_) ask_for_list();
+  if ((now >= next_list_ || !list_cursor_.empty()) && !list_call_in_flight_) request_machine_list();
 }
 
 // Requests the next page of the machine list. If the rate limit doesn't allow that now, the same
 // page is requested later: restarting the list instead would never reach the end of a list that has
 // more pages than the rate limit's burst.
-void Controller::ask_for_list() {
+void Controller::request_machine_list() {
   const std::uint64_t term = election_.term();
   CloudRequest call;
   call.kind = CloudRequest::Kind::List;
-  call.after = listed_up_to_;
-  listing_ = outbox_.call_cloud(
+  call.after = list_cursor_;
+  list_call_in_flight_ = outbox_.call_cloud(
       call,
       [this, term](const CloudResponse& reply) {
         if (term == election_.term()) handle_machine_list(reply);
       },
       CloudBudget::KeepReserve);
-  if (listing_ && listed_up_to_.empty())
+  if (list_call_in_flight_ && list_cursor_.empty())
     next_list_ =
         clock_.now + std::max<Time>(ms(settings_.cloud_limits.list_lag_s / 2), kMinListIntervalMs);
 }
@@ -112,7 +112,7 @@
   double boot_s = 0;
   for (const MachineType& type : tables_.types) boot_s = std::max(boot_s, type.boot_s);
   const CapacityLimit limit = tightest_limit(settings_, options_, boot_s);
-  const double described = described_machines(settings_, tables_.types);
+  const double described = machines_for_guaranteed_quotas(settings_, tables_.types);
   if (described <= limit.machines) return;
   outbox_.log(Log::Level::Warning, LogEvent::CapacityLimit,
               {{"limit", limit.name},
@@ -122,8 +122,8 @@
 
 void Controller::handle_machine_list(const CloudResponse& reply) {
   const Time now = clock_.now;
-  listing_ = false;
-  listed_up_to_.clear();
+  list_call_in_flight_ = false;
+  list_cursor_.clear();
   if (reply.status != 200) return;
   for (const ListedMachine& listed : reply.machines) {
     // The list lags behind: a terminated machine remains listed for a while.
@@ -151,8 +151,8 @@
       terminate_instance(machine, TerminationCause::LaunchFailed);
   }
   if (reply.more && !reply.machines.empty()) {
-    listed_up_to_ = reply.machines.back().name;
-    return ask_for_list();
+    list_cursor_ = reply.machines.back().name;
+    return request_machine_list();
   }
   for (auto it = terminated_.begin(); it != terminated_.end();)
     it = now - it->second > 20 * worker_lease() + ms(4 * settings_.cloud_limits.list_lag_s)
@@ -182,16 +182,16 @@
     ++supply.by_zone[kind][machine->zone];
     if (!machine->heard_in_epoch && !zone_unreachable(machine->zone) &&
         clock_.now - machine->launched < ms(type->boot_s * kLateBootFactor)) {
-      supply.coming[kind] += 1;
-      supply.coming_in_zone[{kind, machine->zone}] += 1;
+      supply.pending[kind] += 1;
+      supply.pending_in_zone[{kind, machine->zone}] += 1;
     }
   }
-  for (const auto& [name, scale_out] : scale_outs_) {
+  for (const auto& [name, scale_out] : pending_scale_outs_) {
     const ScaleOutRequest& request = scale_out.request;
     const MachineKind kind{request.type, request.spot};
     if (!zone_unreachable(request.zone)) {
-      supply.coming[kind] += request.count;
-      supply.coming_in_zone[{kind, request.zone}] += request.count;
+      supply.pending[kind] += request.count;
+      supply.pending_in_zone[{kind, request.zone}] += request.count;
     }
     supply.by_zone[kind][request.zone] += static_cast<int>(request.count);
   }
@@ -252,7 +252,7 @@
   const double max_size_ratio = 1 + 2 * options_.headroom_ratio;
   Resources allowance{on_demand.used.cpus * max_size_ratio - on_demand.size.cpus,
                       on_demand.used.gpus * max_size_ratio - on_demand.size.gpus, 0};
-  for (const auto& [kind, count] : supply.coming)
+  for (const auto& [kind, count] : supply.pending)
     if (const MachineType* type = tables_.type(kind.type); type != nullptr && !kind.spot) {
       allowance.cpus -= count * type->size.cpus;
       allowance.gpus -= count * type->size.gpus;
@@ -279,7 +279,7 @@
   Resources allowance = on_demand_allowance(on_demand, supply);
   on_demand_awaited_ = false;
   for (UnmetDemand unmet : unmet_demand_) {
-    if (unmet.want.spot) serve_from(freed, unmet);
+    if (unmet.want.spot) subtract_freed_room(freed, unmet);
     if (const MachineType* type = unmet.want.spot ? cheapest_type(unmet.want, true) : nullptr) {
       add({type->name, true}, unmet);
       continue;
@@ -294,7 +294,7 @@
 
 // Subtracts the tasks that fit into the freed room from the unmet demand, and their needs from the
 // freed room.
-void Controller::serve_from(Resources& freed, UnmetDemand& unmet) {
+void Controller::subtract_freed_room(Resources& freed, UnmetDemand& unmet) {
   if (unmet.tasks == 0) return;
   const Resources& each = unmet.want.each;
   double tasks = unmet.tasks;
@@ -350,15 +350,15 @@
   const MachineType* type = tables_.type(pool.kind.type);
   if (type == nullptr) return;
   const double needed = std::ceil(machines_for(total, type->size) - kMinMachineFraction);
-  double& coming = supply.coming_in_zone[pool];
+  double& coming = supply.pending_in_zone[pool];
   if (needed > coming && may_scale_out(pool.kind, pool.zone)) {
     const auto missing = static_cast<std::uint32_t>(needed - coming);
     scale_out(pool.kind, pool.zone, missing);
     supply.by_zone[pool.kind][pool.zone] += static_cast<int>(missing);
-    supply.coming[pool.kind] += missing;
+    supply.pending[pool.kind] += missing;
     coming += missing;
   }
-  supply.coming[pool.kind] -= std::min(needed, coming);
+  supply.pending[pool.kind] -= std::min(needed, coming);
 }
 
 // Launches the missing machines, each in the zone that has the fewest machines of that kind. Zones
@@ -369,7 +369,7 @@
   if (type == nullptr) return;
   const double machines = machines_for(total, type->size);
   int missing = static_cast<int>(std::ceil(machines - kMinMachineFraction)) -
-                static_cast<int>(supply.coming[kind]);
+                static_cast<int>(supply.pending[kind]);
   std::map<std::string, std::uint32_t> split;
   auto& have = supply.by_zone[kind];
   for (; missing > 0; --missing) {
@@ -407,14 +407,14 @@
                  {"zone", zone},
                  {"spot", kind.spot ? 1 : 0},
                  {"count", batch}});
-    scale_outs_[name] = std::move(scale_out);
+    pending_scale_outs_[name] = std::move(scale_out);
     checkpoint_.mark_scale_outs_changed();
   }
 }
 
 void Controller::send_scale_outs() {
   const std::uint64_t term = election_.term();
-  for (auto& [name, scale_out] : scale_outs_) {
+  for (auto& [name, scale_out] : pending_scale_outs_) {
     if (!scale_out.committed || scale_out.call_in_flight || clock_.now < scale_out.retry_at)
       continue;
     CloudRequest call;
@@ -431,8 +431,8 @@
 }
 
 void Controller::handle_scale_out_response(const std::string& name, const CloudResponse& reply) {
-  const auto it = scale_outs_.find(name);
-  if (it == scale_outs_.end()) return;
+  const auto it = pending_scale_outs_.find(name);
+  if (it == pending_scale_outs_.end()) return;
   PendingScaleOut& pending = it->second;
   pending.call_in_flight = false;
   const ScaleOutRequest& request = pending.request;
@@ -445,7 +445,7 @@
         clock_.now + std::max<Time>(ms(settings_.cloud_limits.list_lag_s), kMinNoCapacityDelayMs);
   }
   if (reply.status == 200 || reply.status == 400 || reply.no_capacity) {
-    scale_outs_.erase(it);
+    pending_scale_outs_.erase(it);
     checkpoint_.mark_scale_outs_changed();
   } else {
     // The cloud may have carried out the request, so the same one is sent again under its name.
@@ -658,7 +658,7 @@
 }
 
 void Controller::send_terminations() {
-  if (terminating_ || termination_queue_.empty()) return;
+  if (terminate_call_in_flight_ || termination_queue_.empty()) return;
   CloudRequest call;
   call.kind = CloudRequest::Kind::Terminate;
   for (const std::string& name : termination_queue_) {
@@ -667,11 +667,11 @@
   }
   const std::uint64_t term = election_.term();
   const auto names = call.names;
-  terminating_ = outbox_.call_cloud(
+  terminate_call_in_flight_ = outbox_.call_cloud(
       std::move(call),
       [this, term, names](const CloudResponse& reply) {
         if (term != election_.term()) return;
-        terminating_ = false;
+        terminate_call_in_flight_ = false;
         if (reply.status != 200) return;
         for (const std::string& name : names) {
           termination_queue_.erase(name);
--- a/src/controller/capacity_check.cpp
+++ b/src/controller/capacity_check.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-SocketShares share_sockets(const Settings& settings, std::size_t region_links) {
+SocketShares distribute_sockets(const Settings& settings, std::size_t region_links) {
   const std::size_t sockets = settings.limits.sockets;
   SocketShares shares;
   shares.services = sockets / kServicesSocketDivisor;
@@ -53,7 +53,7 @@
 CapacityLimit tightest_limit(const Settings& settings, const Options& options, double boot_s) {
   const std::size_t controllers_up = std::max<std::size_t>(1, settings.peers.size());
   const double connections =
-      static_cast<double>(controllers_up * share_sockets(settings, 0).server);
+      static_cast<double>(controllers_up * distribute_sockets(settings, 0).server);
   const double writes_per_s = settings.store.write_rps * options.write_share;
   const CapacityLimit limits[] = {
       {"sockets", connections * kWorkerConnectionsRatio},
@@ -65,7 +65,8 @@
       [](const CapacityLimit& a, const CapacityLimit& b) { return a.machines < b.machines; });
 }
 
-double described_machines(const Settings& settings, const std::vector<MachineType>& types) {
+double machines_for_guaranteed_quotas(const Settings& settings,
+                                      const std::vector<MachineType>& types) {
   Resources guaranteed;
   for (const Team& team : settings.teams) guaranteed += Resources{team.cpus, team.gpus, 0};
   double fewest_machines = std::numeric_limits<double>::infinity();
--- a/src/controller/capacity_check.hpp
+++ b/src/controller/capacity_check.hpp
@@ -18,7 +18,7 @@
 };
 /// Distributes the sockets that the settings allow among their uses. `region_links` is the number
 /// of links with controllers of other regions.
-SocketShares share_sockets(const Settings& settings, std::size_t region_links);
+SocketShares distribute_sockets(const Settings& settings, std::size_t region_links);
 
 /// A limit of the settings, and the approximate number of machines at which it binds.
 struct CapacityLimit {
@@ -32,6 +32,7 @@
 
 /// Returns the smallest number of machines of one type, as a fraction, that holds all quotas that
 /// the settings guarantee to teams: 0 if `types` is empty, infinity if no type can hold them.
-double described_machines(const Settings& settings, const std::vector<MachineType>& types);
+double machines_for_guaranteed_quotas(const Settings& settings,
+                                      const std::vector<MachineType>& types);
 
 }  // namespace sailreel
--- a/src/controller/checkpoint_outcomes.cpp
+++ b/src/controller/checkpoint_outcomes.cpp
@@ -10,13 +10,13 @@
           holds_valid_lease(clock_.now)};
 }
 
-void Controller::shares_committed() { perform_share_actions(quotas_.committed(clock_.now)); }
+void Controller::shares_committed() { perform_share_actions(quotas_.handle_commit(clock_.now)); }
 
 void Controller::scheduling_possible() { scheduling_needed_ = true; }
 
 void Controller::scale_outs_committed(const std::vector<std::string>& names) {
   for (const std::string& name : names)
-    if (const auto it = scale_outs_.find(name); it != scale_outs_.end())
+    if (const auto it = pending_scale_outs_.find(name); it != pending_scale_outs_.end())
       it->second.committed = true;
 }
 
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -26,7 +26,8 @@
       incarnation_((std::uint64_t{random_()} << 32) | random_() | 1),
       peers_(settings_.peers.size(), incarnation_, worker_lease(), keep_alive_span()),
       election_(settings_, options_, clock_, outbox_, peers_, random_, *this),
-      checkpoint_({settings_, clock_, outbox_, tables_, quotas_, peers_, scale_outs_, *this}) {}
+      checkpoint_(
+          {settings_, clock_, outbox_, tables_, quotas_, peers_, pending_scale_outs_, *this}) {}
 
 std::vector<Action> Controller::step(Clock clock, Input input) {
   // A clock that went backwards would extend leases, so time never decreases here.
@@ -109,7 +110,7 @@
   for (const auto& [id, waits] : cancel_waits_)
     for (const CancelWait& wait : waits) outbox_.reject(wait.source, RejectReason::LeadershipLost);
   cancel_waits_.clear();
-  scale_outs_.clear();
+  pending_scale_outs_.clear();
   termination_queue_.clear();
   no_capacity_until_.clear();
   unmet_demand_.clear();
@@ -122,8 +123,8 @@
   zone_reached_.clear();
   zone_unreachable_at_.clear();
   outbox_.drop_leader_calls();
-  terminating_ = listing_ = false;
-  listed_up_to_.clear();
+  terminate_call_in_flight_ = list_call_in_flight_ = false;
+  list_cursor_.clear();
   reconciling_ = false;
   quotas_.stop();
   tables_.clear();
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -137,7 +137,7 @@
   void share_tick();
   void handle_region_message(const RegionMessageReceived& input);
   void perform_share_actions(std::vector<federation::ShareAction> actions);
-  void stop_beyond_cap(const std::string& name, Priority below);
+  void preempt_beyond_cap(const std::string& name, Priority below);
 
   // reconciliation.cpp
   void elected() override;
@@ -401,7 +401,7 @@
   // autoscaler.cpp
   void autoscale_tick();
   void poll_cloud();
-  void ask_for_list();
+  void request_machine_list();
   void handle_types(const CloudResponse& reply);
   void check_capacity();
   void handle_machine_list(const CloudResponse& reply);
@@ -420,11 +420,11 @@
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads the generated comparison
     auto operator<=>(const InstancePool&) const = default;
   };
-  /// Machines that are up or on their way: `coming` counts those that are requested or booting,
+  /// Machines that are up or on their way: `pending` counts those that are requested or booting,
   /// `by_zone` includes those that are up.
   struct FleetSupply {
-    std::map<MachineKind, double> coming;
-    std::map<InstancePool, double> coming_in_zone;
+    std::map<MachineKind, double> pending;
+    std::map<InstancePool, double> pending_in_zone;
     std::map<MachineKind, std::map<std::string, int>> by_zone;
   };
   /// Room that is to be added: for work that runs in any zone, and for work bound to one zone.
@@ -444,7 +444,7 @@
   [[nodiscard]] Resources on_demand_allowance(const OnDemandCapacity& on_demand,
                                               const FleetSupply& supply) const;
   Demand demand_of_waiting(const OnDemandCapacity& on_demand, const FleetSupply& supply);
-  static void serve_from(Resources& freed, UnmetDemand& unmet);
+  static void subtract_freed_room(Resources& freed, UnmetDemand& unmet);
   void limit_to_allowance(const MachineType& type, Resources& allowance, UnmetDemand& unmet);
   void add_headroom(const OnDemandCapacity& on_demand, Demand& demand) const;
   void scale_out_in_zone(const InstancePool& pool, const Resources& total, FleetSupply& supply);
@@ -477,7 +477,7 @@
   Outbox outbox_;
   Tables tables_;
   RegionalQuotas quotas_;
-  Time next_share_look_ = 0;     // next time the quota share manager is updated with the load
+  Time next_load_report_ = 0;    // next time the quota share manager is updated with the load
   EventLoopLag event_loop_lag_;  // of this controller's ticks
 
   // leadership
@@ -544,15 +544,15 @@
   bool unknown_jobs_ = false, unknown_machines_ = false;
 
   // machines
-  PendingScaleOuts scale_outs_;
+  PendingScaleOuts pending_scale_outs_;
   std::uint64_t next_scale_out_ = 1;
   std::map<InstancePool, Time> no_capacity_until_;
   std::set<std::string> termination_queue_;
   std::map<std::string, Time> terminated_;
-  bool terminating_ = false;
-  Time next_types_ = 0, next_list_ = 0, next_sizing_ = 0;
-  bool listing_ = false, capacity_checked_ = false;
-  std::string listed_up_to_;  // last machine of the list read so far; empty: no list is being read
+  bool terminate_call_in_flight_ = false;
+  Time next_types_ = 0, next_list_ = 0, next_autoscaling_ = 0;
+  bool list_call_in_flight_ = false, capacity_checked_ = false;
+  std::string list_cursor_;  // last machine of the list read so far; empty: no list is being read
 
   /// When a machine of each zone last answered a probe.
   std::unordered_map<std::string, Time> zone_reached_;
--- a/src/controller/controller_heartbeats.cpp
+++ b/src/controller/controller_heartbeats.cpp
@@ -27,7 +27,7 @@
   heartbeat.holding = election_.is_leader() && now < election_.lease_expiry() + keep_alive_span();
   heartbeat.hears_workers = now - last_worker_heartbeat_ < silent_after();
   heartbeat.understands_gangs = true;
-  heartbeat.shares_limits = quotas_.shared();
+  heartbeat.shares_limits = quotas_.limits_span_regions();
   heartbeat.incarnation = incarnation_;
   heartbeat.clock = now;
   if (kept_alive_at_ >= 0)
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -73,7 +73,7 @@
     outbox_.log(Log::Level::Error, LogEvent::SharesWithoutOptions);
   terminated_.clear();
   capacity_checked_ = false;
-  next_types_ = next_list_ = next_sizing_ = now;
+  next_types_ = next_list_ = next_autoscaling_ = now;
   outbox_.log(Log::Level::Info, LogEvent::Leading,
               {{"jobs", tables_.jobs.size()},
                {"finished", tables_.finished.size()},
@@ -103,7 +103,7 @@
 void Controller::load_scale_outs(const Snapshot& checkpoint) {
   for (const ScaleOutRequest& scale_out : checkpoint.manifest.scale_outs)
     if (checkpoint_.scale_out_fits(scale_out))
-      scale_outs_[scale_out.request] = {scale_out, true, false, clock_.now, clock_.now};
+      pending_scale_outs_[scale_out.request] = {scale_out, true, false, clock_.now, clock_.now};
 }
 
 void Controller::load_jobs(Snapshot& checkpoint) {
--- a/src/controller/regional_quotas.cpp
+++ b/src/controller/regional_quotas.cpp
@@ -59,7 +59,7 @@
   return actions;
 }
 
-std::vector<federation::ShareAction> RegionalQuotas::committed(Time now) {
+std::vector<federation::ShareAction> RegionalQuotas::handle_commit(Time now) {
   if (!shares_) return {};
   auto actions = shares_->step(now, federation::CheckpointCommitted{});
   apply_caps();
--- a/src/controller/regional_quotas.hpp
+++ b/src/controller/regional_quotas.hpp
@@ -23,7 +23,7 @@
   RegionalQuotas(const Settings& settings, const FederationOptions& options, Tables& tables);
 
   /// Whether limits span regions.
-  [[nodiscard]] bool shared() const { return shares_ != nullptr; }
+  [[nodiscard]] bool limits_span_regions() const { return shares_ != nullptr; }
   /// To be called with the checkpoint's contents when this controller becomes leader. Returns false
   /// if the checkpoint has share records but the options have no federation. Each team's cap is
   /// then the share in its record, or 0 if the record is missing or can't be decoded.
@@ -41,7 +41,7 @@
   std::vector<federation::ShareAction> handle_message(Time now, const RegionMessage& message);
   /// To be called when the checkpoint commit with the last result of `writes` has succeeded. `now`
   /// is in ms.
-  std::vector<federation::ShareAction> committed(Time now);
+  std::vector<federation::ShareAction> handle_commit(Time now);
 
   /// Whether share records have to be written.
   [[nodiscard]] bool wants_commit() const { return shares_ && shares_->wants_commit(); }
--- a/src/controller/share_moves.cpp
+++ b/src/controller/share_moves.cpp
@@ -8,8 +8,8 @@
 }  // namespace
 
 void Controller::share_tick() {
-  if (!quotas_.shared() || clock_.now < next_share_look_) return;
-  next_share_look_ = clock_.now + heartbeat_interval() / kLoadReportsPerHeartbeat;
+  if (!quotas_.limits_span_regions() || clock_.now < next_load_report_) return;
+  next_load_report_ = clock_.now + heartbeat_interval() / kLoadReportsPerHeartbeat;
   // Tasks that are not known to this leader may run and count against the share. Until they can be
   // ruled out, no share may be given to another region.
   const bool complete = !reconciling_ && !unknown_jobs_ && !unknown_machines_;
@@ -20,7 +20,7 @@
   if (!holds_valid_lease(clock_.now)) return;
   perform_share_actions(quotas_.handle_message(clock_.now, input.message));
   if (input.message.kind != RegionMessage::Kind::Demand) return;
-  next_share_look_ = clock_.now;
+  next_load_report_ = clock_.now;
   share_tick();
 }
 
@@ -29,7 +29,7 @@
     if (auto* send = std::get_if<federation::SendToRegion>(&action))
       outbox_.send_to_region(send->region, std::move(send->message));
     else if (const auto* stop = std::get_if<federation::PreemptBeyondCap>(&action))
-      stop_beyond_cap(stop->team, stop->below);
+      preempt_beyond_cap(stop->team, stop->below);
     else if (const auto* event = std::get_if<federation::ShareEvent>(&action))
       outbox_.log_formatted(event->is_error ? Log::Level::Error : Log::Level::Info, event->text);
   }
@@ -38,7 +38,7 @@
 
 // Preempts the team's tasks that have a lower priority than `below`, those of the lowest priority
 // first, until the rest is within the team's cap.
-void Controller::stop_beyond_cap(const std::string& name, Priority below) {
+void Controller::preempt_beyond_cap(const std::string& name, Priority below) {
   TeamQuota* team = tables_.team(name);
   if (team == nullptr) return;
   std::vector<TaskAttempt*> candidates;
--- a/src/federation/ledger.cpp
+++ b/src/federation/ledger.cpp
@@ -2,7 +2,8 @@
 
 namespace sailreel::federation {
 
-bool give(ShareLedger& ledger, const std::string& region, const std::vector<TeamAmounts>& amounts) {
+bool start_transfer(ShareLedger& ledger, const std::string& region,
+                    const std::vector<TeamAmounts>& amounts) {
   for (const TeamAmounts& entry : amounts) {
     const auto record = ledger.teams.find(entry.team);
     if (record == ledger.teams.end() || !entry.amounts.fits_in(record->second.share)) return false;
@@ -14,13 +15,14 @@
   return true;
 }
 
-Credit credit(ShareLedger& ledger, const std::string& region, const ShareTransfer& transfer) {
+CreditResult credit_transfer(ShareLedger& ledger, const std::string& region,
+                             const ShareTransfer& transfer) {
   TransferRecord& transfers = ledger.regions[region];
-  if (transfer.number <= transfers.credited) return Credit::Repeated;
-  if (transfer.number != transfers.credited + 1) return Credit::Refused;
+  if (transfer.number <= transfers.credited) return CreditResult::Repeated;
+  if (transfer.number != transfers.credited + 1) return CreditResult::Refused;
   transfers.credited = transfer.number;
   for (const TeamAmounts& entry : transfer.amounts) ledger.teams[entry.team].share += entry.amounts;
-  return Credit::Credited;
+  return CreditResult::Credited;
 }
 
 bool acknowledges(const ShareLedger& ledger, const std::string& region,
@@ -33,7 +35,7 @@
   ShareRecord& record = ledger.teams[team];
   const Amounts increase = (limit - record.limit).positive();
   const Amounts decrease = (record.limit - limit).positive();
-  const Amounts paid = increase.at_most(record.excess);
+  const Amounts paid = increase.componentwise_min(record.excess);
   record.limit = limit;
   record.excess = record.excess - paid + decrease;
   record.share += increase - paid;
@@ -41,7 +43,7 @@
 
 void pay_excess(ShareLedger& ledger, const std::string& team, const Amounts& amounts) {
   ShareRecord& record = ledger.teams[team];
-  const Amounts paid = amounts.at_most(record.share).at_most(record.excess);
+  const Amounts paid = amounts.componentwise_min(record.share).componentwise_min(record.excess);
   record.share -= paid;
   record.excess -= paid;
 }
--- a/src/federation/ledger.hpp
+++ b/src/federation/ledger.hpp
@@ -15,8 +15,8 @@
 
 namespace sailreel::federation {
 
-/// What `credit` did with a transfer.
-enum class Credit : std::uint8_t {
+/// What `credit_transfer` did with a transfer.
+enum class CreditResult : std::uint8_t {
   Credited,  // the ledger has changed
   Repeated,  // the transfer was credited before and has to be acknowledged again
   Refused,   // its number isn't the next one: one of the two regions has lost its records
@@ -25,10 +25,12 @@
 /// Takes the amounts from the ledger's shares and records them as in transit to the region. Returns
 /// false and changes nothing if the ledger holds less. The last transfer to that region must have
 /// been acknowledged, since this one replaces its record.
-bool give(ShareLedger& ledger, const std::string& region, const std::vector<TeamAmounts>& amounts);
+bool start_transfer(ShareLedger& ledger, const std::string& region,
+                    const std::vector<TeamAmounts>& amounts);
 
 /// Adds a transfer from a region to the ledger's shares, if it is the next one from that region.
-Credit credit(ShareLedger& ledger, const std::string& region, const ShareTransfer& transfer);
+CreditResult credit_transfer(ShareLedger& ledger, const std::string& region,
+                             const ShareTransfer& transfer);
 
 /// Whether an acknowledgement is for the last transfer to the region.
 bool acknowledges(const ShareLedger& ledger, const std::string& region,
--- a/src/federation/share_commits.cpp
+++ b/src/federation/share_commits.cpp
@@ -11,9 +11,11 @@
 
 bool ShareManager::apply(ShareLedger& ledger, const Change& change) const {
   if (const auto* transfer_start = std::get_if<StartTransfer>(&change))
-    return federation::give(ledger, regions_[transfer_start->region].name, transfer_start->amounts);
+    return federation::start_transfer(ledger, regions_[transfer_start->region].name,
+                                      transfer_start->amounts);
   if (const auto* credited = std::get_if<CreditTransfer>(&change))
-    return credit(ledger, regions_[credited->region].name, credited->transfer) == Credit::Credited;
+    return credit_transfer(ledger, regions_[credited->region].name, credited->transfer) ==
+           CreditResult::Credited;
   if (const auto* limit_change = std::get_if<ChangeLimit>(&change))
     set_limit(ledger, limit_change->team, limit_change->limit);
   else if (const auto* payment = std::get_if<PayExcess>(&change))
--- a/src/federation/share_demands.cpp
+++ b/src/federation/share_demands.cpp
@@ -86,13 +86,13 @@
 Amounts ShareManager::grant(TeamView& view, std::size_t region, const DemandEntry& demand) {
   const std::string& team = demand.team;
   const Amounts spare = unused(team, view);
-  const Amounts for_any_work = (spare - reserve(view)).positive().at_most(demand.wanted);
-  const Amounts granted = for_any_work.at_least(spare.at_most(demand.urgent));
+  const Amounts for_any_work = (spare - reserve(view)).positive().componentwise_min(demand.wanted);
+  const Amounts granted = for_any_work.componentwise_max(spare.componentwise_min(demand.urgent));
   const Amounts missing = (demand.urgent - granted).positive();
   const Amounts stoppable = limited_dimensions_only(team, preemptible_of(view.load.running));
   // Nothing is reclaimed while urgent work waits in this region, as that work comes first.
   const Amounts reclaimed =
-      urgent_of(view.load.waiting).none() ? missing.at_most(stoppable) : Amounts{};
+      urgent_of(view.load.waiting).none() ? missing.componentwise_min(stoppable) : Amounts{};
   if (!reclaimed.none() && granted.none() && !view.reclaim) {
     view.reclaim =
         Reclaim{region, reclaimed, now_ + kReclaimTimeoutHeartbeats * heartbeat_interval_};
@@ -164,10 +164,10 @@
         if (!urgent.none()) demands[index][team] = {team, urgent, urgent};
         continue;
       }
-      const Amounts from_unused = wanted.at_most(known_surplus->second.unused);
+      const Amounts from_unused = wanted.componentwise_min(known_surplus->second.unused);
       const Amounts urgent_here =
-          urgent.at_most(from_unused + known_surplus->second.stoppable).positive();
-      const Amounts here = from_unused.at_least(urgent_here);
+          urgent.componentwise_min(from_unused + known_surplus->second.preemptible).positive();
+      const Amounts here = from_unused.componentwise_max(urgent_here);
       if (here.none()) continue;
       demands[index][team] = {team, here, urgent_here};
       wanted = (wanted - here).positive();
@@ -188,8 +188,8 @@
                                limited_dimensions_only(team, preemptible_of(view.load.running))};
       const SurplusEntry& sent = region.surplus_sent[team];
       const bool changed = changed_significantly(entry.unused, sent.unused) ||
-                           changed_significantly(entry.stoppable, sent.stoppable);
-      const bool worth_repeating = !entry.unused.none() || !entry.stoppable.none();
+                           changed_significantly(entry.preemptible, sent.preemptible);
+      const bool worth_repeating = !entry.unused.none() || !entry.preemptible.none();
       if (!changed && !(all && worth_repeating)) continue;
       message.surplus.entries.push_back(entry);
       region.surplus_sent[team] = entry;
--- a/src/federation/share_manager.cpp
+++ b/src/federation/share_manager.cpp
@@ -145,7 +145,7 @@
   const auto view = teams_.find(team);
   if (!unreadable_ && view != teams_.end()) may_use = available(team, view->second).positive();
   // After the limit was lowered, the share may exceed it until the excess is paid off.
-  may_use = may_use.at_most(managed->second.limit);
+  may_use = may_use.componentwise_min(managed->second.limit);
   Cap result;
   if (managed->second.cpus) result.cpus = units(may_use.cpus);
   if (managed->second.gpus) result.gpus = units(may_use.gpus);
@@ -190,7 +190,7 @@
       pending_changes_.emplace_back(ChangeLimit{team, wanted});
       continue;
     }
-    const Amounts paid = unused(team, view).at_most(record.excess);
+    const Amounts paid = unused(team, view).componentwise_min(record.excess);
     if (paid.none()) continue;
     view.promised += paid;
     pending_changes_.emplace_back(PayExcess{team, paid});
--- a/src/protocol/region_frames.cpp
+++ b/src/protocol/region_frames.cpp
@@ -62,7 +62,7 @@
   for (const DemandEntry& entry : message.demand.entries)
     out.push_back({entry.team, entry.wanted, entry.urgent});
   for (const SurplusEntry& entry : message.surplus.entries)
-    out.push_back({entry.team, entry.unused, entry.stoppable});
+    out.push_back({entry.team, entry.unused, entry.preemptible});
   return out;
 }
 
--- a/src/protocol/region_frames.hpp
+++ b/src/protocol/region_frames.hpp
@@ -36,11 +36,11 @@
     return {std::max<std::int64_t>(0, cpus), std::max<std::int64_t>(0, gpus)};
   }
   /// The smaller value in each dimension.
-  [[nodiscard]] Amounts at_most(const Amounts& other) const {
+  [[nodiscard]] Amounts componentwise_min(const Amounts& other) const {
     return {std::min(cpus, other.cpus), std::min(gpus, other.gpus)};
   }
   /// The larger value in each dimension.
-  [[nodiscard]] Amounts at_least(const Amounts& other) const {
+  [[nodiscard]] Amounts componentwise_max(const Amounts& other) const {
     return {std::max(cpus, other.cpus), std::max(gpus, other.gpus)};
   }
   [[nodiscard]] Amounts times(double ratio) const {
@@ -93,9 +93,9 @@
 /// The share of a team's quota limit that the sender could give up.
 struct SurplusEntry {
   std::string team;
-  /// `unused`: neither used nor waited for. `stoppable`: used by running work that can be preempted
-  /// for urgent work of another region.
-  Amounts unused, stoppable;
+  /// `unused`: neither used nor waited for. `preemptible`: used by running work that can be
+  /// preempted for urgent work of another region.
+  Amounts unused, preemptible;
 };
 /// What the sender could give up. Teams whose amounts have not changed may be omitted.
 struct ShareSurplus {
--- a/tests/fixed_limits_test.cpp
+++ b/tests/fixed_limits_test.cpp
@@ -121,7 +121,7 @@
       Settings settings = sample_settings(0);
       settings.limits.sockets = sockets;
       settings.peers.assign(peers, PeerSettings{});
-      const SocketShares shares = share_sockets(settings, 0);
+      const SocketShares shares = distribute_sockets(settings, 0);
       EXPECT_GE(shares.server, sockets / 4) << sockets;
       EXPECT_LE(shares.server + shares.services + shares.worker_calls, sockets);
       EXPECT_GE(shares.links, 2 * peers) << "one link in each direction for each peer";
@@ -150,12 +150,12 @@
   settings.teams = {{"red", 0, 0, 8'000, 30'000}, {"blue", 100, 200, 24'000, 0}};
   MachineType small = sample_type();
   small.size.gpus = 4;
-  EXPECT_EQ(described_machines(settings, {sample_type(), small}), 4'000);
-  EXPECT_EQ(described_machines(settings, {}), 0);
+  EXPECT_EQ(machines_for_guaranteed_quotas(settings, {sample_type(), small}), 4'000);
+  EXPECT_EQ(machines_for_guaranteed_quotas(settings, {}), 0);
   MachineType without_gpus = sample_type();
   without_gpus.size.gpus = 0;
-  EXPECT_EQ(described_machines(settings, {sample_type(), without_gpus}), 4'000);
-  EXPECT_GT(described_machines(settings, {without_gpus}), 1e9)
+  EXPECT_EQ(machines_for_guaranteed_quotas(settings, {sample_type(), without_gpus}), 4'000);
+  EXPECT_GT(machines_for_guaranteed_quotas(settings, {without_gpus}), 1e9)
       << "no number of machines without GPUs is enough";
 }
 
--- a/tests/share_codec_test.cpp
+++ b/tests/share_codec_test.cpp
@@ -49,7 +49,7 @@
     ASSERT_EQ(read->surplus.entries.size(), message.surplus.entries.size());
     if (kind == RegionMessage::Kind::Surplus) {
       EXPECT_EQ(read->surplus.entries[0].unused, (Amounts{1, 2}));
-      EXPECT_EQ(read->surplus.entries[0].stoppable, (Amounts{3, 4}));
+      EXPECT_EQ(read->surplus.entries[0].preemptible, (Amounts{3, 4}));
     }
   }
 }
@@ -167,10 +167,10 @@
 TEST(Ledger, ShareIsNeverGivenTwiceOrBeyondItsAmount) {
   ShareLedger ledger;
   ledger.teams["red"].share = {0, 3000};
-  EXPECT_FALSE(federation::give(ledger, "south", {{"red", {0, 3001}}}));
-  EXPECT_FALSE(federation::give(ledger, "south", {{"blue", {0, 1}}}));
+  EXPECT_FALSE(federation::start_transfer(ledger, "south", {{"red", {0, 3001}}}));
+  EXPECT_FALSE(federation::start_transfer(ledger, "south", {{"blue", {0, 1}}}));
   EXPECT_EQ(ledger.regions.count("south"), 0U);
-  EXPECT_TRUE(federation::give(ledger, "south", {{"red", {0, 3000}}}));
+  EXPECT_TRUE(federation::start_transfer(ledger, "south", {{"red", {0, 3000}}}));
   EXPECT_EQ(ledger.teams["red"].share, Amounts{});
   EXPECT_EQ(ledger.regions["south"].sent, 1U);
 }
--- a/tests/share_protocol_test.cpp
+++ b/tests/share_protocol_test.cpp
@@ -189,7 +189,8 @@
         Region& region = add_successor(index);
         region.promised = gpus;
         region.ledger_after_write = region.ledger;
-        ASSERT_TRUE(give(region.ledger_after_write, region_name(to), {{kTeam, {0, gpus}}}));
+        ASSERT_TRUE(
+            start_transfer(region.ledger_after_write, region_name(to), {{kTeam, {0, gpus}}}));
         region.writing = true;
         region.message_after_write = {false, index, to, number, gpus};
       }
@@ -253,11 +254,11 @@
     const SentMessage response{true, message.to, message.from, message.number, 0};
     ShareLedger changed = to.ledger;
     const ShareTransfer transfer{message.number, {{kTeam, {0, message.gpus}}}};
-    const Credit result = credit(changed, region_name(message.from), transfer);
-    if (result == Credit::Repeated) {
+    const CreditResult result = credit_transfer(changed, region_name(message.from), transfer);
+    if (result == CreditResult::Repeated) {
       add_successor(message.to);
       successors.back().network.insert(response);
-    } else if (result == Credit::Credited && !to.writing) {
+    } else if (result == CreditResult::Credited && !to.writing) {
       Region& region = add_successor(message.to);
       region.writing = true;
       region.ledger_after_write = changed;
@@ -285,7 +286,7 @@
         if (record.in_transit.empty()) continue;
         Region& receiver = state.regions[static_cast<std::size_t>(to)];
         if (receiver.writing) continue;
-        credit(receiver.ledger, region_name(index), {record.sent, record.in_transit});
+        credit_transfer(receiver.ledger, region_name(index), {record.sent, record.in_transit});
       }
     }
   }
