--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -100,7 +100,7 @@
 
 void Controller::handle_types(const CloudResponse& reply) {
   tables_.types = reply.types;
-  for (auto& [name, machine] : tables_.machines) tables_.size_machine(*machine);
+  for (auto& [name, machine] : tables_.machines) tables_.set_size_from_type(*machine);
   scheduling_needed_ = true;
   check_capacity();
 }
@@ -142,7 +142,7 @@
       machine.zone = listed.zone;
       machine.spot = listed.spot;
       machine.launched = std::min(machine.launched, now - ms(listed.age_s));
-      tables_.size_machine(machine);
+      tables_.set_size_from_type(machine);
     }
     if (machine.address.empty() && !listed.address.empty()) machine.address = listed.address;
     machine.listed_running = listed.state == ListedMachine::State::Running;
@@ -462,7 +462,7 @@
     machine.type = request.type;
     machine.zone = request.zone;
     machine.spot = request.spot;
-    tables_.size_machine(machine);
+    tables_.set_size_from_type(machine);
   }
 }
 
--- a/src/controller/checkpoint_writer.cpp
+++ b/src/controller/checkpoint_writer.cpp
@@ -52,7 +52,7 @@
     shards_.add(id, shard, record_reserve(record.final, encode_record(record).size()));
   }
   recent_records_.clear();
-  for (const std::string& id : image.in_manifest)
+  for (const std::string& id : image.manifest_jobs)
     recent_records_[id] = encode_record(image.jobs.at(id));
 }
 
@@ -307,7 +307,7 @@
     job->in_flight_phase.reset();
     job->stored = std::move(job->in_flight_record);
     job->committed_phase = phase;
-    job->started = started;
+    job->committed_started = started;
     if (final) finished_jobs.push_back(job);
   }
   return finished_jobs;
--- a/src/controller/failure_detection.cpp
+++ b/src/controller/failure_detection.cpp
@@ -104,7 +104,7 @@
       reconciling_ && clock_.now - election_.elected_at() > silent_after();
   const auto is_silent = [&](const Machine& machine) {
     return machine.heard_in_epoch ? machine.silent
-                                  : unheard_is_silent && machine.recorded && !machine.lease_passed;
+                                  : unheard_is_silent && machine.recorded && !machine.lease_expired;
   };
   struct ZoneContact {
     std::size_t up = 0, silent = 0;
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -31,7 +31,7 @@
   review_gangs();
   if (scheduling_needed_ && now >= next_scheduling_) schedule_all();
   heartbeat_sender_ = nullptr;
-  machine->answered = now;
+  machine->last_response = now;
   const auto commands = commands_for(*machine, heartbeat.seq);
   outbox_.respond(input.source, 200, encode_heartbeat_response(election_.epoch(), commands), 0,
                   commands_valid_until());
@@ -45,7 +45,7 @@
   if (Machine* machine = tables_.machine(input.heartbeat.machine)) {
     if (!machine->incarnation_fence.admits(input.heartbeat.incarnation))
       return reject_heartbeat(input, *machine);
-    machine->answered = now;
+    machine->last_response = now;
     if (!is_late(*machine, input.heartbeat)) machine->last_heartbeat = now;
   }
   outbox_.respond(input.source, 200, encode_heartbeat_response(election_.epoch(), {}), 0, until);
@@ -64,13 +64,13 @@
     // arrive.
     if (machine->fencing_token_refused_since == 0) machine->fencing_token_refused_since = now;
     if (now >= machine_lease_expiry(*machine)) {
-      machine->lease_passed = true;
+      machine->lease_expired = true;
       machine->fencing_token_refused_since = now;
     } else if (now - machine->fencing_token_refused_since > worker_lease() / 2) {
       return outbox_.respond(input.source, 503, encode_error("token not taken"));
     }
   }
-  if (machine != nullptr) machine->answered = now;
+  if (machine != nullptr) machine->last_response = now;
   outbox_.respond(input.source, 200, encode_heartbeat_response(election_.epoch(), {}), 0,
                   commands_valid_until());
 }
@@ -126,7 +126,7 @@
                  {"known_seq", machine.seq}});
     return HeartbeatOutcome::Late;
   }
-  if (sent_at) machine.incarnation_fence.answered(heartbeat.incarnation, *sent_at);
+  if (sent_at) machine.incarnation_fence.response_received(heartbeat.incarnation, *sent_at);
   if (!machine.incarnation_fence.admits(heartbeat.incarnation))
     return HeartbeatOutcome::IncarnationExpired;
   if (!machine.heard_in_epoch)
@@ -173,7 +173,8 @@
 // quarantined.
 void Controller::begin_incarnation(Machine& machine) {
   const Time now = clock_.now;
-  if (now - machine.answered < worker_lease() / 2 && now - machine.steady_since > worker_lease())
+  if (now - machine.last_response < worker_lease() / 2 &&
+      now - machine.steady_since > worker_lease())
     quarantine(machine, QuarantineCause::ReceivesNothing);
   handle_incarnation_loss(machine, IncarnationLossCause::NewIncarnation);
 }
@@ -191,7 +192,7 @@
 
 void Controller::record_heartbeat(Machine& machine, const Heartbeat& heartbeat) {
   const Time now = clock_.now;
-  tables_.size_machine(machine);
+  tables_.set_size_from_type(machine);
   // A response to an inquiry renews no lease. If the incarnation is new to this controller, or its
   // lease has expired by this controller's calculation, the remaining time is unknown and a full
   // lease is assumed. Otherwise a recovered machine would be terminated at its first silence, as if
@@ -200,13 +201,14 @@
   // eventually.
   const bool lease_unknown =
       heartbeat.incarnation > machine.incarnation || now >= machine_lease_expiry(machine);
-  if (!machine.heard_in_epoch || (lease_unknown && machine.last_own_heartbeat >= machine.answered))
-    machine.answered = now;
+  if (!machine.heard_in_epoch ||
+      (lease_unknown && machine.last_own_heartbeat >= machine.last_response))
+    machine.last_response = now;
   if (!machine.heard_in_epoch || now - machine.last_heartbeat > silent_after())
     machine.steady_since = now;
   machine.heard_in_epoch = true;
   machine.fencing_token_refused_since = 0;
-  machine.lease_passed = false;
+  machine.lease_expired = false;
   machine.incarnation = machine.probe_incarnation = heartbeat.incarnation;
   machine.seq = heartbeat.seq;
   machine.last_heartbeat = now;
--- a/src/controller/image_fetches.cpp
+++ b/src/controller/image_fetches.cpp
@@ -41,11 +41,13 @@
   machine.fetching_now.erase(entry);
   const double took_s = static_cast<double>(clock_.now - ended.since) / 1000.0;
   for (Fetch& fetch : machine.fetching_now)
-    if (std::abs(fetch.since - ended.since) < heartbeat_interval()) fetch.beside_s += ended.alone_s;
+    if (std::abs(fetch.since - ended.since) < heartbeat_interval())
+      fetch.concurrent_s += ended.full_rate_s;
   // The concurrent fetches were too short to tell the two cases apart.
-  if (ended.beside_s < ended.alone_s / 2 || took_s <= 0) return;
-  const double error_if_alone = std::abs(std::log(took_s / ended.alone_s));
-  const double error_if_shared = std::abs(std::log(took_s / (ended.alone_s + ended.beside_s)));
+  if (ended.concurrent_s < ended.full_rate_s / 2 || took_s <= 0) return;
+  const double error_if_alone = std::abs(std::log(took_s / ended.full_rate_s));
+  const double error_if_shared =
+      std::abs(std::log(took_s / (ended.full_rate_s + ended.concurrent_s)));
   fetch_votes_ = std::clamp(fetch_votes_ + (error_if_shared < error_if_alone ? 1 : -1), -5, 5);
   outbox_.log(Log::Level::Debug, LogEvent::ImageFetchCompared,
               {{"machine", machine.name},
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -143,10 +143,10 @@
       return respond_committed(request.source, 200, *job);
     return checkpoint_.respond_after_commit(*job, request.source, 200);
   }
-  if (!job->record.cancel_asked) {
+  if (!job->record.cancel_requested) {
     // The cancellation is committed as well, so that a later leader goes on stopping the job and
     // the user need not ask again.
-    job->record.cancel_asked = true;
+    job->record.cancel_requested = true;
     checkpoint_.mark_changed(*job);
     outbox_.log(Log::Level::Info, LogEvent::JobCancelRequested, {{"job", request.id}});
     stop_job(*job);
@@ -299,7 +299,7 @@
   const std::uint64_t term = election_.term();
   KvRequest watch;
   watch.kind = KvRequest::Kind::Watch;
-  watch.key = kPrefix;
+  watch.key = kCheckpointPrefix;
   watch.revision = snapshot_revision_;
   watch.wait_ms = 0;
   const bool sent = outbox_.call_kv_store(watch, [this, term](const KvResponse& response) {
@@ -318,7 +318,7 @@
   const std::uint64_t term = election_.term();
   KvRequest list;
   list.kind = KvRequest::Kind::List;
-  list.key = kPrefix;
+  list.key = kCheckpointPrefix;
   list.from = from;
   const bool sent = outbox_.call_kv_store(list, [this, term, revision](const KvResponse& response) {
     if (term != election_.term()) return;
--- a/src/controller/keepalive.cpp
+++ b/src/controller/keepalive.cpp
@@ -21,7 +21,7 @@
 // the acknowledgement timeout, so that time is added to the worker's lease.
 Time Controller::machine_lease_expiry(const Machine& machine) const {
   const Time last_answer =
-      std::max(machine.answered, peers_.latest_possible_keep_alive(clock_.now));
+      std::max(machine.last_response, peers_.latest_possible_keep_alive(clock_.now));
   const Time by_last_answer =
       last_answer + with_clock_drift(worker_lease()) + peers_.acknowledgement_timeout();
   // Until the worker has seen this leader's fencing token, responses of a former leader, or of
--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -24,8 +24,8 @@
   // Starts are sent only in the responses to a machine's own heartbeats. If a machine that answers
   // inquiries but reaches no controller itself were usable, waiting tasks would be placed on it
   // again and again without being started.
-  return machine.heard_in_epoch && machine.sized && !machine.cordoned && !machine.terminating &&
-         !machine.silent && clock_.now >= machine.quarantined_until &&
+  return machine.heard_in_epoch && machine.size_known && !machine.cordoned &&
+         !machine.terminating && !machine.silent && clock_.now >= machine.quarantined_until &&
          clock_.now - machine.last_own_heartbeat <= silent_after();
 }
 
@@ -99,7 +99,7 @@
 Controller::Queues Controller::mark_guaranteed_jobs() {
   Queues waiting;
   std::vector<Resources> totals(tables_.teams.size());
-  for (auto& [order, job] : tables_.in_order) {
+  for (auto& [order, job] : tables_.jobs_by_acceptance) {
     ++examined_;
     if (!job->active()) continue;
     const JobSpec& spec = job->spec();
@@ -129,7 +129,7 @@
   std::sort(jobs.begin(), jobs.end(), [&](const Job* a, const Job* b) {
     if (a->guaranteed != b->guaranteed) return a->guaranteed;
     if (deadline(a) != deadline(b)) return deadline(a) < deadline(b);
-    return a->order < b->order;
+    return a->acceptance_order < b->acceptance_order;
   });
 }
 
@@ -167,7 +167,7 @@
     // next.
     while (!queues.empty()) {
       auto next = std::min_element(queues.begin(), queues.end(), [](const auto& a, const auto& b) {
-        return a.first->share() < b.first->share();
+        return a.first->used_guarantee_fraction() < b.first->used_guarantee_fraction();
       });
       Job* job = next->second.back();
       next->second.pop_back();
@@ -198,13 +198,13 @@
     preemption_rankings_.add(*machine);
     if (!least_need->fits_in(unreserved_room(reservations_, *machine))) continue;
     rankings_.add(*machine);
-    machine->reserved.fill(0);
+    machine->higher_priority_images.fill(0);
     for (const CachedImage& image : machine->images)
       if (const auto found = tables_.image_priority.find(image.name);
           found != tables_.image_priority.end())
         for (auto priority = static_cast<std::size_t>(found->second) + 1; priority < kPriorities;
              ++priority)
-          ++machine->reserved[priority];
+          ++machine->higher_priority_images[priority];
   }
 }
 
@@ -227,7 +227,7 @@
   if (is_gang(job)) return place_gang(job);
   // A suspect job has failed on several machines and never run, so it was probably submitted with a
   // mistake. Only one of its tasks runs at a time, to find out whether it still fails.
-  const bool one_by_one = job.suspect();
+  const bool one_by_one = job.likely_invalid();
   if (one_by_one && job.placed > 0) return true;
   const std::optional<std::uint32_t> unplaced = place_tasks(job, one_by_one);
   if (!unplaced) return false;
@@ -351,7 +351,8 @@
     Machine& machine = *task.machine;
     for (std::size_t i = machine.attempts.size(); i-- > 0;) {
       const TaskAttempt& attempt = machine.attempts[i];
-      if (attempt.job == &job && attempt.state == AttemptState::Reserved) tables_.erase(machine, i);
+      if (attempt.job == &job && attempt.state == AttemptState::Reserved)
+        tables_.remove_attempt(machine, i);
     }
     machine_changed(machine);
   }
@@ -386,7 +387,7 @@
     const JobSpec& spec, const Machine& machine, bool may_queue_fetch) const {
   if (!accepts_new_tasks(machine)) return {};
   const Resources room = unreserved_room(reservations_, machine);
-  if (!spec.need.fits_in(room) || !tables_.suits(spec, machine)) return {};
+  if (!spec.need.fits_in(room) || !tables_.meets_constraints(spec, machine)) return {};
   const double image_state = machine.has_image(spec.image)  ? 0
                              : machine.fetching(spec.image) ? 1
                                                             : 2;
@@ -396,7 +397,8 @@
   const double uses_on_demand = spec.spot && !machine.spot ? 1 : 0;
   // Machines that hold images of higher-priority jobs are left to those jobs as long as there is
   // room elsewhere.
-  const double higher_priority_images = machine.reserved[static_cast<std::size_t>(spec.priority)];
+  const double higher_priority_images =
+      machine.higher_priority_images[static_cast<std::size_t>(spec.priority)];
   // Among machines that hold or are fetching the image, the fullest is best, so that others become
   // empty. Among the other machines, the one with the fewest fetches is best, as they share its
   // rate, and of these the one with the most free GPUs.
@@ -435,7 +437,9 @@
     no_room_for_.push_back(want);
     return nullptr;
   }
-  const auto zone_open = [&](const std::string& zone) { return tables_.zone_open(job, zone); };
+  const auto zone_open = [&](const std::string& zone) {
+    return tables_.zone_accepts_task(job, zone);
+  };
   const auto own_score = [&](std::size_t index, const BinPackingScore& kind_score) {
     ++examined_;
     return score_for_job(job, *rankings_.machines()[index], kind_score);
--- a/src/controller/preemption.cpp
+++ b/src/controller/preemption.cpp
@@ -71,7 +71,7 @@
       TaskAttempt& attempt = machine.attempts[i];
       if (attempt.job != &job || !attempt.held) continue;
       if (attempt.state == AttemptState::Reserved)
-        tables_.erase(machine, i);
+        tables_.remove_attempt(machine, i);
       else
         stop_task(attempt, 0);
     }
@@ -118,7 +118,7 @@
                                                        const std::string& zone) {
   const auto rate = [this, &job, warm_only](const Machine& machine) -> MachineRating<double> {
     ++examined_;
-    if (!accepts_new_tasks(machine) || !tables_.suits(job.spec(), machine)) return {};
+    if (!accepts_new_tasks(machine) || !tables_.meets_constraints(job.spec(), machine)) return {};
     if (warm_only && !machine.has_image(job.spec().image)) return {};
     const std::optional<PreemptionPlan> plan =
         preemption_plan_on(*preemption_rankings_.machines()[*machine.preemption_index], job);
@@ -134,7 +134,7 @@
 bool Controller::preempt_on_best_machine(const Job& job, bool warm_only, const std::string& zone) {
   MachineRanking<double>& ranking = preemption_ranking(job, warm_only, zone);
   const auto zone_open = [&](const std::string& other) {
-    return (zone.empty() || other == zone) && tables_.zone_open(job, other);
+    return (zone.empty() || other == zone) && tables_.zone_accepts_task(job, other);
   };
   const auto own_score = [](std::size_t, double kind_score) { return kind_score; };
   Machine* best = nullptr;
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -30,7 +30,7 @@
   const std::uint64_t term = election_.term();
   KvRequest list;
   list.kind = KvRequest::Kind::List;
-  list.key = kPrefix;
+  list.key = kCheckpointPrefix;
   list.from = start_key;
   outbox_.call_kv_store(
       list,
@@ -107,8 +107,8 @@
 }
 
 void Controller::load_jobs(Snapshot& checkpoint) {
-  merge_pieces(checkpoint, checkpoint.pieces, kPieceBits);
-  merge_pieces(checkpoint, checkpoint.small_pieces, kSmallPieceBits);
+  merge_pieces(checkpoint, checkpoint.bitmap_pieces, kPieceBits);
+  merge_pieces(checkpoint, checkpoint.small_bitmap_pieces, kSmallPieceBits);
   // Jobs are added in the order of submission, which is their order in their team's queue.
   std::vector<JobRecord*> records;
   for (auto& [id, record] : checkpoint.jobs) {
@@ -122,9 +122,9 @@
            std::pair(b->submitted_wall_ms, b->spec.id);
   });
   for (JobRecord* record : records) load_job(std::move(*record));
-  for (const auto& [key, digits] : checkpoint.pieces)
+  for (const auto& [key, digits] : checkpoint.bitmap_pieces)
     if (Job* job = tables_.job(key.first)) job->has_pieces = true;
-  for (const auto& [key, digits] : checkpoint.small_pieces)
+  for (const auto& [key, digits] : checkpoint.small_bitmap_pieces)
     if (Job* job = tables_.job(key.first)) job->has_small_pieces = true;
 }
 
@@ -134,13 +134,13 @@
   job.stored = std::move(stored);
   job.committed = true;
   job.committed_phase = job.record.phase;
-  job.started = job.record.started;
+  job.committed_started = job.record.started;
   // The age comes from the stored wall-clock time of submission. Controllers' wall clocks may
   // differ a little, so a negative age counts as 0.
   job.accepted = clock_.now - std::max<Time>(0, clock_.wall_ms - job.record.submitted_wall_ms);
   // Tasks at or above `started` were never sent to a machine and stay queued. Tasks below it that
   // aren't done may be running, so they are unknown until reconciliation ends.
-  for (std::uint32_t i = 0; i < std::min(job.started, job.spec().tasks); ++i) {
+  for (std::uint32_t i = 0; i < std::min(job.committed_started, job.spec().tasks); ++i) {
     Task& task = job.tasks[i];
     if (task.state != TaskState::Queued) continue;
     task.state = TaskState::Unknown;
@@ -158,7 +158,7 @@
       machine.recorded = true;
       machine.images.assign(record.images.begin(), record.images.end());
       machine.last_heartbeat = clock_.now;
-      machine.answered = clock_.now;
+      machine.last_response = clock_.now;
     }
 }
 
@@ -193,11 +193,11 @@
   std::size_t unheard = 0;
   for (auto& [name, machine] : tables_.machines) {
     if (!machine->recorded || machine->heard_in_epoch) continue;
-    machine->incarnation_fence.close_unheard(now);
+    machine->incarnation_fence.close_unknown_number(now);
     ++unheard;
   }
   for (auto& [id, job] : tables_.jobs) {
-    tables_.unknown_to_queued(*job);
+    tables_.queue_unknown_tasks(*job);
     review_gang(*job);
     finalize_if_over(*job);
   }
@@ -209,7 +209,7 @@
 // Returns whether the machine may run tasks of a former leader and hasn't been heard under this
 // leader's fencing token.
 bool Controller::awaits_reconciliation(const Machine& machine) const {
-  return machine.recorded && !machine.heard_in_epoch && !machine.lease_passed &&
+  return machine.recorded && !machine.heard_in_epoch && !machine.lease_expired &&
          clock_.now < machine_lease_expiry(machine);
 }
 
--- a/src/controller/regional_quotas.cpp
+++ b/src/controller/regional_quotas.cpp
@@ -74,13 +74,13 @@
     load.used = amounts_of(team.used);
     team_loads.push_back(std::move(load));
   }
-  for (const auto& [order, job] : tables_.in_order) {
+  for (const auto& [order, job] : tables_.jobs_by_acceptance) {
     if (job->team == nullptr) continue;
     federation::TeamLoad& load =
         team_loads[static_cast<std::size_t>(job->team - tables_.teams.data())];
     const auto priority = static_cast<std::size_t>(job->spec().priority);
     load.running[priority] += amounts_of(job->spec().need.times(job->placed));
-    if (job->active() && !job->suspect())
+    if (job->active() && !job->likely_invalid())
       load.waiting[priority] += amounts_of(job->spec().need.times(job->queued));
   }
   return team_loads;
--- a/src/controller/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -41,7 +41,7 @@
 void Controller::drop_attempt(Machine& machine, std::size_t index) {
   const TaskAttempt& attempt = machine.attempts[index];
   Job* job = attempt.job != nullptr ? attempt.job : attempt.orphan_of;
-  tables_.erase(machine, index);
+  tables_.remove_attempt(machine, index);
   if (job == nullptr) return;
   review_gang(*job);
   finalize_if_over(*job);
@@ -69,7 +69,7 @@
                {"zone", machine.zone},
                {"incarnation", machine.incarnation},
                {"heard_ms", clock_.now - machine.last_heartbeat},
-               {"answered_ms", clock_.now - machine.answered},
+               {"answered_ms", clock_.now - machine.last_response},
                {"cause", cause}});
   while (!machine.attempts.empty()) drop_attempt(machine, machine.attempts.size() - 1);
   machine.idle_since = clock_.now;
@@ -183,7 +183,7 @@
   Job* orphan_of = attempt.orphan_of;
   const bool was_held = attempt.held;
   const auto mark_exited = [&] {
-    if (was_held) tables_.unhold(machine, attempt);
+    if (was_held) tables_.release_attempt(machine, attempt);
     attempt.state = AttemptState::Exited;
     attempt.since = now;
   };
@@ -206,7 +206,7 @@
   const bool gang_done = is_gang(*job) && task.state == TaskState::Done;
   if (is_gang(*job) && was_held && attempt.cause != ExitCause::Done) gang_state(*job).end_attempt();
   if (attempt.cause == ExitCause::Done && job->spec().kind != JobKind::Service) {
-    job->proven = true;
+    job->known_to_run = true;
     if (task.state == TaskState::Done && (!was_held || gang_done)) {
       // The completion is known already: it is either committed or part of a pending checkpoint
       // commit.
@@ -254,7 +254,7 @@
 void Controller::handle_task_error(Job& job, Machine& machine) {
   ++job.errors;
   job.error_machines.insert(machine.name);
-  if (!job.suspect()) {
+  if (!job.likely_invalid()) {
     machine.error_jobs.insert(job.spec().id);
   } else {
     for (const std::string& name : job.error_machines)
@@ -274,14 +274,14 @@
     Job* job = tables_.job(id);
     if (job == nullptr)
       return tables_.finished.contains(id) && tables_.finished.at(id).phase == Phase::Done;
-    if (job->proven) return true;
+    if (job->known_to_run) return true;
     for (const Task& task : job->tasks)
       if (task.machine != nullptr && task.machine != &machine)
         for (const TaskAttempt& attempt : task.machine->attempts)
-          job->proven =
-              job->proven || (attempt.job == job && attempt.state == AttemptState::Running &&
-                              clock_.now - attempt.running_since > 5 * heartbeat_interval());
-    return job->proven;
+          job->known_to_run =
+              job->known_to_run || (attempt.job == job && attempt.state == AttemptState::Running &&
+                                    clock_.now - attempt.running_since > 5 * heartbeat_interval());
+    return job->known_to_run;
   };
   const auto proven = static_cast<std::size_t>(
       std::count_if(machine.error_jobs.begin(), machine.error_jobs.end(), runs_elsewhere));
@@ -318,7 +318,7 @@
     if (commands.size() >= kMaxCommandsPerResponse) break;
     if (attempt.state != AttemptState::Reserved || attempt.job == nullptr ||
         !attempt.job->active() || !attempt.job->committed ||
-        attempt.key.index >= attempt.job->started)
+        attempt.key.index >= attempt.job->committed_started)
       continue;
     attempt.state = AttemptState::Sent;
     attempt.sent_seq = heartbeat_seq;
--- a/src/storage/checkpoint_keys.hpp
+++ b/src/storage/checkpoint_keys.hpp
@@ -9,7 +9,7 @@
 
 namespace sailreel {
 
-inline constexpr const char* kPrefix = "sr/";
+inline constexpr const char* kCheckpointPrefix = "sr/";
 inline constexpr const char* kLeaderKey = "sr/lead";
 inline constexpr const char* kEpochKey = "sr/epoch";
 inline constexpr const char* kManifestKey = "sr/head";
--- a/src/storage/checkpoint_records.cpp
+++ b/src/storage/checkpoint_records.cpp
@@ -69,7 +69,7 @@
   spec.one_zone = (flags & kOneZoneFlag) != 0;
   spec.spread = (flags & kSpreadFlag) != 0;
   spec.spot = (flags & kSpotFlag) != 0;
-  record.cancel_asked = (flags & kCancelRequestedFlag) != 0;
+  record.cancel_requested = (flags & kCancelRequestedFlag) != 0;
   spec.estimate_s = number_at(Position::Estimate);
   spec.checkpoint_s = number_at(Position::CheckpointInterval);
   spec.save_s = number_at(Position::SaveTime);
@@ -100,7 +100,7 @@
   }
   json::put(writer, spec.zone);
   writer.Uint((spec.one_zone ? kOneZoneFlag : 0U) | (spec.spread ? kSpreadFlag : 0U) |
-              (spec.spot ? kSpotFlag : 0U) | (record.cancel_asked ? kCancelRequestedFlag : 0U));
+              (spec.spot ? kSpotFlag : 0U) | (record.cancel_requested ? kCancelRequestedFlag : 0U));
   writer.Double(spec.estimate_s);
   writer.Double(spec.checkpoint_s);
   writer.Double(spec.save_s);
--- a/src/storage/checkpoint_records.hpp
+++ b/src/storage/checkpoint_records.hpp
@@ -34,7 +34,7 @@
   std::uint64_t seq = 0;
   std::int64_t submitted_wall_ms = 0;
   /// A user has asked to cancel the job, and its tasks are being stopped.
-  bool cancel_asked = false;
+  bool cancel_requested = false;
   /// The job is over, and no machine can have a task of it any more.
   bool final = false;
   /// Tasks with an index below this may have been started. The value is committed before these
--- a/src/storage/incarnation_fence.hpp
+++ b/src/storage/incarnation_fence.hpp
@@ -25,7 +25,7 @@
   /// Closes the worker's incarnation while its number is unknown, because no heartbeat has been
   /// received. The first number that is seen later is taken to be that of the closed incarnation.
   /// Has no effect if an incarnation was closed before.
-  void close_unheard(Time now) {
+  void close_unknown_number(Time now) {
     if (closed_at_ != 0) return;
     closed_number_unknown_ = true;
     closed_at_ = now;
@@ -41,7 +41,7 @@
   /// Reopens the incarnation if the worker responded in it to a request that was sent at
   /// `request_sent_at`, and no incarnation was closed after that time. A response to an earlier
   /// request doesn't prove that the incarnation is still alive.
-  void answered(std::uint64_t incarnation, Time request_sent_at) {
+  void response_received(std::uint64_t incarnation, Time request_sent_at) {
     if (closed_at_ == 0 || request_sent_at < closed_at_) return;
     if (!closed_number_unknown_ && incarnation > last_closed_) return;
     last_closed_ = incarnation - 1;
--- a/src/storage/snapshot.cpp
+++ b/src/storage/snapshot.cpp
@@ -20,9 +20,9 @@
     return;
   }
   unreadable.erase(key);
-  if (key.starts_with(kBitmapPrefix)) return apply_piece(item, kBitmapPrefix, pieces);
+  if (key.starts_with(kBitmapPrefix)) return apply_piece(item, kBitmapPrefix, bitmap_pieces);
   if (key.starts_with(kSmallBitmapPrefix))
-    return apply_piece(item, kSmallBitmapPrefix, small_pieces);
+    return apply_piece(item, kSmallBitmapPrefix, small_bitmap_pieces);
   if (item.deleted) {
     if (const auto shard = machines_shard_number(key)) machines.erase(*shard);
     return;
@@ -91,7 +91,7 @@
     unreadable.insert(kManifestKey);
   manifest_version = version;
   manifest.scale_outs = decode_scale_outs(doc);
-  in_manifest.clear();
+  manifest_jobs.clear();
   apply_jobs(doc, kManifestKey);
 }
 
@@ -117,7 +117,7 @@
     const auto [location, inserted] = shard_of.try_emplace(id, *shard);
     if (!inserted) location->second = std::max(location->second, *shard);
   } else {
-    in_manifest.push_back(id);
+    manifest_jobs.push_back(id);
   }
   // The record in a shard may be older than the recent record in the manifest.
   const auto it = jobs.find(id);
--- a/src/storage/snapshot.hpp
+++ b/src/storage/snapshot.hpp
@@ -39,13 +39,13 @@
   /// Machines by shard.
   std::map<std::size_t, std::vector<MachineRecord>> machines;
   /// Ids of the jobs whose records are in the manifest.
-  std::vector<std::string> in_manifest;
+  std::vector<std::string> manifest_jobs;
   Features features;
   /// Undecoded values about quota shares, by key; see share_records.hpp.
   std::map<std::string, std::string> share_values;
   /// Hex digits of bitmap pieces, by job id and number of the piece.
   using Pieces = std::map<std::pair<std::string, std::size_t>, std::string>;
-  Pieces pieces, small_pieces;
+  Pieces bitmap_pieces, small_bitmap_pieces;
   /// Keys of values that could not be decoded completely. What these values hold is unknown, and
   /// must not be treated as missing.
   std::set<std::string> unreadable;
--- a/src/storage/tables.cpp
+++ b/src/storage/tables.cpp
@@ -115,7 +115,7 @@
          (limits.cpus <= 0 || total.cpus <= limits.cpus + kSlack);
 }
 
-double TeamQuota::share() const {
+double TeamQuota::used_guarantee_fraction() const {
   double fraction = 0;
   if (limits.gpus > 0) fraction = std::max(fraction, used.gpus / limits.gpus);
   if (limits.cpus > 0) fraction = std::max(fraction, used.cpus / limits.cpus);
@@ -128,7 +128,7 @@
 }
 
 void Tables::clear() {
-  in_order.clear();
+  jobs_by_acceptance.clear();
   image_priority.clear();
   jobs.clear();
   finished.clear();
@@ -170,12 +170,12 @@
       job->tasks[i].state = TaskState::Done;
     else
       ++job->queued;
-  job->order = next_order_++;
+  job->acceptance_order = next_order_++;
   job->team = team(job->spec().team);
   const auto [entry, inserted] =
       image_priority.try_emplace(job->spec().image, job->spec().priority);
   if (!inserted) entry->second = std::min(entry->second, job->spec().priority);
-  in_order[job->order] = job.get();
+  jobs_by_acceptance[job->acceptance_order] = job.get();
   Job& added = *job;
   jobs[added.spec().id] = std::move(job);
   return added;
@@ -184,7 +184,7 @@
 void Tables::remove_job(const std::string& id) {
   const auto it = jobs.find(id);
   if (it == jobs.end()) return;
-  in_order.erase(it->second->order);
+  jobs_by_acceptance.erase(it->second->acceptance_order);
   jobs.erase(it);
 }
 
@@ -217,12 +217,12 @@
   return out;
 }
 
-void Tables::size_machine(Machine& machine) const {
-  if (machine.sized || machine.type.empty()) return;
+void Tables::set_size_from_type(Machine& machine) const {
+  if (machine.size_known || machine.type.empty()) return;
   if (const MachineType* machine_type = type(machine.type)) {
     machine.size = machine_type->size;
     machine.cache_gb = machine_type->cache_gb;
-    machine.sized = true;
+    machine.size_known = true;
   }
 }
 
@@ -265,7 +265,7 @@
   job.machines_used.insert(machine.name);
 }
 
-void Tables::unhold(Machine& machine, TaskAttempt& attempt) {
+void Tables::release_attempt(Machine& machine, TaskAttempt& attempt) {
   if (!attempt.held) return;
   attempt.held = false;
   machine.used -= attempt.need;
@@ -294,8 +294,8 @@
   }
 }
 
-void Tables::erase(Machine& machine, std::size_t index) {
-  unhold(machine, machine.attempts[index]);
+void Tables::remove_attempt(Machine& machine, std::size_t index) {
+  release_attempt(machine, machine.attempts[index]);
   machine.attempts.erase(machine.attempts.begin() + static_cast<std::ptrdiff_t>(index));
 }
 
@@ -303,16 +303,16 @@
   return spec.any_type || std::find(spec.types.begin(), spec.types.end(), type) != spec.types.end();
 }
 
-bool Tables::suits(const JobSpec& spec, const Machine& machine) const {
+bool Tables::meets_constraints(const JobSpec& spec, const Machine& machine) const {
   return (!machine.spot || spec.spot) && (spec.zone.empty() || spec.zone == machine.zone) &&
          type_allowed(spec, machine.type);
 }
 
 bool Tables::allowed(const Job& job, const Machine& machine) const {
-  return suits(job.spec(), machine) && zone_open(job, machine.zone);
+  return meets_constraints(job.spec(), machine) && zone_accepts_task(job, machine.zone);
 }
 
-bool Tables::zone_open(const Job& job, const std::string& zone) {
+bool Tables::zone_accepts_task(const Job& job, const std::string& zone) {
   const JobSpec& spec = job.spec();
   // Tasks whose machine isn't known yet could be in any zone.
   if ((spec.one_zone || spec.spread) && job.unknown > 0) return false;
@@ -341,7 +341,7 @@
   if (job.spec().tasks > kInlineBits) job.dirty_pieces.insert(index / kSmallPieceBits);
 }
 
-void Tables::unknown_to_queued(Job& job) {
+void Tables::queue_unknown_tasks(Job& job) {
   if (job.unknown == 0) return;
   TeamQuota* team = job.team;
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -52,7 +52,7 @@
   bool committed = false;                 // the checkpoint contains the job
   Phase committed_phase = Phase::Active;  // in the checkpoint, which users may be told
   /// `JobRecord::started` in the checkpoint.
-  std::uint32_t started = 0;
+  std::uint32_t committed_started = 0;
   bool dirty = false;  // differs from the checkpoint; the next commit includes it
   /// The encoded record in the checkpoint, and the one that the commit in flight would store.
   std::string stored, in_flight_record;
@@ -61,7 +61,7 @@
   std::set<std::size_t> dirty_pieces;
   /// True if pieces of the size may be in the checkpoint. They are deleted once the job is over.
   bool has_pieces = false, has_small_pieces = false;
-  std::uint64_t order = 0;  // position in the order in which jobs were accepted
+  std::uint64_t acceptance_order = 0;  // position in the order in which jobs were accepted
   TeamQuota* team = nullptr;
   /// The job and its team's earlier unfinished jobs fit into the team's guaranteed quota.
   bool guaranteed = false;
@@ -76,8 +76,8 @@
   std::set<std::string> machines_used;
   std::set<std::string> error_machines;  // where tasks of the job have failed
   std::uint32_t errors = 0;              // attempts that failed
-  bool proven = false;  // a task has completed, or has run for several heartbeat intervals
-  Time not_before = 0;  // no task is to be placed earlier
+  bool known_to_run = false;  // a task has completed, or has run for several heartbeat intervals
+  Time not_before = 0;        // no task is to be placed earlier
 
   [[nodiscard]] const JobSpec& spec() const { return record.spec; }
   /// True if the commit in flight may change the phase that users may be told.
@@ -86,11 +86,11 @@
   }
   /// True if the job is neither over nor being cancelled.
   [[nodiscard]] bool active() const {
-    return record.phase == Phase::Active && !record.cancel_asked;
+    return record.phase == Phase::Active && !record.cancel_requested;
   }
   /// True if tasks of the job have failed on several machines and none is known to run properly. A
   /// mistake in the job is then more likely than a fault of all these machines.
-  [[nodiscard]] bool suspect() const { return !proven && error_machines.size() > 1; }
+  [[nodiscard]] bool likely_invalid() const { return !known_to_run && error_machines.size() > 1; }
   /// True if no task or orphaned attempt of the job is known outside the zone.
   [[nodiscard]] bool confined_to(const std::string& zone) const;
   /// The number of placed tasks and orphaned attempts of the job that are known in the zone.
@@ -148,9 +148,10 @@
 struct Fetch {
   std::string image;
   Time since = 0;
-  double alone_s = 0;  // duration if the fetch has the machine's whole rate
-  /// Sum of `alone_s` over the fetches that began at about the same time and ended before this one.
-  double beside_s = 0;
+  double full_rate_s = 0;  // duration if the fetch has the machine's whole rate
+  /// Sum of `full_rate_s` over the fetches that began at about the same time and ended before this
+  /// one.
+  double concurrent_s = 0;
 };
 
 /// A machine, as known from the checkpoint, the cloud's list and its heartbeats. Owned by Tables.
@@ -159,7 +160,7 @@
   bool spot = false;
   Resources size, used;
   double cache_gb = 0;
-  bool sized = false;           // its type is known
+  bool size_known = false;      // its type is known
   bool listed_running = false;  // the cloud's list shows it as running
   bool heard_in_epoch = false;  // a heartbeat under this epoch's fencing token has been accepted
   bool recorded = false;        // the checkpoint lists it
@@ -170,7 +171,7 @@
   Time last_heartbeat = 0;                 // last heartbeat, or response to an inquiry
   Time steady_since = 0;                   // heartbeats have arrived without a gap since then
   Time last_own_heartbeat = 0;             // last heartbeat that it sent unasked
-  Time answered = 0;                       // when a response may last have renewed its lease
+  Time last_response = 0;                  // when a response may last have renewed its lease
   Time idle_since = 0;                     // 0 while it has attempts
   bool cordoned = false;                   // accepts no more work
   CordonCause cordon_cause = CordonCause::Faulty;  // valid if it is cordoned and not terminating
@@ -186,7 +187,7 @@
   Time notice_until = 0;                // when the cloud preempts it; 0 if there is no notice
   /// Its heartbeats have not shown our fencing token since then; 0 if they show it.
   Time fencing_token_refused_since = 0;
-  bool lease_passed = false;  // its lease expired before it adopted our fencing token
+  bool lease_expired = false;  // its lease expired before it adopted our fencing token
   /// Gets no work until then, for example because it doesn't receive our responses.
   Time quarantined_until = 0;
   std::set<std::string> error_jobs;  // jobs whose tasks failed on it
@@ -194,7 +195,7 @@
   std::list<CachedImage> images;  // most recently used first
   std::vector<Fetch> fetching_now;
   /// For each priority, the number of cached images that work of a higher priority needs.
-  std::array<std::uint32_t, kPriorities> reserved{};
+  std::array<std::uint32_t, kPriorities> higher_priority_images{};
   /// Its indices among those machines of the current scheduling pass that accept work, and among
   /// those that have room as well.
   std::optional<std::size_t> preemption_index, placement_index;
@@ -236,7 +237,7 @@
   /// The fraction of its guaranteed quota that the team uses, of GPUs or CPUs, whichever is larger;
   /// at least 1 for a team without a guaranteed quota. Of the teams' queues, the one with the
   /// lowest fraction is served next.
-  [[nodiscard]] double share() const;
+  [[nodiscard]] double used_guarantee_fraction() const;
 };
 
 /// Owns the jobs and machines. References and pointers to a job or machine are valid until it is
@@ -261,7 +262,7 @@
   /// The machines of a shard of the checkpoint, in the order of their names.
   [[nodiscard]] std::vector<const Machine*> machines_of_shard(std::size_t shard) const;
   /// Sets a machine's size from its type, unless the size is set or the type isn't known.
-  void size_machine(Machine& machine) const;
+  void set_size_from_type(Machine& machine) const;
 
   /// Binds a task to a machine and counts it against the machine's room, the team's quota and the
   /// zone. Returns the new attempt, which is in the machine's list; the reference is valid until
@@ -271,16 +272,16 @@
   /// Counts an orphaned attempt against the machine's room, the team's quota and the zone.
   static void hold_orphan(Job& job, Machine& machine, TaskAttempt& orphan);
   /// Frees what an attempt holds. The task of a current attempt is queued again unless it is done.
-  void unhold(Machine& machine, TaskAttempt& attempt);
+  void release_attempt(Machine& machine, TaskAttempt& attempt);
   /// Frees what the attempt at `index` holds, and removes it from the machine's list.
-  void erase(Machine& machine, std::size_t index);
+  void remove_attempt(Machine& machine, std::size_t index);
   /// True if tasks of the job may start on the machine, by the machine's type, zone and instance
   /// kind and by the zones of the job's other tasks. The machine's room is not considered.
   [[nodiscard]] bool allowed(const Job& job, const Machine& machine) const;
   /// The part of `allowed` that is independent of the job's other tasks.
-  [[nodiscard]] bool suits(const JobSpec& spec, const Machine& machine) const;
+  [[nodiscard]] bool meets_constraints(const JobSpec& spec, const Machine& machine) const;
   /// The part of `allowed` that depends on the job's other tasks.
-  [[nodiscard]] static bool zone_open(const Job& job, const std::string& zone);
+  [[nodiscard]] static bool zone_accepts_task(const Job& job, const std::string& zone);
   /// True if the job's zone constraints allow the tasks that it is known to have in the zone.
   [[nodiscard]] static bool zone_allowed(const Job& job, const std::string& zone);
   /// True if the job may run on machines of that type.
@@ -288,10 +289,10 @@
   /// Records a task as done. Has no effect if the task is recorded as done already.
   void mark_done(Job& job, std::uint32_t index);
   /// Queues the tasks in state `Unknown`, which weren't found on any machine.
-  void unknown_to_queued(Job& job);
+  void queue_unknown_tasks(Job& job);
 
   std::unordered_map<std::string, std::unique_ptr<Job>> jobs;
-  std::map<std::uint64_t, Job*> in_order;                    // by `Job::order`
+  std::map<std::uint64_t, Job*> jobs_by_acceptance;          // by `Job::acceptance_order`
   std::unordered_map<std::string, Priority> image_priority;  // by image: the highest of its jobs
   std::unordered_map<std::string, FinishedJob> finished;
   std::map<std::string, std::unique_ptr<Machine>> machines;
--- a/tests/fixtures_test.cpp
+++ b/tests/fixtures_test.cpp
@@ -77,7 +77,7 @@
                           encode_record(snapshot.jobs.at("job-000007"))}),
             shard);
   EXPECT_EQ(encode_machines(snapshot.machines.at(28)), machines);
-  EXPECT_EQ(snapshot.pieces.at({"job-000413", 0}).substr(0, 2), "20");
+  EXPECT_EQ(snapshot.bitmap_pieces.at({"job-000413", 0}).substr(0, 2), "20");
   EXPECT_TRUE(snapshot.jobs.at("job-000007").final);
   EXPECT_EQ(snapshot.jobs.at("job-000412").started, 3U);
   EXPECT_EQ(encode_leader(*decode_leader(fixture("leader.json"))), fixture("leader.json"));
--- a/tests/incarnation_fence_test.cpp
+++ b/tests/incarnation_fence_test.cpp
@@ -23,9 +23,9 @@
 TEST(IncarnationFence, AResponseToALaterInquiryReopensAnIncarnation) {
   IncarnationFence fence;
   fence.close(3, 1'000);
-  fence.answered(3, 999);
+  fence.response_received(3, 999);
   EXPECT_FALSE(fence.admits(3)) << "the inquiry was sent before the incarnation was closed";
-  fence.answered(3, 1'000);
+  fence.response_received(3, 1'000);
   EXPECT_TRUE(fence.admits(3));
   EXPECT_FALSE(fence.admits(2));
   fence.close(3, 5'000);
@@ -34,13 +34,13 @@
 
 TEST(IncarnationFence, TheFirstIncarnationOfAnUnheardWorkerCountsAsEnded) {
   IncarnationFence fence;
-  fence.close_unheard(1'000);
+  fence.close_unknown_number(1'000);
   EXPECT_FALSE(fence.admits(7));
   EXPECT_FALSE(fence.admits(7));
   EXPECT_TRUE(fence.admits(8));
   IncarnationFence inquired;
-  inquired.close_unheard(1'000);
-  inquired.answered(7, 1'500);
+  inquired.close_unknown_number(1'000);
+  inquired.response_received(7, 1'500);
   EXPECT_TRUE(inquired.admits(7));
 }
 
@@ -130,13 +130,13 @@
 };
 
 TEST_F(SilentBeyondItsLease, AnOldHeartbeatIsRejectedAndRenewsNothing) {
-  const Time heard_at = machine("m-1").last_heartbeat, answered_at = machine("m-1").answered;
+  const Time heard_at = machine("m-1").last_heartbeat, answered_at = machine("m-1").last_response;
   EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-1", 1, 9, former_tasks())).status, 503);
   const Machine& silent_machine = machine("m-1");
   EXPECT_TRUE(silent_machine.empty());
   EXPECT_TRUE(silent_machine.silent);
   EXPECT_EQ(silent_machine.last_heartbeat, heard_at);
-  EXPECT_EQ(silent_machine.answered, answered_at);
+  EXPECT_EQ(silent_machine.last_response, answered_at);
   EXPECT_EQ(job("job-2").tasks[0].state, TaskState::Queued);
   // The same holds while the leader's own lease may have expired.
   driver_.kv_store().outage = true;
@@ -144,7 +144,7 @@
   ASSERT_TRUE(driver_.controller().leading());
   EXPECT_EQ(driver_.response_to(incarnation_heartbeat("m-1", 1, 10, former_tasks())).status, 503);
   EXPECT_EQ(machine("m-1").last_heartbeat, heard_at);
-  EXPECT_EQ(machine("m-1").answered, answered_at);
+  EXPECT_EQ(machine("m-1").last_response, answered_at);
 }
 
 TEST_F(SilentBeyondItsLease, ItsNextIncarnationIsAcceptedAtOnce) {
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -81,12 +81,12 @@
   const Snapshot checkpoint = driver.checkpoint();
   std::size_t moved = 0;
   for (std::size_t n = 0; n < 30; ++n) {
-    EXPECT_TRUE(checkpoint.jobs.at(job_id(n)).cancel_asked) << n;
+    EXPECT_TRUE(checkpoint.jobs.at(job_id(n)).cancel_requested) << n;
     EXPECT_GE(checkpoint.shard_of.at(job_id(n)), 2U) << n;
     moved += checkpoint.shard_of.at(job_id(n)) > 2 ? 1 : 0;
   }
   EXPECT_GT(moved, 4U);  // the changes of the other jobs are still in the manifest
-  EXPECT_FALSE(checkpoint.jobs.at(job_id(35)).cancel_asked);
+  EXPECT_FALSE(checkpoint.jobs.at(job_id(35)).cancel_requested);
 }
 
 // A bitmap piece of the older, regular size exceeds the limit on values, so changes must be written
@@ -109,11 +109,11 @@
   driver.run_for(2'000);
   EXPECT_EQ(driver.kv_store().malformed, 0U);
   const Snapshot checkpoint = driver.checkpoint();
-  EXPECT_EQ(checkpoint.pieces.size(), 1U);
+  EXPECT_EQ(checkpoint.bitmap_pieces.size(), 1U);
   Bitmap merged(kTasks);
-  for (const auto& [key, digits] : checkpoint.pieces)
+  for (const auto& [key, digits] : checkpoint.bitmap_pieces)
     merged.merge_hex(key.second * kPieceBits, digits);
-  for (const auto& [key, digits] : checkpoint.small_pieces)
+  for (const auto& [key, digits] : checkpoint.small_bitmap_pieces)
     merged.merge_hex(key.second * kSmallPieceBits, digits);
   EXPECT_EQ(merged.count(), 3U);
   EXPECT_TRUE(merged.test(3) && merged.test(7) && merged.test(8'500));
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -151,10 +151,10 @@
   // The task is done, but its attempt is still held and counts against the quota.
   tables.mark_done(job, 0);
   EXPECT_FALSE(tables.team("red")->allows(record.spec.need));
-  tables.erase(machine, 0);
+  tables.remove_attempt(machine, 0);
   EXPECT_TRUE(tables.team("red")->allows(record.spec.need));
   EXPECT_EQ(job.tasks[0].state, TaskState::Done);
-  tables.erase(machine, 0);
+  tables.remove_attempt(machine, 0);
   EXPECT_EQ(job.tasks[1].state, TaskState::Queued);
   EXPECT_EQ(job.queued, 2U);
 }
--- a/tests/support/controller_driver.hpp
+++ b/tests/support/controller_driver.hpp
@@ -107,7 +107,7 @@
   Snapshot checkpoint() {
     KvRequest list;
     list.kind = KvRequest::Kind::List;
-    list.key = kPrefix;
+    list.key = kCheckpointPrefix;
     list.limit = 1'000;
     Snapshot snapshot;
     kv_store_.handle(list, false, now_, [&](const KvResponse& reply) {
