--- a/sim/fake_cloud.cpp
+++ b/sim/fake_cloud.cpp
@@ -38,7 +38,7 @@
 
 void FakeCloud::scale_out(const CloudRequest& request, Time now, CloudResponse& response) {
   const auto& wanted = request.scale_out;
-  if (const auto earlier = names_by_request_.find(wanted.request);
+  if (const auto earlier = names_by_request_.find(wanted.request_id);
       earlier != names_by_request_.end()) {
     response.names = earlier->second;
     return;
@@ -54,7 +54,7 @@
   }
   const std::uint32_t granted = std::min(wanted.count, capacity_of_pool - used);
   for (std::uint32_t i = 0; i < granted; ++i) launch(request, now, response);
-  names_by_request_[wanted.request] = response.names;
+  names_by_request_[wanted.request_id] = response.names;
 }
 
 void FakeCloud::tick(Time now, Time lag) {
@@ -83,8 +83,8 @@
   if (snapshots_.empty()) return page;
   for (const ListedMachine& listed : snapshots_.front().list.machines) {
     if (listed.name <= request.after) continue;
-    page.more = page.machines.size() >= request.limit;
-    if (page.more) break;
+    page.has_more = page.machines.size() >= request.limit;
+    if (page.has_more) break;
     page.machines.push_back(listed);
   }
   return page;
--- a/sim/fake_kv_store.cpp
+++ b/sim/fake_kv_store.cpp
@@ -106,8 +106,8 @@
   auto entry =
       request.from.empty() ? keys_.lower_bound(request.key) : keys_.upper_bound(request.from);
   for (; entry != keys_.end() && entry->first.starts_with(request.key); ++entry) {
-    response.more = response.items.size() >= request.limit;
-    if (response.more) return;
+    response.has_more = response.items.size() >= request.limit;
+    if (response.has_more) return;
     response.items.push_back({entry->first, entry->second.value, entry->second.version, false});
   }
 }
--- a/sim/fault_injection.cpp
+++ b/sim/fault_injection.cpp
@@ -97,7 +97,7 @@
 void SimulatedRegion::lower_limits() {
   kv_store_.value_limit = static_cast<std::size_t>(plan_.next_value_kb * 1024);
   kv_store_.ops_limit = plan_.next_txn_ops;
-  kv_store_.limit_rates(settings_[0].store.rps, plan_.next_write_rps);
+  kv_store_.limit_rates(settings_[0].store_limits.rps, plan_.next_write_rps);
 }
 
 void SimulatedRegion::cut(const std::string& a, const std::string& b, Time for_ms, bool hold) {
--- a/sim/simulated_region.cpp
+++ b/sim/simulated_region.cpp
@@ -101,7 +101,7 @@
   if (plan_.production && !host.upgraded) {
     // The version in production doesn't know of lower limits that are announced for later.
     Settings settings = settings_[node];
-    settings.store = sample_settings(node, plan_.scale).store;
+    settings.store_limits = sample_settings(node, plan_.scale).store_limits;
     host.controller = plan_.production(settings, seed);
   } else {
     host.controller = plan_.controllers ? plan_.controllers(node, settings_[node], seed)
@@ -221,7 +221,8 @@
     nodes_[node].direct_calls.erase(id);
     feed(node, WorkerResponseReceived{id, 0, {}});
   };
-  if (nodes_[node].direct_calls.size() >= settings_[node].limits.sockets / 4) return at(now_, fail);
+  if (nodes_[node].direct_calls.size() >= settings_[node].process_limits.sockets / 4)
+    return at(now_, fail);
   nodes_[node].direct_calls.insert(call.call);
   send_direct_command(node, call.call, call.address, call.body);
   at(now_ + call.timeout_ms, fail);
@@ -264,8 +265,8 @@
                               const PeerMessage& message) {
   if (message.kind == PeerMessage::Kind::Request) {
     const PeerRequest& request = message.request;
-    const RequestSource source{RequestSource::Kind::Peer, link, request.call};
-    if (request.op != UserOp::Heartbeat)
+    const RequestSource source{RequestSource::Kind::Peer, link, request.call_id};
+    if (request.op != RequestOp::Heartbeat)
       return feed(to, UserRequest{source, request.op, request.id, request.body, request.relay});
     if (auto heartbeat = decode_heartbeat(request.body))
       feed(to, HeartbeatReceived{source, *heartbeat, request.body});
--- a/sim/simulated_region.hpp
+++ b/sim/simulated_region.hpp
@@ -147,9 +147,9 @@
   /// Makes the job's user cancel it now.
   void cancel(const std::string& id);
   /// Sends one request to that node, in addition to those that the job's user sends.
-  void ask(const std::string& id, std::size_t node, UserOp op) { ask_for(id, node, op, {}); }
+  void ask(const std::string& id, std::size_t node, RequestOp op) { ask_for(id, node, op, {}); }
   /// Does the same; `then` gets the status of the response.
-  void ask_for(const std::string& id, std::size_t node, UserOp op,
+  void ask_for(const std::string& id, std::size_t node, RequestOp op,
                const std::function<void(int)>& then);
   /// Makes the users of `count` running jobs cancel them within 200 ms. If `hang_ms` is positive, a
   /// machine of each of the first eight hangs for that time.
@@ -417,9 +417,9 @@
   void schedule_user_tick(std::size_t user, Time when);
   /// Sends a request and returns the number of the call; `then` gets the response, unless it is
   /// lost or late.
-  std::uint64_t request(std::size_t node, UserOp op, const std::string& id, const std::string& body,
-                        std::function<void(int, const std::string&)> then);
-  void handle_user_response(std::size_t user, UserOp op, int status, const std::string& body);
+  std::uint64_t request(std::size_t node, RequestOp op, const std::string& id,
+                        const std::string& body, std::function<void(int, const std::string&)> then);
+  void handle_user_response(std::size_t user, RequestOp op, int status, const std::string& body);
   void poll_all_nodes(std::size_t user);
   void send_unusual_request(Time until);
   void cancel_job_of(std::size_t user);
--- a/sim/simulation_plan.cpp
+++ b/sim/simulation_plan.cpp
@@ -22,20 +22,20 @@
   settings.workers.cancel_s = 30;
   settings.workers.gang_wait_s = 20;
   settings.workers.gang_peer_s = 2;
-  settings.store.rps = 200;
-  settings.store.write_rps = 30;
-  settings.store.value_kb = 8;
-  settings.store.txn_ops = 16;
+  settings.store_limits.rps = 200;
+  settings.store_limits.write_rps = 30;
+  settings.store_limits.value_kb = 8;
+  settings.store_limits.txn_ops = 16;
   settings.cloud_limits.rps = 4;
   settings.cloud_limits.list_lag_s = 5;
-  settings.limits.memory_mb = 40;
-  settings.limits.sockets = 500;
+  settings.process_limits.memory_mb = 40;
+  settings.process_limits.sockets = 500;
   if (scale > 50) {  // settings for a fleet of many hundred machines
     settings.workers.heartbeat_interval_s = 2.5;
-    settings.store.rps = 900;
-    settings.store.write_rps = 90;
-    settings.limits.memory_mb = 128;
-    settings.limits.sockets = 1600;
+    settings.store_limits.rps = 900;
+    settings.store_limits.write_rps = 90;
+    settings.process_limits.memory_mb = 128;
+    settings.process_limits.sockets = 1600;
   }
   return settings;
 }
@@ -65,16 +65,17 @@
     // Controllers use the smaller of the current and the announced limit, as when settings are
     // read.
     if (plan.next_value_kb > 0)
-      settings.store.value_kb = std::min(settings.store.value_kb, plan.next_value_kb);
+      settings.store_limits.value_kb = std::min(settings.store_limits.value_kb, plan.next_value_kb);
     if (plan.next_txn_ops > 0)
-      settings.store.txn_ops = std::min(settings.store.txn_ops, plan.next_txn_ops);
+      settings.store_limits.txn_ops = std::min(settings.store_limits.txn_ops, plan.next_txn_ops);
     if (plan.next_write_rps > 0)
-      settings.store.write_rps = std::min(settings.store.write_rps, plan.next_write_rps);
+      settings.store_limits.write_rps =
+          std::min(settings.store_limits.write_rps, plan.next_write_rps);
     deployment.controllers.push_back(std::move(settings));
   }
   const Settings full = sample_settings(0, plan.scale);
-  deployment.kv_rps = full.store.rps;
-  deployment.kv_write_rps = full.store.write_rps;
+  deployment.kv_rps = full.store_limits.rps;
+  deployment.kv_write_rps = full.store_limits.write_rps;
   deployment.types = {sample_type()};
   for (const char* zone : {"za", "zb"}) {
     deployment.capacity[{zone, false}] = 4 * plan.scale;
--- a/sim/users.cpp
+++ b/sim/users.cpp
@@ -7,8 +7,8 @@
 
 constexpr Time kPollIntervalMs = 5'000, kQueryTimeoutMs = 2'000, kSubmitTimeoutMs = 5'000;
 
-Time response_timeout(UserOp op) {
-  return op == UserOp::Query ? kQueryTimeoutMs : kSubmitTimeoutMs;
+Time response_timeout(RequestOp op) {
+  return op == RequestOp::Query ? kQueryTimeoutMs : kSubmitTimeoutMs;
 }
 
 bool accepted(int status) { return status == 200 || status == 201; }
@@ -35,11 +35,11 @@
 void SimulatedRegion::submit_at(const JobSpec& spec, std::size_t node,
                                 const std::function<void(int)>& then) {
   checker_.submitted(spec);
-  request(node, UserOp::Submit, spec.id, encode_submission(spec),
+  request(node, RequestOp::Submit, spec.id, encode_submission(spec),
           [then](int status, const std::string&) { then(status); });
 }
 
-std::uint64_t SimulatedRegion::request(std::size_t node, UserOp op, const std::string& id,
+std::uint64_t SimulatedRegion::request(std::size_t node, RequestOp op, const std::string& id,
                                        const std::string& body,
                                        std::function<void(int, const std::string&)> then) {
   const std::uint64_t call = next_call_++;
@@ -48,7 +48,7 @@
     transmit(nodes_[node].name, kUsersHost, [then, status, text] { then(status, text); });
   };
   transmit(kUsersHost, nodes_[node].name, [this, node, call, op, id, body] {
-    const bool submits = op == UserOp::Submit;
+    const bool submits = op == RequestOp::Submit;
     feed(node,
          UserRequest{
              {RequestSource::Kind::Local, call, 0}, op, submits ? "" : id, submits ? body : ""});
@@ -67,13 +67,13 @@
   User& user = *users_[index];
   ++user.request_number;
   if (user.ended && now_ - user.first_submitted_at > plan_.length) return;
-  UserOp op = UserOp::Query;
+  RequestOp op = RequestOp::Query;
   if (user.accepted && user.cancel_at > 0 && now_ >= user.cancel_at && !user.ended) {
-    op = UserOp::Cancel;
+    op = RequestOp::Cancel;
     user.cancelling = true;
     checker_.cancel_requested(user.spec.id);
   } else if (!user.accepted || (user.ended && random_(4) == 0)) {
-    op = UserOp::Submit;  // until the job is accepted, and sometimes again when it is over
+    op = RequestOp::Submit;  // until the job is accepted, and sometimes again when it is over
   }
   std::vector<std::size_t> healthy;
   for (std::size_t node = 0; node < nodes_.size(); ++node)
@@ -102,13 +102,13 @@
   });
 }
 
-void SimulatedRegion::handle_user_response(std::size_t index, UserOp op, int status,
+void SimulatedRegion::handle_user_response(std::size_t index, RequestOp op, int status,
                                            const std::string& body) {
   User& user = *users_[index];
   if (user.call == 0) return;
   user.call = 0;
-  if (op == UserOp::Submit && status == 0) ++unanswered_submissions_;
-  if (op == UserOp::Cancel && status == 0) ++unanswered_cancellations_;
+  if (op == RequestOp::Submit && status == 0) ++unanswered_submissions_;
+  if (op == RequestOp::Cancel && status == 0) ++unanswered_cancellations_;
   if (accepted(status)) {
     const std::string state = decode_job_state(body);
     if (state.empty()) {
@@ -116,17 +116,17 @@
     } else {
       const bool first = !user.accepted;
       if (first) submission_delays_.push_back(now_ - user.first_submitted_at);
-      if (op == UserOp::Cancel) checker_.cancel_state_reported(user.spec.id, state);
+      if (op == RequestOp::Cancel) checker_.cancel_state_reported(user.spec.id, state);
       user.accepted = true;
       checker_.state_reported(user.spec.id, state, now_, user.requested_at);
       const bool just_ended = !user.ended && (state == "done" || state == "cancelled");
       user.ended = user.ended || just_ended;
       if ((first || just_ended) && now_ < poll_closely_until_) poll_all_nodes(index);
     }
-  } else if (op == UserOp::Query && status != 404) {
+  } else if (op == RequestOp::Query && status != 404) {
     checker_.poll_failed(user.spec.id, now_);
   } else if (status == 404 || status == 400 || status == 422) {
-    checker_.rejected(user.spec.id, status, op != UserOp::Submit, user.requested_at);
+    checker_.rejected(user.spec.id, status, op != RequestOp::Submit, user.requested_at);
   }
   const Time pause =
       accepted(status) ? (user.ended ? 20'000 : kPollIntervalMs) + static_cast<Time>(random_(1000))
@@ -136,20 +136,20 @@
 
 // A response of one node binds the responses of all nodes to later requests, so the checker gets
 // each of them.
-void SimulatedRegion::ask_for(const std::string& id, std::size_t node, UserOp op,
+void SimulatedRegion::ask_for(const std::string& id, std::size_t node, RequestOp op,
                               const std::function<void(int)>& then) {
   const auto it = user_by_job_.find(id);
   const std::string body = it == user_by_job_.end() ? "" : users_[it->second]->body;
   const Time requested_at = now_;
-  if (op == UserOp::Cancel) checker_.cancel_requested(id);
+  if (op == RequestOp::Cancel) checker_.cancel_requested(id);
   request(node, op, id, body, [=, this](int status, const std::string& text) {
     if (then) then(status);
-    if (op == UserOp::Cancel && accepted(status))
+    if (op == RequestOp::Cancel && accepted(status))
       checker_.cancel_state_reported(id, decode_job_state(text));
     if (accepted(status))
       checker_.state_reported(id, decode_job_state(text), now_, requested_at);
     else if (status == 404 || status == 400 || status == 422)
-      checker_.rejected(id, status, op != UserOp::Submit, requested_at);
+      checker_.rejected(id, status, op != RequestOp::Submit, requested_at);
   });
 }
 
@@ -158,8 +158,8 @@
   for (std::size_t repeat = 0; repeat < 3; ++repeat)
     for (std::size_t node = 0; node < nodes_.size(); ++node)
       at(now_ + random_(20) + static_cast<Time>(repeat) * 100,
-         [this, id, node] { ask(id, node, UserOp::Query); });
-  at(now_ + random_(20), [this, id] { ask(id, random_(node_count()), UserOp::Submit); });
+         [this, id, node] { ask(id, node, RequestOp::Query); });
+  at(now_ + random_(20), [this, id] { ask(id, random_(node_count()), RequestOp::Submit); });
   if (!users_[index]->ended && random_(8) == 0) cancel_job_of(index);
 }
 
@@ -184,8 +184,8 @@
   if (!users_.empty()) {
     // Repeats the submission of a random job, and cancels the job as well if it is over.
     const User& user = *users_[random_(static_cast<std::uint32_t>(users_.size()))];
-    if (user.accepted) ask(user.spec.id, node, UserOp::Submit);
-    if (user.ended) ask(user.spec.id, random_(node_count()), UserOp::Cancel);
+    if (user.accepted) ask(user.spec.id, node, RequestOp::Submit);
+    if (user.ended) ask(user.spec.id, random_(node_count()), RequestOp::Cancel);
   }
   JobSpec spec;
   spec.id = "job-77" + std::to_string(next_unusual_job_++);
@@ -199,7 +199,7 @@
   if (kind == 1) spec.team = "nobody";
   std::string body = encode_submission(spec);
   if (kind == 2) body.replace(body.find("\"ram_gb\""), 8, "\"ram_xx\"");
-  const UserOp op = kind == 3 ? UserOp::Query : UserOp::Submit;
+  const RequestOp op = kind == 3 ? RequestOp::Query : RequestOp::Submit;
   request(node, op, spec.id, body, [this, id = spec.id](int status, const std::string&) {
     if (accepted(status)) checker_.accepted_unfit(id);
   });
--- a/sim/workers.cpp
+++ b/sim/workers.cpp
@@ -23,7 +23,8 @@
   heartbeat.seq = ++worker.seq;
   heartbeat.fencing_token = worker.fencing_token;
   if (worker.preemption_at > 0)
-    heartbeat.notice_s = static_cast<double>(std::max<Time>(0, worker.preemption_at - now_)) / 1000;
+    heartbeat.reclaim_in_s =
+        static_cast<double>(std::max<Time>(0, worker.preemption_at - now_)) / 1000;
   for (const auto& [key, attempts] : worker.tasks)
     for (const TaskAttempt& task : attempts) heartbeat.tasks.push_back(task.status);
   return heartbeat;
--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -41,7 +41,7 @@
         sockets_(distribute_sockets(settings, PeerNetwork::region_link_count(options.federation))),
         service_client_(loop_, sockets_.services),
         worker_client_(loop_, sockets_.worker_calls),
-        server_(loop_, settings.listen, sockets_.server, kMaxBody, kIdleTimeoutMs,
+        server_(loop_, settings.listen, sockets_.server, kMaxBodyBytes, kIdleTimeoutMs,
                 [this](ServerRequest request) { handle_http_request(std::move(request)); }),
         peer_network_(loop_, settings_, options.federation, sockets_.links,
                       {[this](std::uint64_t link, PeerMessage message) {
@@ -108,7 +108,7 @@
   void execute(const CallKvStore& action) {
     const HttpRequest http = encode_kv_request(action.request);
     service_client_.request(
-        settings_.state, http.method, http.path, http.body, action.timeout_ms, true,
+        settings_.store_endpoint, http.method, http.path, http.body, action.timeout_ms, true,
         [this, call = action.call, request = action.request](int status, std::string_view body) {
           feed(KvResponseReceived{call, decode_kv_response(request, status, body).value_or({})});
         });
@@ -117,7 +117,7 @@
   void execute(const CallCloud& action) {
     const HttpRequest http = encode_cloud_request(action.request);
     service_client_.request(
-        settings_.cloud, http.method, http.path, http.body, action.timeout_ms, true,
+        settings_.cloud_endpoint, http.method, http.path, http.body, action.timeout_ms, true,
         [this, call = action.call, request = action.request](int status, std::string_view body) {
           feed(CloudResponseReceived{call,
                                      decode_cloud_response(request, status, body).value_or({})});
@@ -179,7 +179,7 @@
     constexpr std::string_view kJobsPath = "/v1/jobs";
     if (path == kJobsPath) {
       if (request.method != "POST") return respond_error(405, "method not allowed");
-      return feed(UserRequest{source, UserOp::Submit, {}, std::move(request.body)});
+      return feed(UserRequest{source, RequestOp::Submit, {}, std::move(request.body)});
     }
     if (!path.starts_with("/v1/jobs/")) return respond_error(404, "no such path");
     std::string_view id = path.substr(kJobsPath.size() + 1);
@@ -190,7 +190,7 @@
     if (request.method != (cancel ? "POST" : "GET"))
       return respond_error(405, "method not allowed");
     if (!valid_job_id(id)) return respond_error(404, "no such job");
-    feed(UserRequest{source, cancel ? UserOp::Cancel : UserOp::Query, std::string(id), {}});
+    feed(UserRequest{source, cancel ? RequestOp::Cancel : RequestOp::Query, std::string(id), {}});
   }
 
   void handle_peer_message(std::uint64_t link, PeerMessage message) {
@@ -201,8 +201,8 @@
             return feed(PeerMessageReceived{peer, std::move(message)});
         return;
       case PeerMessage::Kind::Request: {
-        const RequestSource source{RequestSource::Kind::Peer, link, message.request.call};
-        if (message.request.op != UserOp::Heartbeat)
+        const RequestSource source{RequestSource::Kind::Peer, link, message.request.call_id};
+        if (message.request.op != RequestOp::Heartbeat)
           return feed(UserRequest{source, message.request.op, std::move(message.request.id),
                                   std::move(message.request.body), message.request.relay});
         auto heartbeat = decode_heartbeat(message.request.body);
--- a/src/app/peer_network.cpp
+++ b/src/app/peer_network.cpp
@@ -18,8 +18,8 @@
 constexpr double kMaxBatchesPerHeartbeat = 40, kMinBatchesPerHeartbeat = 8;
 
 std::size_t max_backlog_bytes(const Settings& settings) {
-  return static_cast<std::size_t>(std::max(1.0, settings.limits.memory_mb * kLinkMemoryShare) *
-                                  kBytesPerMiB);
+  return static_cast<std::size_t>(
+      std::max(1.0, settings.process_limits.memory_mb * kLinkMemoryShare) * kBytesPerMiB);
 }
 
 PeerLinks::Batching batching(const Settings& settings) {
@@ -35,8 +35,8 @@
 // controllers' heartbeats are urgent.
 Urgency urgency_of(const PeerMessage& message) {
   if (message.kind != PeerMessage::Kind::Request) return Urgency::Now;
-  const UserOp op = message.request.op;
-  return op == UserOp::Heartbeat || op == UserOp::Query ? Urgency::MayWait : Urgency::Now;
+  const RequestOp op = message.request.op;
+  return op == RequestOp::Heartbeat || op == RequestOp::Query ? Urgency::MayWait : Urgency::Now;
 }
 
 }  // namespace
--- a/src/controller/actions.hpp
+++ b/src/controller/actions.hpp
@@ -22,7 +22,7 @@
 /// A user's request, received from the user or forwarded by a peer.
 struct UserRequest {
   RequestSource source;
-  UserOp op = UserOp::Query;
+  RequestOp op = RequestOp::Query;
   std::string id;      // empty for a submission
   std::string body;    // of a submission
   bool relay = false;  // forwarded by a peer that has no path to the leader
--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -150,7 +150,7 @@
     if (listed.state == ListedMachine::State::Failed && !machine.terminating)
       terminate_instance(machine, TerminationCause::LaunchFailed);
   }
-  if (reply.more && !reply.machines.empty()) {
+  if (reply.has_more && !reply.machines.empty()) {
     list_cursor_ = reply.machines.back().name;
     return request_machine_list();
   }
--- a/src/controller/capacity_check.cpp
+++ b/src/controller/capacity_check.cpp
@@ -36,7 +36,7 @@
 }  // namespace
 
 SocketShares distribute_sockets(const Settings& settings, std::size_t region_links) {
-  const std::size_t sockets = settings.limits.sockets;
+  const std::size_t sockets = settings.process_limits.sockets;
   SocketShares shares;
   shares.services = sockets / kServicesSocketDivisor;
   shares.worker_calls = sockets / kWorkerCallsSocketDivisor;
@@ -54,10 +54,11 @@
   const std::size_t controllers_up = std::max<std::size_t>(1, settings.peers.size());
   const double connections =
       static_cast<double>(controllers_up * distribute_sockets(settings, 0).server);
-  const double writes_per_s = settings.store.write_rps * options.write_share;
+  const double writes_per_s = settings.store_limits.write_rps * options.write_share;
   const CapacityLimit limits[] = {
       {"sockets", connections * kWorkerConnectionsRatio},
-      {"memory", std::max(0.0, settings.limits.memory_mb - kLeaderBaseMb) / kLeaderMbPerMachine},
+      {"memory",
+       std::max(0.0, settings.process_limits.memory_mb - kLeaderBaseMb) / kLeaderMbPerMachine},
       {"state_writes", writes_per_s * boot_s * kMachinesPerShard},
   };
   return *std::min_element(
--- a/src/controller/checkpoint_transaction.cpp
+++ b/src/controller/checkpoint_transaction.cpp
@@ -27,7 +27,7 @@
 }
 
 std::size_t scale_out_size(const ScaleOutRequest& scale_out) {
-  return kPunctuationBytes + scale_out.request.size() + scale_out.type.size() +
+  return kPunctuationBytes + scale_out.request_id.size() + scale_out.type.size() +
          scale_out.zone.size();
 }
 
@@ -60,7 +60,7 @@
 
 std::size_t CheckpointWriter::operations_limit() const {
   return std::max<std::size_t>(1 + kMinWritesBesideManifest,
-                               settings_.store.txn_ops >> rejected_commits_);
+                               settings_.store_limits.txn_ops >> rejected_commits_);
 }
 
 // Builds the next commit and sends it.
--- a/src/controller/checkpoint_writer.cpp
+++ b/src/controller/checkpoint_writer.cpp
@@ -111,7 +111,7 @@
 }
 
 std::size_t CheckpointWriter::max_open_requests() const {
-  return settings_.limits.sockets * (1 + peers_.size());
+  return settings_.process_limits.sockets * (1 + peers_.size());
 }
 
 bool CheckpointWriter::is_leader_in_term(std::uint64_t term) const {
@@ -151,7 +151,7 @@
   if (!commit_is_urgent())
     needed += kMinWritesBesideManifest + kBackgroundReserveShare * outbox_.write_budget().burst();
   if (!outbox_.write_budget().allows(needed, clock_.now)) return;
-  if (!outbox_.kv_budget_allows(settings_.store.rps / 10)) return;
+  if (!outbox_.kv_budget_allows(settings_.store_limits.rps / 10)) return;
   start_commit();
 }
 
@@ -161,8 +161,8 @@
 
 std::size_t CheckpointWriter::max_value_bytes(double fill) const {
   const double divisor = std::exp2(static_cast<double>(rejected_commits_));
-  return static_cast<std::size_t>(std::max(kMinValueKb, settings_.store.value_kb / divisor) * 1024 *
-                                  fill);
+  return static_cast<std::size_t>(std::max(kMinValueKb, settings_.store_limits.value_kb / divisor) *
+                                  1024 * fill);
 }
 
 // Sends the commit in flight, for the first time or again. A commit without a response may have
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -107,7 +107,7 @@
   [[nodiscard]] bool can_stop_promptly(const Job& job) const;
   void reject_cancel_waits(const std::string& id);
   std::optional<std::size_t> relaying_peer();
-  void forward(const RequestSource& source, UserOp op, const std::string& id, std::string body,
+  void forward(const RequestSource& source, RequestOp op, const std::string& id, std::string body,
                std::size_t peer, std::uint64_t fencing_token = 0, bool relay = false);
   void handle_peer_response(std::size_t peer, const PeerResponse& response);
   void user_request_tick();
@@ -331,7 +331,7 @@
   /// Clears the failures recorded in this pass. Called when room has grown, as requests that failed
   /// earlier may succeed now.
   void clear_failed_requests();
-  using Queues = std::array<std::vector<Job*>, kPriorities>;
+  using Queues = std::array<std::vector<Job*>, kPriorityCount>;
   [[nodiscard]] Queues mark_guaranteed_jobs();
   void sort_queue(std::vector<Job*>& jobs) const;
   [[nodiscard]] bool never_all_at_once(const JobSpec& spec) const;
@@ -499,7 +499,7 @@
   /// A request that was forwarded to a peer and has not been answered yet.
   struct Forwarded {
     RequestSource source;
-    UserOp op = UserOp::Query;
+    RequestOp op = RequestOp::Query;
     std::string id;  // of the job, or the name of the machine that sent the heartbeat
     std::size_t peer = 0;
     Time sent = 0, until = 0;
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -23,9 +23,9 @@
 
 void Controller::handle_user_request(const UserRequest& request) {
   if (holds_valid_lease(clock_.now)) {
-    if (request.op == UserOp::Submit) return lead_submit(request);
-    if (request.op == UserOp::Query) return lead_query(request);
-    if (request.op == UserOp::Cancel) return lead_cancel(request);
+    if (request.op == RequestOp::Submit) return lead_submit(request);
+    if (request.op == RequestOp::Query) return lead_query(request);
+    if (request.op == RequestOp::Cancel) return lead_cancel(request);
     return;
   }
   // A request is forwarded once, or twice if its first receiver has no path to the leader. Without
@@ -35,14 +35,14 @@
   if (const auto leader = peers_.leader(clock_.now); leader && may_forward) {
     // A leader of a version without gang scheduling would accept the job but not schedule it as a
     // gang.
-    if (request.op == UserOp::Submit && !peers_[*leader].understands_gangs &&
+    if (request.op == RequestOp::Submit && !peers_[*leader].understands_gangs &&
         is_gang_submission(request.body))
       return outbox_.reject(request.source, RejectReason::GangsNotEnabled);
     return forward(request.source, request.op, request.id, request.body, *leader);
   }
   if (request.source.kind != RequestSource::Kind::Local)
     return outbox_.reject(request.source, RejectReason::NoLeader);
-  if (request.op == UserOp::Query) return look_up_in_checkpoint(request.source, request.id);
+  if (request.op == RequestOp::Query) return look_up_in_checkpoint(request.source, request.id);
   const std::optional<std::size_t> relay = relaying_peer();
   if (!relay || !may_forward) return outbox_.reject(request.source, RejectReason::NoLeader);
   forward(request.source, request.op, request.id, request.body, *relay, 0, true);
@@ -192,11 +192,11 @@
     checkpoint_.respond_after_commit(job, wait.source, 200);
 }
 
-void Controller::forward(const RequestSource& source, UserOp op, const std::string& id,
+void Controller::forward(const RequestSource& source, RequestOp op, const std::string& id,
                          std::string body, std::size_t peer, std::uint64_t fencing_token,
                          bool relay) {
   const std::uint64_t call = next_forward_++;
-  const bool commits = op == UserOp::Submit || op == UserOp::Cancel;
+  const bool commits = op == RequestOp::Submit || op == RequestOp::Cancel;
   const Time now = clock_.now;
   forwarded_[call] = {source,       op,
                       id,           peer,
@@ -204,13 +204,13 @@
                       fencing_token};
   PeerMessage message;
   message.kind = PeerMessage::Kind::Request;
-  message.request = {call, op, op == UserOp::Heartbeat ? std::string() : id, std::move(body),
+  message.request = {call, op, op == RequestOp::Heartbeat ? std::string() : id, std::move(body),
                      relay};
   outbox_.send_to_peer(peer, std::move(message));
 }
 
 void Controller::handle_peer_response(std::size_t, const PeerResponse& response) {
-  const auto entry = forwarded_.extract(response.call);
+  const auto entry = forwarded_.extract(response.call_id);
   if (!entry) return;
   const Forwarded& forwarded = entry.mapped();
   // The leader's response says how long it is valid from the time when it was sent. Counting from
@@ -220,16 +220,16 @@
   const Time valid_until =
       response.valid_ms ? forwarded.sent + *response.valid_ms - *response.valid_ms / 500 : kNever;
   const bool late = clock_.now >= std::min(forwarded.until, valid_until);
-  if (late || (response.status == 503 && forwarded.op == UserOp::Query))
+  if (late || (response.status == 503 && forwarded.op == RequestOp::Query))
     return handle_forward_timeout(forwarded);
   outbox_.respond(forwarded.source, response.status, response.body, response.retry_after_s,
                   valid_until);
 }
 
 void Controller::handle_forward_timeout(const Forwarded& forwarded) {
-  if (forwarded.op == UserOp::Query)
+  if (forwarded.op == RequestOp::Query)
     look_up_in_checkpoint(forwarded.source, forwarded.id);
-  else if (forwarded.op == UserOp::Heartbeat)
+  else if (forwarded.op == RequestOp::Heartbeat)
     // The worker isn't redirected: if its zone has just been partitioned, it could reach no other
     // controller and would lose its lease.
     keep_alive(forwarded.source, forwarded.id, forwarded.fencing_token, false);
@@ -275,7 +275,8 @@
     if (!holds_valid_lease(clock_.now)) return;
     auto waiting = std::move(lookups_);
     lookups_.clear();
-    for (const Lookup& lookup : waiting) lead_query({lookup.source, UserOp::Query, lookup.id, {}});
+    for (const Lookup& lookup : waiting)
+      lead_query({lookup.source, RequestOp::Query, lookup.id, {}});
     return;
   }
   // A candidate is about to learn whether it leads. Its reads of the checkpoint must not share a
@@ -289,7 +290,7 @@
   // The response to a watch has no size limit, and most of it is changes to the same keys. If more
   // than a page of changes may have accumulated at the full write rate, the keys are listed again
   // instead. A watch after minutes without a lookup once took 19 MB of memory.
-  const double kb_per_s = settings_.store.write_rps * settings_.store.value_kb;
+  const double kb_per_s = settings_.store_limits.write_rps * settings_.store_limits.value_kb;
   if (static_cast<double>(clock_.now - snapshot_read_at_) / 1000.0 * kb_per_s > kKvPageKb)
     snapshot_loaded_ = false;
   if (!snapshot_loaded_) {
@@ -328,7 +329,7 @@
     // page again, and the sequence number in each record tells which version of the record is the
     // latest.
     const std::uint64_t first_revision = revision == 0 ? response.revision : revision;
-    if (response.more && !response.items.empty())
+    if (response.has_more && !response.items.empty())
       return list_snapshot_keys(response.items.back().key, first_revision);
     snapshot_loaded_ = true;
     snapshot_revision_ = first_revision;
--- a/src/controller/keepalive.cpp
+++ b/src/controller/keepalive.cpp
@@ -42,7 +42,7 @@
   if (!peer)
     return keep_alive(input.source, input.heartbeat.machine, input.heartbeat.fencing_token, true);
   if (!redirect_to_own_zone(input))
-    forward(input.source, UserOp::Heartbeat, input.heartbeat.machine, input.encoded, *peer,
+    forward(input.source, RequestOp::Heartbeat, input.heartbeat.machine, input.encoded, *peer,
             input.heartbeat.fencing_token);
 }
 
--- a/src/controller/outbox.cpp
+++ b/src/controller/outbox.cpp
@@ -22,10 +22,10 @@
 Outbox::Outbox(const Settings& settings, const Options& options, const Clock& clock)
     : settings_(settings),
       clock_(clock),
-      kv_limiter_(settings.store.rps * options.state_share,
-                  settings.store.rps * options.state_share),
-      write_limiter_(settings.store.write_rps * options.write_share,
-                     settings.store.write_rps * options.write_share),
+      kv_limiter_(settings.store_limits.rps * options.state_share,
+                  settings.store_limits.rps * options.state_share),
+      write_limiter_(settings.store_limits.write_rps * options.write_share,
+                     settings.store_limits.write_rps * options.write_share),
       cloud_limiter_(settings.cloud_limits.rps * kCloudRateShare,
                      settings.cloud_limits.rps * kCloudBurstSeconds) {}
 
@@ -43,7 +43,8 @@
 
 bool Outbox::call_kv_store(KvRequest request, KvContinuation continuation, KvUrgency urgency) {
   const bool urgent = urgency == KvUrgency::Urgent;
-  if (!urgent && !kv_budget_allows(1 + settings_.store.rps * kUrgentKvReserveShare)) return false;
+  if (!urgent && !kv_budget_allows(1 + settings_.store_limits.rps * kUrgentKvReserveShare))
+    return false;
   kv_limiter_.spend(1, clock_.now);
   const std::uint64_t call = next_call_++;
   const bool watch = request.kind == KvRequest::Kind::Watch;
@@ -72,7 +73,7 @@
 }
 
 bool Outbox::worker_call_limit_reached() const {
-  return worker_calls_.size() >= settings_.limits.sockets / kSocketsPerWorkerCall;
+  return worker_calls_.size() >= settings_.process_limits.sockets / kSocketsPerWorkerCall;
 }
 
 void Outbox::drop_leader_calls() {
--- a/src/controller/peer_table.cpp
+++ b/src/controller/peer_table.cpp
@@ -23,12 +23,13 @@
   view.leading = heartbeat.leading;
   view.epoch = heartbeat.epoch;
   view.hears_leader = heartbeat.hears_leader;
-  view.holding = heartbeat.holding;
-  view.hears_workers = heartbeat.hears_workers;
-  view.understands_gangs = heartbeat.understands_gangs;
-  view.shares_limits = heartbeat.shares_limits;
-  if (heartbeat.kept_alive_ms)
-    view.kept_alive_at = std::max(view.kept_alive_at, now - Time{*heartbeat.kept_alive_ms});
+  view.holding = heartbeat.keeps_workers_alive;
+  view.hears_workers = heartbeat.receives_worker_heartbeats;
+  view.understands_gangs = heartbeat.supports_gangs;
+  view.shares_limits = heartbeat.supports_quota_shares;
+  if (heartbeat.last_kept_alive_ms_ago)
+    view.kept_alive_at =
+        std::max(view.kept_alive_at, now - Time{*heartbeat.last_kept_alive_ms_ago});
   if (heartbeat.acknowledged_incarnation == own_incarnation_)
     view.acknowledged_sent_at =
         std::max(view.acknowledged_sent_at, Time{heartbeat.acknowledged_clock});
--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -202,7 +202,7 @@
     for (const CachedImage& image : machine->images)
       if (const auto found = tables_.image_priority.find(image.name);
           found != tables_.image_priority.end())
-        for (auto priority = static_cast<std::size_t>(found->second) + 1; priority < kPriorities;
+        for (auto priority = static_cast<std::size_t>(found->second) + 1; priority < kPriorityCount;
              ++priority)
           ++machine->higher_priority_images[priority];
   }
@@ -217,7 +217,7 @@
 
 // The number of rankings that fit into the rankings' share of the memory.
 std::size_t Controller::max_rankings() const {
-  const double bytes = settings_.limits.memory_mb * 1024 * 1024 * kRankingMemoryShare;
+  const double bytes = settings_.process_limits.memory_mb * 1024 * 1024 * kRankingMemoryShare;
   const auto machines = static_cast<double>(tables_.machines.size() + 1);
   return static_cast<std::size_t>(
       std::max(kMinRankings, bytes / (kRankingBytesPerMachine * machines)));
--- a/src/controller/preemption.cpp
+++ b/src/controller/preemption.cpp
@@ -49,7 +49,7 @@
         stops.push_back({Command::Op::Stop, attempt.key, attempt.attempt, attempt.grace_s});
     if (stops.empty()) continue;
     outbox_.call_worker(
-        machine->address, encode_direct(election_.epoch(), machine->incarnation, stops),
+        machine->address, encode_command_request(election_.epoch(), machine->incarnation, stops),
         commands_valid_until(),
         [this, name = machine->name, sent = clock_.now](int status,
                                                         const std::optional<Heartbeat>& heartbeat) {
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -42,7 +42,7 @@
           return load_checkpoint(start_key, revision);
         }
         for (const KvItem& item : response.items) loading_snapshot_.apply(item);
-        if (response.more && !response.items.empty())
+        if (response.has_more && !response.items.empty())
           return load_checkpoint(response.items.back().key, response.revision);
         begin_reconciliation();
       },
@@ -103,7 +103,7 @@
 void Controller::load_scale_outs(const Snapshot& checkpoint) {
   for (const ScaleOutRequest& scale_out : checkpoint.manifest.scale_outs)
     if (checkpoint_.scale_out_fits(scale_out))
-      pending_scale_outs_[scale_out.request] = {scale_out, true, false, clock_.now, clock_.now};
+      pending_scale_outs_[scale_out.request_id] = {scale_out, true, false, clock_.now, clock_.now};
 }
 
 void Controller::load_jobs(Snapshot& checkpoint) {
@@ -244,7 +244,7 @@
   const std::string name = target.name;
   const Time sent = clock_.now;
   outbox_.call_worker(
-      target.address, encode_direct(election_.epoch(), target.probe_incarnation, {}),
+      target.address, encode_command_request(election_.epoch(), target.probe_incarnation, {}),
       commands_valid_until(),
       [this, name, sent](int status, const std::optional<Heartbeat>& heartbeat) {
         Machine* machine = tables_.machine(name);
--- a/src/federation/team_load.hpp
+++ b/src/federation/team_load.hpp
@@ -11,7 +11,7 @@
 namespace sailreel::federation {
 
 /// Indexed by `Priority`.
-using AmountsByPriority = std::array<Amounts, kPriorities>;
+using AmountsByPriority = std::array<Amounts, kPriorityCount>;
 
 /// What one team uses and waits for. Every task attempt that may be on a machine counts as used,
 /// including starts in flight, tasks whose machine is not known, and reservations for gangs.
--- a/src/protocol/cloud_codec.cpp
+++ b/src/protocol/cloud_codec.cpp
@@ -60,7 +60,7 @@
                                         : ListedMachine::State::Booting;
     out.machines.push_back(std::move(machine));
   }
-  json::get(doc, "has_next", out.more);
+  json::get(doc, "has_next", out.has_more);
   return {};
 }
 
@@ -80,7 +80,7 @@
       json::Writer writer(buffer);
       writer.StartObject();
       writer.Key("charter");
-      json::put(writer, request.scale_out.request);
+      json::put(writer, request.scale_out.request_id);
       writer.Key("hull");
       json::put(writer, request.scale_out.type);
       writer.Key("harbor");
--- a/src/protocol/fake_server_codec.cpp
+++ b/src/protocol/fake_server_codec.cpp
@@ -18,7 +18,7 @@
 void write_task(json::Writer& writer, const TaskStatus& task) {
   json::ObjectWriter object(writer);
   object.text("hand", task_name(task.key));
-  object.whole("launch", task.attempt);
+  object.integer("launch", task.attempt);
   object.text("heading", kRunStateNames.at(static_cast<std::size_t>(task.state)));
   if (task.state == RunState::Exited)
     object.text("wake", kExitCauseNames.at(static_cast<std::size_t>(task.cause)));
@@ -129,7 +129,7 @@
   json::ObjectWriter object(writer);
   object.text("path", item.key);
   object.raw_json("data", item.value);
-  object.whole("mark", item.version);
+  object.integer("mark", item.version);
   object.end();
 }
 
@@ -137,7 +137,7 @@
   json::ObjectWriter object(writer);
   object.text(item.deleted ? "drop" : "set", item.key);
   if (!item.deleted) object.raw_json("data", item.value);
-  object.whole("mark", item.version);
+  object.integer("mark", item.version);
   object.end();
 }
 
@@ -152,13 +152,13 @@
   json::ObjectWriter object(writer);
   if (request.kind == Kind::List) {
     object.list("pairs", response.items, [&](const KvItem& item) { write_item(writer, item); });
-    object.boolean("has_next", response.more);
+    object.boolean("has_next", response.has_more);
   } else if (request.kind == Kind::Watch) {
     object.list("log", response.items, [&](const KvItem& item) { write_change(writer, item); });
   } else if (request.kind == Kind::Grant) {
-    object.whole("mooring", response.lease);
+    object.integer("mooring", response.lease);
   }
-  object.whole("tide", response.revision);
+  object.integer("tide", response.revision);
   object.end();
   return json::text(buffer);
 }
@@ -168,7 +168,7 @@
   CloudRequest request;
   request.kind = CloudRequest::Kind::ScaleOut;
   std::uint64_t count = 0;
-  if (!json::parse_object(body, doc) || !json::get(doc, "charter", request.scale_out.request) ||
+  if (!json::parse_object(body, doc) || !json::get(doc, "charter", request.scale_out.request_id) ||
       !json::get(doc, "hull", request.scale_out.type) ||
       !json::get(doc, "harbor", request.scale_out.zone) || !json::get(doc, "how_many", count))
     return {};
@@ -233,7 +233,7 @@
     case CloudRequest::Kind::List:
       object.list("vessels", response.machines,
                   [&](const ListedMachine& m) { write_machine(writer, m); });
-      object.boolean("has_next", response.more);
+      object.boolean("has_next", response.has_more);
       break;
     case CloudRequest::Kind::Terminate:
       break;
@@ -255,10 +255,10 @@
   object.text("hull", heartbeat.type);
   object.text("harbor", heartbeat.zone);
   object.boolean("driftwood", heartbeat.spot);
-  object.whole("watch", heartbeat.incarnation);
-  object.whole("bell", heartbeat.seq);
-  object.whole("helm", heartbeat.fencing_token);
-  if (heartbeat.notice_s) object.number("recall_s", *heartbeat.notice_s);
+  object.integer("watch", heartbeat.incarnation);
+  object.integer("bell", heartbeat.seq);
+  object.integer("helm", heartbeat.fencing_token);
+  if (heartbeat.reclaim_in_s) object.number("recall_s", *heartbeat.reclaim_in_s);
   object.list("hands", heartbeat.tasks, [&](const TaskStatus& task) { write_task(writer, task); });
   object.end();
   return json::text(buffer);
@@ -288,8 +288,8 @@
 }
 
 std::string encode_submission(const JobSpec& spec) {
-  static constexpr std::array<const char*, kPriorities> kPriorityNames{"critical", "urgent",
-                                                                       "standard", "best_effort"};
+  static constexpr std::array<const char*, kPriorityCount> kPriorityNames{
+      "critical", "urgent", "standard", "best_effort"};
   rapidjson::StringBuffer buffer;
   json::Writer writer(buffer);
   json::ObjectWriter object(writer);
@@ -300,7 +300,7 @@
                      : spec.kind == JobKind::Service ? "service"
                                                      : "gang");
   object.text("precedence", kPriorityNames.at(static_cast<std::size_t>(spec.priority)));
-  object.whole("hands", spec.tasks);
+  object.integer("hands", spec.tasks);
   object.number("cores", spec.need.cpus);
   object.number("cards", spec.need.gpus);
   object.number("ram_gb", spec.need.memory_gb);
@@ -327,7 +327,7 @@
   return state;
 }
 
-std::optional<KvRequest> decode_state_call(std::string_view method, std::string_view path,
+std::optional<KvRequest> decode_kv_request(std::string_view method, std::string_view path,
                                            std::string_view body) {
   constexpr std::string_view kStorePath = "/store", kWatchPath = "/follow", kLeasesPath = "/leases";
   if (path == "/multi" && method == "POST") return decode_transaction(body);
@@ -355,14 +355,14 @@
   return request;
 }
 
-ServiceResponse encode_state_reply(const KvRequest& request, const KvResponse& response) {
+ServiceResponse encode_kv_response(const KvRequest& request, const KvResponse& response) {
   if (response.status == 200 || response.status == 404)
     return {response.status, encode_kv_body(request, response)};
   return {response.status, error_body(response.status == 400 ? "no such lease" : "trouble")};
 }
 
-std::optional<CloudRequest> decode_cloud_call(std::string_view method, std::string_view path,
-                                              std::string_view body) {
+std::optional<CloudRequest> decode_cloud_request(std::string_view method, std::string_view path,
+                                                 std::string_view body) {
   CloudRequest request;
   if (method == "GET" && path == "/flavors") return request;
   if (method == "GET" && path.starts_with("/machines")) {
@@ -376,7 +376,7 @@
   return {};
 }
 
-ServiceResponse encode_cloud_reply(const CloudRequest& request, const CloudResponse& response) {
+ServiceResponse encode_cloud_response(const CloudRequest& request, const CloudResponse& response) {
   if (response.status == 200) return {response.status, encode_cloud_body(request, response)};
   return {response.status, error_body(response.no_capacity ? "no capacity" : "trouble")};
 }
--- a/src/protocol/fake_server_codec.hpp
+++ b/src/protocol/fake_server_codec.hpp
@@ -46,15 +46,15 @@
 };
 
 /// Decodes an HTTP request to the key-value store. Empty if it is malformed.
-std::optional<KvRequest> decode_state_call(std::string_view method, std::string_view path,
+std::optional<KvRequest> decode_kv_request(std::string_view method, std::string_view path,
                                            std::string_view body);
 /// Encodes the key-value store's response to `request`.
-ServiceResponse encode_state_reply(const KvRequest& request, const KvResponse& response);
+ServiceResponse encode_kv_response(const KvRequest& request, const KvResponse& response);
 
 /// Decodes an HTTP request to the cloud provider. Empty if it is malformed.
-std::optional<CloudRequest> decode_cloud_call(std::string_view method, std::string_view path,
-                                              std::string_view body);
+std::optional<CloudRequest> decode_cloud_request(std::string_view method, std::string_view path,
+                                                 std::string_view body);
 /// Encodes the cloud provider's response to `request`.
-ServiceResponse encode_cloud_reply(const CloudRequest& request, const CloudResponse& response);
+ServiceResponse encode_cloud_response(const CloudRequest& request, const CloudResponse& response);
 
 }  // namespace sailreel
--- a/src/protocol/json_object.hpp
+++ b/src/protocol/json_object.hpp
@@ -28,7 +28,7 @@
     writer_.Key(name);
     writer_.Double(value);
   }
-  void whole(const char* name, std::uint64_t value) {
+  void integer(const char* name, std::uint64_t value) {
     writer_.Key(name);
     writer_.Uint64(value);
   }
--- a/src/protocol/kv_codec.cpp
+++ b/src/protocol/kv_codec.cpp
@@ -63,7 +63,7 @@
       if (!has_revision) return no_revision;
       const json::Value* list = json::member(doc, "pairs");
       if (list == nullptr) return DecodeError{DecodeErrorKind::InvalidField, "pairs"};
-      json::get(doc, "has_next", out.more);
+      json::get(doc, "has_next", out.has_more);
       return append_items(*list, "pairs", decode_item, out.items);
     }
     case Kind::Txn:
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -22,7 +22,7 @@
 enum class JobKind : std::uint8_t { Array, Service, Gang };
 /// Ordered from the highest to the lowest priority.
 enum class Priority : std::uint8_t { Production, High, Normal, Low };
-constexpr std::size_t kPriorities = 4;
+constexpr std::size_t kPriorityCount = 4;
 enum class Phase : std::uint8_t { Active, Done, Cancelled };
 
 struct Resources {
@@ -120,7 +120,7 @@
   /// `fencing_token` is the highest one that the worker has received.
   std::uint64_t incarnation = 0, seq = 0, fencing_token = 0;
   /// Seconds until the cloud provider reclaims the spot instance. Empty if none was announced.
-  std::optional<double> notice_s;
+  std::optional<double> reclaim_in_s;
   std::vector<TaskStatus> tasks;
 };
 
@@ -142,10 +142,10 @@
   std::vector<std::string> zones;
 };
 
-/// A request to launch `count` machines. `request` identifies it: a repeat with the same value
+/// A request to launch `count` machines. `request_id` identifies it: a repeat with the same value
 /// launches no further machines.
 struct ScaleOutRequest {
-  std::string request, type, zone;
+  std::string request_id, type, zone;
   bool spot = false;
   std::uint32_t count = 0;
 };
@@ -176,7 +176,7 @@
   std::vector<std::string> names;
   std::vector<ListedMachine> machines;
   /// Whether the list has another page.
-  bool more = false;
+  bool has_more = false;
   /// Whether the request was rejected because no such machines are available now, rather than
   /// because of an error.
   bool no_capacity = false;
@@ -225,11 +225,11 @@
   std::uint64_t revision = 0, lease = 0;
   std::vector<KvItem> items;
   /// Whether the list has another page.
-  bool more = false;
+  bool has_more = false;
 };
 
 /// The kind of a request that one controller forwards to another. The values are part of the frame
 /// format.
-enum class UserOp : std::uint8_t { Submit = 0, Query = 1, Cancel = 2, Heartbeat = 3 };
+enum class RequestOp : std::uint8_t { Submit = 0, Query = 1, Cancel = 2, Heartbeat = 3 };
 
 }  // namespace sailreel
--- a/src/protocol/peer_frames.cpp
+++ b/src/protocol/peer_frames.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint8_t kVersion = 4;
 constexpr std::size_t kMaxNameBytes = 256;
 /// The largest body of a request, plus room for its id and its fixed part.
-constexpr std::size_t kMaxPayloadBytes = kMaxBody + 1024;
+constexpr std::size_t kMaxPayloadBytes = kMaxBodyBytes + 1024;
 
 #pragma pack(push, 1)
 struct FrameHeader {
@@ -97,29 +97,29 @@
   heartbeat.epoch = body.epoch;
   heartbeat.leading = (body.flags & kLeadingFlag) != 0;
   heartbeat.hears_leader = (body.flags & kHearsLeaderFlag) != 0;
-  heartbeat.holding = (body.flags & kHoldingFlag) != 0;
-  heartbeat.hears_workers = (body.flags & kHearsWorkersFlag) != 0;
-  heartbeat.understands_gangs = (body.flags & kUnderstandsGangsFlag) != 0;
-  heartbeat.shares_limits = (body.flags & kSharesLimitsFlag) != 0;
+  heartbeat.keeps_workers_alive = (body.flags & kHoldingFlag) != 0;
+  heartbeat.receives_worker_heartbeats = (body.flags & kHearsWorkersFlag) != 0;
+  heartbeat.supports_gangs = (body.flags & kUnderstandsGangsFlag) != 0;
+  heartbeat.supports_quota_shares = (body.flags & kSharesLimitsFlag) != 0;
   heartbeat.incarnation = body.incarnation;
   heartbeat.clock = body.clock;
   heartbeat.acknowledged_incarnation = body.acknowledged_incarnation;
   heartbeat.acknowledged_clock = body.acknowledged_clock;
-  heartbeat.keep_ms = body.keep_ms;
-  if ((body.flags & kKeptAliveFlag) != 0) heartbeat.kept_alive_ms = body.kept_alive_ms;
+  heartbeat.keep_alive_ms = body.keep_ms;
+  if ((body.flags & kKeptAliveFlag) != 0) heartbeat.last_kept_alive_ms_ago = body.kept_alive_ms;
   return heartbeat;
 }
 
 Decoded<PeerRequest> decode_request(std::string_view payload, bool relay) {
   RequestBody body;
   if (!consume(payload, body)) return DecodeError{DecodeErrorKind::Truncated, "request"};
-  if (body.op > static_cast<std::uint8_t>(UserOp::Heartbeat))
+  if (body.op > static_cast<std::uint8_t>(RequestOp::Heartbeat))
     return DecodeError{DecodeErrorKind::Unsupported, "op"};
   if (body.id_length > kMaxNameBytes) return DecodeError{DecodeErrorKind::InvalidField, "id"};
-  if (body.body_length > kMaxBody ||
+  if (body.body_length > kMaxBodyBytes ||
       payload.size() != std::size_t{body.id_length} + body.body_length)
     return DecodeError{DecodeErrorKind::InvalidField, "body"};
-  return PeerRequest{body.call_id, static_cast<UserOp>(body.op),
+  return PeerRequest{body.call_id, static_cast<RequestOp>(body.op),
                      std::string(payload.substr(0, body.id_length)),
                      std::string(payload.substr(body.id_length)), relay};
 }
@@ -192,17 +192,18 @@
     case PeerMessage::Kind::Heartbeat: {
       const ControllerHeartbeat& heartbeat = message.heartbeat;
       const auto flag = [](bool on, std::uint8_t bit) { return on ? unsigned{bit} : 0U; };
-      const unsigned flags =
-          flag(heartbeat.leading, kLeadingFlag) | flag(heartbeat.hears_leader, kHearsLeaderFlag) |
-          flag(heartbeat.holding, kHoldingFlag) | flag(heartbeat.hears_workers, kHearsWorkersFlag) |
-          flag(heartbeat.kept_alive_ms.has_value(), kKeptAliveFlag) |
-          flag(heartbeat.understands_gangs, kUnderstandsGangsFlag) |
-          flag(heartbeat.shares_limits, kSharesLimitsFlag);
+      const unsigned flags = flag(heartbeat.leading, kLeadingFlag) |
+                             flag(heartbeat.hears_leader, kHearsLeaderFlag) |
+                             flag(heartbeat.keeps_workers_alive, kHoldingFlag) |
+                             flag(heartbeat.receives_worker_heartbeats, kHearsWorkersFlag) |
+                             flag(heartbeat.last_kept_alive_ms_ago.has_value(), kKeptAliveFlag) |
+                             flag(heartbeat.supports_gangs, kUnderstandsGangsFlag) |
+                             flag(heartbeat.supports_quota_shares, kSharesLimitsFlag);
       return encode_frame(
           message.kind,
           HeartbeatBody{heartbeat.epoch, heartbeat.incarnation, heartbeat.clock,
                         heartbeat.acknowledged_incarnation, heartbeat.acknowledged_clock,
-                        heartbeat.keep_ms, heartbeat.kept_alive_ms.value_or(0),
+                        heartbeat.keep_alive_ms, heartbeat.last_kept_alive_ms_ago.value_or(0),
                         static_cast<std::uint8_t>(flags), 0,
                         static_cast<std::uint16_t>(heartbeat.node.size())},
           heartbeat.node);
@@ -210,18 +211,18 @@
     case PeerMessage::Kind::Request:
       return encode_frame(
           message.kind,
-          RequestBody{message.request.call, static_cast<std::uint8_t>(message.request.op),
+          RequestBody{message.request.call_id, static_cast<std::uint8_t>(message.request.op),
                       static_cast<std::uint16_t>(message.request.id.size()),
                       static_cast<std::uint32_t>(message.request.body.size())},
           message.request.id, message.request.body, message.request.relay ? kRelayFlag : 0);
     case PeerMessage::Kind::Response:
-      return encode_frame(
-          message.kind,
-          ResponseBody{message.response.call, static_cast<std::uint16_t>(message.response.status),
-                       static_cast<std::uint16_t>(message.response.retry_after_s),
-                       message.response.valid_ms.value_or(kNoTimeLimit),
-                       static_cast<std::uint32_t>(message.response.body.size())},
-          message.response.body);
+      return encode_frame(message.kind,
+                          ResponseBody{message.response.call_id,
+                                       static_cast<std::uint16_t>(message.response.status),
+                                       static_cast<std::uint16_t>(message.response.retry_after_s),
+                                       message.response.valid_ms.value_or(kNoTimeLimit),
+                                       static_cast<std::uint32_t>(message.response.body.size())},
+                          message.response.body);
     case PeerMessage::Kind::Region:
       return encode_region_frame(message.region);
   }
--- a/src/protocol/peer_frames.hpp
+++ b/src/protocol/peer_frames.hpp
@@ -21,13 +21,13 @@
   bool leading = false, hears_leader = false;
   /// Whether the sender still responds to workers' heartbeats: it is the leader, or its leader
   /// lease has expired only recently. After the expiry, its responses carry no commands.
-  bool holding = false;
+  bool keeps_workers_alive = false;
   /// Whether workers send heartbeats to the sender directly, not through another controller.
-  bool hears_workers = false;
+  bool receives_worker_heartbeats = false;
   /// Whether the sender supports gang scheduling. Versions without gang scheduling never set it.
-  bool understands_gangs = false;
+  bool supports_gangs = false;
   /// Whether the sender supports quota shares. Versions without quota shares ignore it.
-  bool shares_limits = false;
+  bool supports_quota_shares = false;
   /// Identifies the sending process. Changes with each restart.
   std::uint64_t incarnation = 0;
   std::int64_t clock = 0;
@@ -37,15 +37,15 @@
   std::int64_t acknowledged_clock = 0;
   /// How long, from `acknowledged_clock` on, the receiver may renew workers' leases without a
   /// leader.
-  std::uint32_t keep_ms = 0;
+  std::uint32_t keep_alive_ms = 0;
   /// How long ago the sender last renewed a worker's lease without a leader. Empty means never.
-  std::optional<std::uint32_t> kept_alive_ms;
+  std::optional<std::uint32_t> last_kept_alive_ms_ago;
 };
 /// A user's request or a worker's heartbeat, forwarded to the leader.
 struct PeerRequest {
   /// Identifies the request among those of the sender. The response repeats it.
-  std::uint64_t call = 0;
-  UserOp op = UserOp::Query;
+  std::uint64_t call_id = 0;
+  RequestOp op = RequestOp::Query;
   std::string id, body;
   /// Asks the receiver to forward the request once more if it isn't the leader, because the sender
   /// has no link to the leader. Versions without gang scheduling ignore the flag and reject such a
@@ -54,7 +54,7 @@
 };
 /// The response to a `PeerRequest`.
 struct PeerResponse {
-  std::uint64_t call = 0;
+  std::uint64_t call_id = 0;
   int status = 0, retry_after_s = 0;
   /// How long after it is sent the response may be passed on. The receiver counts from when it sent
   /// the request, which is earlier. Empty means without limit.
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -91,15 +91,16 @@
     if (json::member(*next, name) == nullptr) return;
     limit = std::min(limit, require_number(*next, name, path + "." + name, true));
   };
-  lower("rps", settings.store.rps);
-  lower("write_rps", settings.store.write_rps);
-  lower("value_kb", settings.store.value_kb);
-  if (settings.store.value_kb < kMinNextValueKb) fail(path + ".value_kb", "must be at least 1");
+  lower("rps", settings.store_limits.rps);
+  lower("write_rps", settings.store_limits.write_rps);
+  lower("value_kb", settings.store_limits.value_kb);
+  if (settings.store_limits.value_kb < kMinNextValueKb)
+    fail(path + ".value_kb", "must be at least 1");
   if (json::member(*next, "txn_ops") == nullptr) return;
   std::uint64_t operations = 0;
   if (!json::get(*next, "txn_ops", operations) || operations < kMinNextOperations)
     fail(path + ".txn_ops", "not a whole number of at least 3");
-  settings.store.txn_ops = std::min(settings.store.txn_ops, operations);
+  settings.store_limits.txn_ops = std::min(settings.store_limits.txn_ops, operations);
 }
 
 double optional_duration(const json::Value& parent, const char* name, const std::string& path,
@@ -190,11 +191,13 @@
   constexpr double kMinValueKb = 4;
   constexpr std::uint64_t kMinOperations = 4;
   const auto& state = require_object(settings, "state", "settings.state");
-  out.store.rps = require_number(state, "rps", "settings.state.rps", true);
-  out.store.write_rps = require_number(state, "write_rps", "settings.state.write_rps", true);
-  out.store.value_kb = require_number(state, "value_kb", "settings.state.value_kb", true);
-  if (out.store.value_kb < kMinValueKb) fail("settings.state.value_kb", "must be at least 4");
-  if (!json::get(state, "txn_ops", out.store.txn_ops) || out.store.txn_ops < kMinOperations)
+  out.store_limits.rps = require_number(state, "rps", "settings.state.rps", true);
+  out.store_limits.write_rps = require_number(state, "write_rps", "settings.state.write_rps", true);
+  out.store_limits.value_kb = require_number(state, "value_kb", "settings.state.value_kb", true);
+  if (out.store_limits.value_kb < kMinValueKb)
+    fail("settings.state.value_kb", "must be at least 4");
+  if (!json::get(state, "txn_ops", out.store_limits.txn_ops) ||
+      out.store_limits.txn_ops < kMinOperations)
     fail("settings.state.txn_ops", "missing or not a whole number of at least 4");
   apply_next_limits(state, out);
 }
@@ -202,10 +205,11 @@
 void parse_resource_limits(const json::Value& settings, Settings& out) {
   constexpr std::uint64_t kMinSockets = 32;
   const auto& resources = require_object(settings, "resources", "settings.resources");
-  out.limits.cpu = require_number(resources, "cpu", "settings.resources.cpu", true);
-  out.limits.memory_mb =
+  out.process_limits.cpu = require_number(resources, "cpu", "settings.resources.cpu", true);
+  out.process_limits.memory_mb =
       require_number(resources, "memory_mb", "settings.resources.memory_mb", true);
-  if (!json::get(resources, "fd_limit", out.limits.sockets) || out.limits.sockets < kMinSockets)
+  if (!json::get(resources, "fd_limit", out.process_limits.sockets) ||
+      out.process_limits.sockets < kMinSockets)
     fail("settings.resources.fd_limit", "missing or not a whole number of at least 32");
 }
 
@@ -222,8 +226,8 @@
   if (out.listen == out.peer_listen) fail("peer_listen", "same address as listen");
   out.peers = parse_peers(file, out.name);
   const auto& external = require_object(file, "external", "external");
-  out.cloud = require_endpoint(external, "cloud", "external.cloud");
-  out.state = require_endpoint(external, "state", "external.state");
+  out.cloud_endpoint = require_endpoint(external, "cloud", "external.cloud");
+  out.store_endpoint = require_endpoint(external, "state", "external.state");
 
   const auto& settings = require_object(file, "settings", "settings");
   out.zones = parse_zones(settings);
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -33,7 +33,7 @@
 struct Settings {
   std::string name, zone, listen, peer_listen;
   std::vector<PeerSettings> peers;
-  std::string cloud, state;
+  std::string cloud_endpoint, store_endpoint;
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<ServiceLevelObjective> objectives;
@@ -48,7 +48,7 @@
   struct {
     double rps = 0, write_rps = 0, value_kb = 0;
     std::uint64_t txn_ops = 0;
-  } store;
+  } store_limits;
   /// `list_lag_s`: the delay after which the cloud provider's list of machines shows a change.
   struct {
     double rps = 0, list_lag_s = 0;
@@ -57,7 +57,7 @@
   struct {
     double cpu = 1, memory_mb = 0;
     std::uint64_t sockets = 0;
-  } limits;
+  } process_limits;
 };
 
 /// A region that has a share of the teams' quota limits.
--- a/src/protocol/user_codec.hpp
+++ b/src/protocol/user_codec.hpp
@@ -11,7 +11,7 @@
 namespace sailreel {
 
 /// Largest body of a request, in bytes.
-constexpr std::size_t kMaxBody = std::size_t{64} * 1024;
+constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
 
 /// Whether the id is "job-" followed by digits, with at most 40 characters in all.
 bool valid_job_id(std::string_view id);
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -114,7 +114,7 @@
       .optional("driftwood", heartbeat.spot);
   if (fields.error()) return *fields.error();
   double notice_s = 0;
-  if (json::get(doc, "recall_s", notice_s)) heartbeat.notice_s = notice_s;
+  if (json::get(doc, "recall_s", notice_s)) heartbeat.reclaim_in_s = notice_s;
   const json::Value* tasks = json::member(doc, "hands");
   if (tasks == nullptr) return heartbeat;
   if (!tasks->IsArray()) return DecodeError{DecodeErrorKind::InvalidField, "hands"};
@@ -139,8 +139,8 @@
   return json::text(buffer);
 }
 
-std::string encode_direct(std::uint64_t fencing_token, std::uint64_t incarnation,
-                          const std::vector<Command>& commands) {
+std::string encode_command_request(std::uint64_t fencing_token, std::uint64_t incarnation,
+                                   const std::vector<Command>& commands) {
   rapidjson::StringBuffer buffer;
   json::Writer writer(buffer);
   writer.StartObject();
--- a/src/protocol/worker_codec.hpp
+++ b/src/protocol/worker_codec.hpp
@@ -18,8 +18,8 @@
                                       const std::vector<Command>& commands);
 /// The body of a request that the leader sends to a worker, as opposed to a response to a
 /// heartbeat.
-std::string encode_direct(std::uint64_t fencing_token, std::uint64_t incarnation,
-                          const std::vector<Command>& commands);
+std::string encode_command_request(std::uint64_t fencing_token, std::uint64_t incarnation,
+                                   const std::vector<Command>& commands);
 /// The body of a response that redirects a worker to the controller `node`. Names none if `node` is
 /// empty.
 std::string encode_redirect(const std::string& node);
--- a/src/storage/checkpoint_records.cpp
+++ b/src/storage/checkpoint_records.cpp
@@ -252,7 +252,7 @@
   writer.StartArray();
   for (const ScaleOutRequest& request : manifest.scale_outs) {
     writer.StartArray();
-    json::put(writer, request.request);
+    json::put(writer, request.request_id);
     json::put(writer, request.type);
     json::put(writer, request.zone);
     writer.Bool(request.spot);
--- a/src/storage/share_records.cpp
+++ b/src/storage/share_records.cpp
@@ -112,8 +112,8 @@
   json::Writer writer(buffer);
   json::ObjectWriter object(writer);
   object.text("region", region);
-  object.whole("sent", record.sent);
-  object.whole("credited", record.credited);
+  object.integer("sent", record.sent);
+  object.integer("credited", record.credited);
   object.list("in_transit", record.in_transit, [&](const TeamAmounts& entry) {
     json::ObjectWriter item(writer);
     item.text("team", entry.team);
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -195,7 +195,7 @@
   std::list<CachedImage> images;  // most recently used first
   std::vector<Fetch> fetching_now;
   /// For each priority, the number of cached images that work of a higher priority needs.
-  std::array<std::uint32_t, kPriorities> higher_priority_images{};
+  std::array<std::uint32_t, kPriorityCount> higher_priority_images{};
   /// Its indices among those machines of the current scheduling pass that accept work, and among
   /// those that have room as well.
   std::optional<std::size_t> preemption_index, placement_index;
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -11,7 +11,7 @@
   for (Time when = from; when < until; when += every) {
     region.run_until(when);
     for (std::size_t job = 0; job < jobs; ++job)
-      for (std::size_t node = 0; node < 3; ++node) region.ask(job_id(job), node, UserOp::Query);
+      for (std::size_t node = 0; node < 3; ++node) region.ask(job_id(job), node, RequestOp::Query);
   }
 }
 
@@ -97,7 +97,7 @@
         region.run_until(region.now() + 100);
         for (std::size_t n = next_job - 10; n < next_job; ++n)
           region.ask(job_id(n), (n + static_cast<std::size_t>(k)) % 3,
-                     k % 9 == 0 ? UserOp::Submit : UserOp::Query);
+                     k % 9 == 0 ? RequestOp::Submit : RequestOp::Query);
       }
       region.run_until(region.now() + 9'000);
     }
@@ -164,8 +164,8 @@
     step(heartbeat);
     std::uint64_t call = 0;
     for (const Action& action :
-         step(UserRequest{{RequestSource::Kind::Local, 5, 0}, UserOp::Query, "job-1", ""}))
-      if (const auto* peer = std::get_if<SendToPeer>(&action)) call = peer->message.request.call;
+         step(UserRequest{{RequestSource::Kind::Local, 5, 0}, RequestOp::Query, "job-1", ""}))
+      if (const auto* peer = std::get_if<SendToPeer>(&action)) call = peer->message.request.call_id;
     EXPECT_NE(call, 0U);
     now += after;
     PeerMessageReceived response;
@@ -203,8 +203,9 @@
   std::map<int, int> polls, submissions;
   for (std::size_t n = 0; n < kJobs; ++n)
     for (std::size_t node = 0; node < 3; ++node) {
-      region.ask_for(job_id(n), node, UserOp::Query, [&](int status) { ++polls[status]; });
-      region.ask_for(job_id(n), node, UserOp::Submit, [&](int status) { ++submissions[status]; });
+      region.ask_for(job_id(n), node, RequestOp::Query, [&](int status) { ++polls[status]; });
+      region.ask_for(job_id(n), node, RequestOp::Submit,
+                     [&](int status) { ++submissions[status]; });
     }
   region.run_until(54'000);
   EXPECT_EQ(polls[404], 0);
@@ -232,7 +233,7 @@
                      [&submitted](int status) { submitted = status; });
     region.run_until(24'000);
     EXPECT_EQ(submitted, 201) << seed;
-    region.ask_for("job-1", partitioned, UserOp::Cancel,
+    region.ask_for("job-1", partitioned, RequestOp::Cancel,
                    [&cancelled](int status) { cancelled = status; });
     region.run_until(25'000);
     EXPECT_EQ(cancelled, 200) << seed;
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -132,7 +132,7 @@
     const std::size_t leader = leader_of(region);
     // The machines are out of reach, so that the tasks can't be stopped at once.
     for (const auto& machine : region.machines_up()) cut_off(region, machine, 5'000, false);
-    for (std::size_t n = 0; n < kJobs; n += 2) region.ask(job_id(n), n % 3, UserOp::Cancel);
+    for (std::size_t n = 0; n < kJobs; n += 2) region.ask(job_id(n), n % 3, RequestOp::Cancel);
     region.run_until(40'400);
     region.kill(leader, 20'000);
     std::set<std::string> started;
@@ -176,7 +176,7 @@
     const Time asked = region.now();
     int status = 0;
     Time took = 0;
-    region.ask_for(job_id(n), leader_of(region), UserOp::Cancel, [&](int response_status) {
+    region.ask_for(job_id(n), leader_of(region), RequestOp::Cancel, [&](int response_status) {
       status = response_status;
       took = region.now() - asked;
     });
--- a/tests/fake_server_codec_test.cpp
+++ b/tests/fake_server_codec_test.cpp
@@ -21,7 +21,7 @@
   heartbeat.incarnation = 3;
   heartbeat.seq = 88;
   heartbeat.fencing_token = 41;
-  heartbeat.notice_s = 7.5;
+  heartbeat.reclaim_in_s = 7.5;
   heartbeat.tasks.push_back({{"job-412", 3}, 2, RunState::Waiting, ExitCause::None, false});
   heartbeat.tasks.push_back({{"job-398", 0}, 1, RunState::Exited, ExitCause::PeersGone, true});
   const auto read = decode_heartbeat(encode_heartbeat(heartbeat));
@@ -34,7 +34,7 @@
   EXPECT_EQ(read->incarnation, 3U);
   EXPECT_EQ(read->seq, 88U);
   EXPECT_EQ(read->fencing_token, 41U);
-  EXPECT_EQ(read->notice_s, 7.5);
+  EXPECT_EQ(read->reclaim_in_s, 7.5);
   ASSERT_EQ(read->tasks.size(), 2U);
   EXPECT_EQ(task_name(read->tasks[0].key), "job-412/3");
   EXPECT_EQ(read->tasks[0].attempt, 2U);
@@ -59,7 +59,7 @@
   EXPECT_EQ(response->commands[1].grace_s, 2.5);
   EXPECT_EQ(response->commands[2].op, Command::Op::Forget);
 
-  const auto direct = decode_commands(encode_direct(41, 5, commands));
+  const auto direct = decode_commands(encode_command_request(41, 5, commands));
   ASSERT_TRUE(direct);
   EXPECT_EQ(direct->incarnation, 5U);
 }
@@ -109,7 +109,7 @@
 /// Encodes the request with the daemon's codec and decodes it with the fake's.
 std::optional<KvRequest> encode_and_decode(const KvRequest& request) {
   const HttpRequest http_request = encode_kv_request(request);
-  return decode_state_call(http_request.method, http_request.path, http_request.body);
+  return decode_kv_request(http_request.method, http_request.path, http_request.body);
 }
 
 TEST(FakeServerCodec, KvRequestsOfEachKindRoundTrip) {
@@ -164,19 +164,19 @@
   KvResponse kv_response;
   kv_response.status = 200;
   kv_response.revision = 9;
-  kv_response.more = true;
+  kv_response.has_more = true;
   kv_response.items.push_back({"k/1", R"({"a":1})", 4, false});
-  ServiceResponse response = encode_state_reply(list, kv_response);
+  ServiceResponse response = encode_kv_response(list, kv_response);
   KvResponse read = *decode_kv_response(list, response.status, response.body);
   EXPECT_EQ(read.revision, 9U);
-  EXPECT_TRUE(read.more);
+  EXPECT_TRUE(read.has_more);
   ASSERT_EQ(read.items.size(), 1U);
   EXPECT_EQ(read.items[0].value, R"({"a":1})");
 
   KvRequest watch;
   watch.kind = KvRequest::Kind::Watch;
   kv_response.items.push_back({"k/2", "", 5, true});
-  response = encode_state_reply(watch, kv_response);
+  response = encode_kv_response(watch, kv_response);
   read = *decode_kv_response(watch, response.status, response.body);
   ASSERT_EQ(read.items.size(), 2U);
   EXPECT_TRUE(read.items[1].deleted);
@@ -184,7 +184,7 @@
   KvRequest transaction;
   transaction.kind = KvRequest::Kind::Txn;
   kv_response.status = 409;
-  response = encode_state_reply(transaction, kv_response);
+  response = encode_kv_response(transaction, kv_response);
   EXPECT_EQ(decode_kv_response(transaction, response.status, response.body)->status, 409);
 }
 
@@ -193,29 +193,29 @@
   scale_out.kind = CloudRequest::Kind::ScaleOut;
   scale_out.scale_out = {"r-17", "g8", "a", true, 12};
   HttpRequest request = encode_cloud_request(scale_out);
-  auto read = decode_cloud_call(request.method, request.path, request.body);
+  auto read = decode_cloud_request(request.method, request.path, request.body);
   ASSERT_TRUE(read);
-  EXPECT_EQ(read->scale_out.request, "r-17");
+  EXPECT_EQ(read->scale_out.request_id, "r-17");
   EXPECT_EQ(read->scale_out.count, 12U);
   EXPECT_TRUE(read->scale_out.spot);
   CloudResponse rejection;
   rejection.status = 503;
   rejection.no_capacity = true;
-  ServiceResponse response = encode_cloud_reply(scale_out, rejection);
+  ServiceResponse response = encode_cloud_response(scale_out, rejection);
   EXPECT_TRUE(decode_cloud_response(scale_out, response.status, response.body)->no_capacity);
 
   CloudRequest list;
   list.kind = CloudRequest::Kind::List;
   list.after = "m-000230";
   request = encode_cloud_request(list);
-  read = decode_cloud_call(request.method, request.path, request.body);
+  read = decode_cloud_request(request.method, request.path, request.body);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->after, "m-000230");
   CloudResponse machines;
   machines.status = 200;
   machines.machines.push_back(
       {ListedMachine::State::Failed, "m-1", "127.10.0.1:9000", "g8", "a", true, 61.5});
-  response = encode_cloud_reply(list, machines);
+  response = encode_cloud_response(list, machines);
   const CloudResponse listed = *decode_cloud_response(list, response.status, response.body);
   ASSERT_EQ(listed.machines.size(), 1U);
   EXPECT_EQ(listed.machines[0].state, ListedMachine::State::Failed);
@@ -223,14 +223,14 @@
 }
 
 TEST(FakeServerCodec, MalformedRequestsAreRejected) {
-  EXPECT_FALSE(decode_state_call("POST", "/multi", "[]"));
-  EXPECT_FALSE(decode_state_call("POST", "/multi", R"({"then":[{"put":"a"}]})"));
-  EXPECT_FALSE(decode_state_call("POST", "/leases", "{}"));
-  EXPECT_FALSE(decode_state_call("GET", "/leases/7/renew", ""));
-  EXPECT_FALSE(decode_state_call("DELETE", "/store/a", ""));
-  EXPECT_FALSE(decode_state_call("GET", "/follow?prefix=a&from=x", ""));
-  EXPECT_FALSE(decode_cloud_call("POST", "/machines", "{}"));
-  EXPECT_FALSE(decode_cloud_call("GET", "/other", ""));
+  EXPECT_FALSE(decode_kv_request("POST", "/multi", "[]"));
+  EXPECT_FALSE(decode_kv_request("POST", "/multi", R"({"then":[{"put":"a"}]})"));
+  EXPECT_FALSE(decode_kv_request("POST", "/leases", "{}"));
+  EXPECT_FALSE(decode_kv_request("GET", "/leases/7/renew", ""));
+  EXPECT_FALSE(decode_kv_request("DELETE", "/store/a", ""));
+  EXPECT_FALSE(decode_kv_request("GET", "/follow?prefix=a&from=x", ""));
+  EXPECT_FALSE(decode_cloud_request("POST", "/machines", "{}"));
+  EXPECT_FALSE(decode_cloud_request("GET", "/other", ""));
 }
 
 }  // namespace
--- a/tests/fixed_limits_test.cpp
+++ b/tests/fixed_limits_test.cpp
@@ -48,7 +48,7 @@
     plan.cancel_s = 50;
     Deployment deployment = sample_deployment(plan);
     deployment.one_in_never_up = 0;
-    for (Settings& settings : deployment.controllers) settings.limits.sockets = 30;
+    for (Settings& settings : deployment.controllers) settings.process_limits.sockets = 30;
     plan.deployment = deployment;
     SimulatedRegion region(plan);
     region.run_until(1'000);
@@ -82,7 +82,7 @@
 // the settings instead of being fixed.
 TEST(FixedLimits, AsManySubmissionsWaitAsThereAreSockets) {
   Settings settings = settings_without_peers();
-  settings.limits.sockets = 3'000;
+  settings.process_limits.sockets = 3'000;
   ControllerDriver driver(settings);
   driver.set_types({sample_type()});
   driver.run_for(2'000);
@@ -119,7 +119,7 @@
   for (const std::size_t peers : {0U, 2U, 4U, 20U})
     for (const std::uint64_t sockets : {8U, 30U, 100U, 500U, 700U, 20'000U}) {
       Settings settings = sample_settings(0);
-      settings.limits.sockets = sockets;
+      settings.process_limits.sockets = sockets;
       settings.peers.assign(peers, PeerSettings{});
       const SocketShares shares = distribute_sockets(settings, 0);
       EXPECT_GE(shares.server, sockets / 4) << sockets;
@@ -130,18 +130,18 @@
 
 TEST(FixedLimits, TheTightestLimitIsNamed) {
   Settings settings = sample_settings(0);
-  settings.limits.sockets = 100'000;
-  settings.limits.memory_mb = 1'000;
-  settings.store.write_rps = 1'000;
+  settings.process_limits.sockets = 100'000;
+  settings.process_limits.memory_mb = 1'000;
+  settings.store_limits.write_rps = 1'000;
   EXPECT_STREQ(tightest_limit(settings, {}, 40).name, "sockets");
-  settings.limits.memory_mb = 16;
+  settings.process_limits.memory_mb = 16;
   EXPECT_STREQ(tightest_limit(settings, {}, 40).name, "memory");
   EXPECT_NEAR(tightest_limit(settings, {}, 40).machines, 3'600, 100);
-  settings.store.write_rps = 5;
+  settings.store_limits.write_rps = 5;
   EXPECT_STREQ(tightest_limit(settings, {}, 40).name, "state_writes");
   // Eight machines per write, at nine tenths of five writes a second, within a boot time of 40 s.
   EXPECT_NEAR(tightest_limit(settings, {}, 40).machines, 1'440, 1);
-  settings.limits.memory_mb = 1;
+  settings.process_limits.memory_mb = 1;
   EXPECT_EQ(tightest_limit(settings, {}, 40).machines, 0);
 }
 
--- a/tests/fixtures_test.cpp
+++ b/tests/fixtures_test.cpp
@@ -38,9 +38,9 @@
   const ControllerHeartbeat heartbeat = decode_frame(fixture("heartbeat.bin")).heartbeat;
   EXPECT_EQ(heartbeat.node, "node-1");
   EXPECT_EQ(heartbeat.epoch, 9U);
-  EXPECT_TRUE(heartbeat.leading && heartbeat.hears_workers && !heartbeat.hears_leader);
-  EXPECT_FALSE(heartbeat.understands_gangs);
-  EXPECT_EQ(heartbeat.kept_alive_ms, 500U);
+  EXPECT_TRUE(heartbeat.leading && heartbeat.receives_worker_heartbeats && !heartbeat.hears_leader);
+  EXPECT_FALSE(heartbeat.supports_gangs);
+  EXPECT_EQ(heartbeat.last_kept_alive_ms_ago, 500U);
   EXPECT_EQ(decode_frame(fixture("request.bin")).request.id, "job-000412");
   EXPECT_EQ(decode_frame(fixture("answer.bin")).response.valid_ms, 2'500U);
 }
@@ -50,7 +50,7 @@
 TEST(ProductionFrames, DifferFromPresentFramesByOneIgnoredBit) {
   const std::string production_bytes = fixture("heartbeat.bin");
   PeerMessage message = decode_frame(production_bytes);
-  message.heartbeat.understands_gangs = true;
+  message.heartbeat.supports_gangs = true;
   const std::string present_bytes = encode_peer(message);
   ASSERT_EQ(present_bytes.size(), production_bytes.size());
   constexpr std::size_t kFlagsOffset = 12 + 48;  // 12 bytes of header, then 48 bytes of the body
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -337,7 +337,7 @@
   spec.tasks = 7;
   int status = 0;
   region.submit(spec);
-  region.ask_for("job-3", leader_of(region), UserOp::Submit,
+  region.ask_for("job-3", leader_of(region), RequestOp::Submit,
                  [&status](int response_status) { status = response_status; });
   region.run_until(72'000);
   EXPECT_EQ(status, 422);
@@ -353,7 +353,7 @@
   const auto status_of = [&region](const JobSpec& spec) {
     int status = 0;
     region.submit(spec);
-    region.ask_for(spec.id, leader_of(region), UserOp::Submit,
+    region.ask_for(spec.id, leader_of(region), RequestOp::Submit,
                    [&status](int response_status) { status = response_status; });
     region.run_until(region.now() + 1'000);
     return status;
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -26,8 +26,8 @@
   deployment.kv_rps = 10 * deployment.kv_write_rps;
   for (Settings& settings : deployment.controllers) {
     settings.workers.heartbeat_interval_s = 2.5;
-    settings.store.rps = deployment.kv_rps;
-    settings.store.write_rps = deployment.kv_write_rps;
+    settings.store_limits.rps = deployment.kv_rps;
+    settings.store_limits.write_rps = deployment.kv_write_rps;
     settings.cloud_limits.rps = std::max(4.0, machines / 100.0);
   }
   plan.deployment = deployment;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -14,8 +14,8 @@
 
 Settings settings_with_low_limits() {
   Settings settings = settings_without_peers();
-  settings.store.value_kb = kLowValueKb;
-  settings.store.txn_ops = kLowTxnOperations;
+  settings.store_limits.value_kb = kLowValueKb;
+  settings.store_limits.txn_ops = kLowTxnOperations;
   return settings;
 }
 
@@ -36,7 +36,7 @@
 TEST(LowerLimits, ALargeManifestIsSplitWithoutLoss) {
   constexpr std::uint64_t kMinTxnOperations = 3;
   Settings settings = settings_with_low_limits();
-  settings.store.txn_ops = kMinTxnOperations;
+  settings.store_limits.txn_ops = kMinTxnOperations;
   ControllerDriver driver(settings);
   std::vector<std::string> records;
   for (std::size_t n = 0; n < 60; ++n) records.push_back(encode_record(array_record(n, 8)));
--- a/tests/peer_table_test.cpp
+++ b/tests/peer_table_test.cpp
@@ -49,7 +49,7 @@
 TEST(PeerTable, AllUnderstandGangsOnlyIfEachCurrentProcessReportsIt) {
   PeerTable peers = make_table();
   ControllerHeartbeat supporting_gangs = make_heartbeat(1, 1);
-  supporting_gangs.understands_gangs = true;
+  supporting_gangs.supports_gangs = true;
   peers.process_heartbeat(0, supporting_gangs, 10);
   EXPECT_FALSE(peers.all_understand_gangs());
   peers.process_heartbeat(1, supporting_gangs, 10);
@@ -64,7 +64,7 @@
   ControllerHeartbeat hearing_leader = make_heartbeat(1, 1);
   hearing_leader.hears_leader = true;
   peers.process_heartbeat(0, hearing_leader, 10);
-  hearing_leader.understands_gangs = true;
+  hearing_leader.supports_gangs = true;
   peers.process_heartbeat(2, hearing_leader, 10);
   EXPECT_EQ(peers.relays(20), std::vector<std::size_t>{2});
 }
--- a/tests/production/production_controller.cpp
+++ b/tests/production/production_controller.cpp
@@ -22,8 +22,8 @@
   out.peer_listen = settings.peer_listen;
   for (const PeerSettings& peer : settings.peers)
     out.siblings.push_back({peer.name, peer.zone, peer.address});
-  out.cloud = settings.cloud;
-  out.state = settings.state;
+  out.cloud = settings.cloud_endpoint;
+  out.state = settings.store_endpoint;
   out.zones = settings.zones;
   for (const Team& team : settings.teams)
     out.teams.push_back({team.name, team.cpus, team.cpus_max, team.gpus, team.gpus_max});
@@ -33,15 +33,15 @@
   out.workers.report_s = settings.workers.heartbeat_interval_s;
   out.workers.lease_s = settings.workers.lease_s;
   out.workers.cancel_s = settings.workers.cancel_s;
-  out.store.rps = settings.store.rps;
-  out.store.write_rps = settings.store.write_rps;
-  out.store.value_kb = settings.store.value_kb;
-  out.store.txn_ops = settings.store.txn_ops;
+  out.store.rps = settings.store_limits.rps;
+  out.store.write_rps = settings.store_limits.write_rps;
+  out.store.value_kb = settings.store_limits.value_kb;
+  out.store.txn_ops = settings.store_limits.txn_ops;
   out.market.rps = settings.cloud_limits.rps;
   out.market.list_lag_s = settings.cloud_limits.list_lag_s;
-  out.limits.cpu = settings.limits.cpu;
-  out.limits.memory_mb = settings.limits.memory_mb;
-  out.limits.sockets = settings.limits.sockets;
+  out.limits.cpu = settings.process_limits.cpu;
+  out.limits.memory_mb = settings.process_limits.memory_mb;
+  out.limits.sockets = settings.process_limits.sockets;
   return out;
 }
 
@@ -68,7 +68,7 @@
   out.session = heartbeat.incarnation;
   out.seq = heartbeat.seq;
   out.token = heartbeat.fencing_token;
-  out.notice_s = heartbeat.notice_s;
+  out.notice_s = heartbeat.reclaim_in_s;
   for (const TaskStatus& task : heartbeat.tasks) {
     const RunState state = task.state == RunState::Waiting ? RunState::Fetching : task.state;
     const ExitCause cause = task.cause > ExitCause::Unknown ? ExitCause::Error : task.cause;
@@ -82,7 +82,7 @@
 }
 
 old::StateReply translate(const KvResponse& response) {
-  old::StateReply out{response.status, response.revision, response.lease, {}, response.more};
+  old::StateReply out{response.status, response.revision, response.lease, {}, response.has_more};
   for (const KvItem& item : response.items)
     out.items.push_back({item.key, item.value, item.version, item.deleted});
   return out;
@@ -99,7 +99,7 @@
     out.machines.push_back({static_cast<old::ListedMachine::State>(machine.state), machine.name,
                             machine.address, machine.type, machine.zone, machine.spot,
                             machine.age_s});
-  out.more = response.more;
+  out.more = response.has_more;
   out.no_capacity = response.no_capacity;
   return out;
 }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -111,7 +111,7 @@
   EXPECT_EQ(heartbeat->incarnation, 1U);
   EXPECT_EQ(heartbeat->seq, 88U);
   EXPECT_EQ(heartbeat->fencing_token, 41U);
-  EXPECT_FALSE(heartbeat->notice_s);
+  EXPECT_FALSE(heartbeat->reclaim_in_s);
   ASSERT_EQ(heartbeat->tasks.size(), 2U);
   EXPECT_EQ(heartbeat->tasks[0].key.index, 3U);
   EXPECT_EQ(heartbeat->tasks[1].cause, ExitCause::Done);
@@ -198,7 +198,7 @@
 TEST(PeerFrames, RoundTripInFragmentsOfAnySize) {
   PeerMessage request;
   request.kind = PeerMessage::Kind::Request;
-  request.request = {77, UserOp::Submit, "job-1", std::string(60'000, 'x'), true};
+  request.request = {77, RequestOp::Submit, "job-1", std::string(60'000, 'x'), true};
   PeerMessage response;
   response.kind = PeerMessage::Kind::Response;
   response.response = {78, 503, 1, 2'500, "{}"};
@@ -209,13 +209,13 @@
   heartbeat.heartbeat.epoch = 5;
   heartbeat.heartbeat.leading = true;
   heartbeat.heartbeat.hears_leader = true;
-  heartbeat.heartbeat.hears_workers = true;
+  heartbeat.heartbeat.receives_worker_heartbeats = true;
   heartbeat.heartbeat.incarnation = 7;
   heartbeat.heartbeat.clock = 1'000;
   heartbeat.heartbeat.acknowledged_incarnation = 8;
   heartbeat.heartbeat.acknowledged_clock = 900;
-  heartbeat.heartbeat.keep_ms = 35'000;
-  heartbeat.heartbeat.kept_alive_ms = 0;
+  heartbeat.heartbeat.keep_alive_ms = 35'000;
+  heartbeat.heartbeat.last_kept_alive_ms_ago = 0;
   const std::string bytes =
       encode_peer(request) + encode_peer(response) + encode_peer(heartbeat) + encode_peer(lasting);
   pcg32 random(3);
@@ -234,14 +234,15 @@
   EXPECT_EQ(out[1].response.valid_ms, 2'500U);
   EXPECT_FALSE(out[3].response.valid_ms.has_value());
   const ControllerHeartbeat& decoded = out[2].heartbeat;
-  EXPECT_TRUE(decoded.leading && decoded.hears_leader && !decoded.holding && decoded.hears_workers);
+  EXPECT_TRUE(decoded.leading && decoded.hears_leader && !decoded.keeps_workers_alive &&
+              decoded.receives_worker_heartbeats);
   EXPECT_EQ(decoded.node, "node-0");
   EXPECT_EQ(decoded.incarnation, 7U);
   EXPECT_EQ(decoded.clock, 1'000);
   EXPECT_EQ(decoded.acknowledged_incarnation, 8U);
   EXPECT_EQ(decoded.acknowledged_clock, 900);
-  EXPECT_EQ(decoded.keep_ms, 35'000U);
-  EXPECT_EQ(decoded.kept_alive_ms, 0U);  // 0 ms ago, which differs from never
+  EXPECT_EQ(decoded.keep_alive_ms, 35'000U);
+  EXPECT_EQ(decoded.last_kept_alive_ms_ago, 0U);  // 0 ms ago, which differs from never
 }
 
 TEST(PeerFrames, InvalidFramesBreakTheStream) {
@@ -361,14 +362,14 @@
   const std::string operations = R"("txn_ops":16)";
   const Settings lower = parse_settings(settings_with(
       operations, operations + R"(,"next":{"write_rps":15.0,"value_kb":2,"txn_ops":5})"));
-  EXPECT_EQ(lower.store.write_rps, 15);
-  EXPECT_EQ(lower.store.value_kb, 2);
-  EXPECT_EQ(lower.store.txn_ops, 5U);
-  EXPECT_EQ(lower.store.rps, 80);
+  EXPECT_EQ(lower.store_limits.write_rps, 15);
+  EXPECT_EQ(lower.store_limits.value_kb, 2);
+  EXPECT_EQ(lower.store_limits.txn_ops, 5U);
+  EXPECT_EQ(lower.store_limits.rps, 80);
   const Settings higher = parse_settings(
       settings_with(operations, operations + R"(,"next":{"value_kb":64,"txn_ops":99})"));
-  EXPECT_EQ(higher.store.value_kb, 8);
-  EXPECT_EQ(higher.store.txn_ops, 16U);
+  EXPECT_EQ(higher.store_limits.value_kb, 8);
+  EXPECT_EQ(higher.store_limits.txn_ops, 16U);
 }
 
 }  // namespace
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -512,7 +512,7 @@
   region.run_until(45'000);
   const int old_leader = region.leader();
   ASSERT_GE(old_leader, 0);
-  ASSERT_GT(region.machines_up().size(), sample_settings(0).limits.sockets / 4);
+  ASSERT_GT(region.machines_up().size(), sample_settings(0).process_limits.sockets / 4);
   region.kill(static_cast<std::size_t>(old_leader), 6'000);
   while (region.leader() < 0 && region.now() < 60'000) region.run_until(region.now() + 5);
   ASSERT_GE(region.leader(), 0);
--- a/tests/share_codec_test.cpp
+++ b/tests/share_codec_test.cpp
@@ -105,15 +105,15 @@
 TEST(RegionFrames, SharesFlagDoesNotChangeTheHeartbeatSize) {
   PeerMessage message;
   message.heartbeat.node = "n";
-  message.heartbeat.understands_gangs = true;
+  message.heartbeat.supports_gangs = true;
   const std::string without = encode_peer(message);
-  message.heartbeat.shares_limits = true;
+  message.heartbeat.supports_quota_shares = true;
   std::string with = encode_peer(message);
   ASSERT_EQ(with.size(), without.size());
   EXPECT_NE(with, without);
   PeerReader reader;
   reader.feed(with);
-  EXPECT_TRUE(reader.next()->heartbeat.shares_limits);
+  EXPECT_TRUE(reader.next()->heartbeat.supports_quota_shares);
 }
 
 TEST(ShareRecords, ValuesRoundTrip) {
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -84,7 +84,7 @@
   EXPECT_EQ(snapshot.manifest.seq, 9U);
   EXPECT_EQ(snapshot.manifest.epoch, 4U);
   ASSERT_EQ(snapshot.manifest.scale_outs.size(), 1U);
-  EXPECT_EQ(snapshot.manifest.scale_outs[0].request, "r-4-1");
+  EXPECT_EQ(snapshot.manifest.scale_outs[0].request_id, "r-4-1");
   EXPECT_EQ(snapshot.manifest.scale_outs[0].count, 3U);
   snapshot.apply(item(kManifestKey, "[]"));
   EXPECT_EQ(snapshot.unreadable.size(), 1U);
--- a/tests/support/controller_driver.hpp
+++ b/tests/support/controller_driver.hpp
@@ -93,13 +93,13 @@
   /// Submits a job and returns the status of the response; 0 if there is none yet.
   int submit(const std::string& body) {
     const std::uint64_t call = ++next_request_;
-    step(UserRequest{{RequestSource::Kind::Local, call, 0}, UserOp::Submit, {}, body});
+    step(UserRequest{{RequestSource::Kind::Local, call, 0}, RequestOp::Submit, {}, body});
     return responses_[call].status;
   }
   /// Cancels a job and returns the status of the response; 0 if there is none yet.
   int cancel(const std::string& id) {
     const std::uint64_t call = ++next_request_;
-    step(UserRequest{{RequestSource::Kind::Local, call, 0}, UserOp::Cancel, id, {}});
+    step(UserRequest{{RequestSource::Kind::Local, call, 0}, RequestOp::Cancel, id, {}});
     return responses_[call].status;
   }
 
--- a/tests/support/work_meter.hpp
+++ b/tests/support/work_meter.hpp
@@ -43,8 +43,8 @@
   if (std::holds_alternative<PeerMessageReceived>(input)) return InputKind::Peer;
   const auto* request = std::get_if<UserRequest>(&input);
   if (request == nullptr) return InputKind::Other;
-  if (request->op == UserOp::Query) return InputKind::Poll;
-  return request->op == UserOp::Submit ? InputKind::Submission : InputKind::Other;
+  if (request->op == RequestOp::Query) return InputKind::Poll;
+  return request->op == RequestOp::Submit ? InputKind::Submission : InputKind::Other;
 }
 
 /// The sum of the work of several steps.
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -193,7 +193,7 @@
   int status = 0;
   region.submit(gang("job-1", 3, 2, 10));
   region.run_until(25'500);
-  region.ask_for("job-1", leader_of(region), UserOp::Submit, [&status](int s) { status = s; });
+  region.ask_for("job-1", leader_of(region), RequestOp::Submit, [&status](int s) { status = s; });
   region.run_until(26'000);
   EXPECT_EQ(status, 503);
   region.upgrade(0, kDowntimeMs);
--- a/tools/scale/deployment.cpp
+++ b/tools/scale/deployment.cpp
@@ -37,15 +37,15 @@
 }
 
 void set_service_settings(const Fleet& fleet, int region, Settings& settings) {
-  settings.cloud = cloud_address(region);
-  settings.state = kv_store_address(region);
+  settings.cloud_endpoint = cloud_address(region);
+  settings.store_endpoint = kv_store_address(region);
   settings.workers.heartbeat_interval_s = fleet.report_s();
   settings.workers.lease_s = fleet.lease_s();
   settings.workers.cancel_s = kCancelAfterLeases * fleet.lease_s();
-  settings.store.rps = fleet.state_rps();
-  settings.store.write_rps = fleet.state_write_rps();
-  settings.store.value_kb = 8;
-  settings.store.txn_ops = 16;
+  settings.store_limits.rps = fleet.state_rps();
+  settings.store_limits.write_rps = fleet.state_write_rps();
+  settings.store_limits.value_kb = 8;
+  settings.store_limits.txn_ops = 16;
   settings.cloud_limits.rps = fleet.cloud_rps();
   settings.cloud_limits.list_lag_s = kCloudListLagSeconds;
 }
@@ -70,9 +70,9 @@
   for (std::uint32_t team = 0; team < plan.fleet().teams(); ++team)
     settings.teams.push_back({team_name(team), 0, 0, 0, team_gpu_limit(plan)});
   set_service_settings(plan.fleet(), index, settings);
-  settings.limits.cpu = plan.fleet().controller_cores();
-  settings.limits.memory_mb = plan.fleet().controller_memory_mb();
-  settings.limits.sockets = kSocketsPerWorker * region.workers() + kBaseSockets;
+  settings.process_limits.cpu = plan.fleet().controller_cores();
+  settings.process_limits.memory_mb = plan.fleet().controller_memory_mb();
+  settings.process_limits.sockets = kSocketsPerWorker * region.workers() + kBaseSockets;
   return settings;
 }
 
@@ -114,26 +114,26 @@
   workers.number("cancel_s", settings.workers.cancel_s);
   workers.end();
   json::ObjectWriter state(writer, "state");
-  state.number("rps", settings.store.rps);
-  state.number("write_rps", settings.store.write_rps);
-  state.number("value_kb", settings.store.value_kb);
-  state.whole("txn_ops", settings.store.txn_ops);
+  state.number("rps", settings.store_limits.rps);
+  state.number("write_rps", settings.store_limits.write_rps);
+  state.number("value_kb", settings.store_limits.value_kb);
+  state.integer("txn_ops", settings.store_limits.txn_ops);
   state.end();
   json::ObjectWriter cloud(writer, "cloud");
   cloud.number("rps", settings.cloud_limits.rps);
   cloud.number("list_lag_s", settings.cloud_limits.list_lag_s);
   cloud.end();
   json::ObjectWriter resources(writer, "resources");
-  resources.number("cpu", settings.limits.cpu);
-  resources.number("memory_mb", settings.limits.memory_mb);
-  resources.whole("fd_limit", settings.limits.sockets);
+  resources.number("cpu", settings.process_limits.cpu);
+  resources.number("memory_mb", settings.process_limits.memory_mb);
+  resources.integer("fd_limit", settings.process_limits.sockets);
   resources.end();
 }
 
 void write_fleet_settings(json::Writer& writer, const Settings& settings) {
   constexpr double kClockErrorMs = 5;
   json::ObjectWriter fleet(writer, "settings");
-  fleet.whole("initial_size", settings.peers.size() + 1);
+  fleet.integer("initial_size", settings.peers.size() + 1);
   fleet.list("zones", settings.zones, [&](const std::string& zone) { json::put(writer, zone); });
   fleet.list("teams", settings.teams, [&](const Team& team) { write_team(writer, team); });
   write_service_settings(writer, settings);
@@ -206,8 +206,8 @@
   file.list("siblings", settings.peers,
             [&](const PeerSettings& peer) { write_peer(writer, peer); });
   json::ObjectWriter external(writer, "external");
-  external.text("cloud", settings.cloud);
-  external.text("state", settings.state);
+  external.text("cloud", settings.cloud_endpoint);
+  external.text("state", settings.store_endpoint);
   external.end();
   write_fleet_settings(writer, settings);
   file.end();
--- a/tools/scale/region_process.cpp
+++ b/tools/scale/region_process.cpp
@@ -149,11 +149,11 @@
 void RegionProcess::send_user_request(const std::string& address, const UserRequest& request,
                                       std::function<void(int, std::string)> done) {
   const std::string job = "/v1/jobs/" + request.id;
-  const bool query = request.op == UserOp::Query;
-  const std::string path = request.op == UserOp::Submit ? "/v1/jobs"
-                           : query                      ? job
-                                                        : job + "/withdraw";
-  const std::string body = request.op == UserOp::Submit ? request.body : query ? "" : "{}";
+  const bool query = request.op == RequestOp::Query;
+  const std::string path = request.op == RequestOp::Submit ? "/v1/jobs"
+                           : query                         ? job
+                                                           : job + "/withdraw";
+  const std::string body = request.op == RequestOp::Submit ? request.body : query ? "" : "{}";
   users_.request(address, query ? "GET" : "POST", path, body, kUserTimeoutMs, true,
                  [done = std::move(done)](int status, std::string_view response) {
                    done(status, std::string(response));
@@ -166,22 +166,22 @@
 }
 
 void RegionProcess::serve_kv_store(const ServerRequest& request) {
-  const auto call = decode_state_call(request.method, request.path, request.body);
+  const auto call = decode_kv_request(request.method, request.path, request.body);
   if (!call) return kv_store_->respond(request.connection, 400, encode_error("malformed"), 0);
   kv_writes_ += call->puts.size() + call->deletes.size();
   region_->kv_store().handle(
       *call, false, region_->now(),
       [this, call = *call, connection = request.connection](const KvResponse& reply) {
-        const ServiceResponse response = encode_state_reply(call, reply);
+        const ServiceResponse response = encode_kv_response(call, reply);
         kv_store_->respond(connection, response.status, response.body, 0);
       });
 }
 
 void RegionProcess::serve_cloud(const ServerRequest& request) {
-  const auto call = decode_cloud_call(request.method, request.path, request.body);
+  const auto call = decode_cloud_request(request.method, request.path, request.body);
   if (!call) return cloud_->respond(request.connection, 400, encode_error("malformed"), 0);
   const ServiceResponse response =
-      encode_cloud_reply(*call, region_->cloud().handle(*call, region_->now()));
+      encode_cloud_response(*call, region_->cloud().handle(*call, region_->now()));
   cloud_->respond(request.connection, response.status, response.body, 0);
   advance();
 }
