--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -68,8 +68,8 @@
   }
 
   void sweep() {
-    service_client_.sweep();
-    worker_client_.sweep();
+    service_client_.close_timed_out();
+    worker_client_.close_timed_out();
     if (++sweep_count_ % kSweepsPerServerSweep == 0) server_.close_idle();
     sweep_timer_.set(kSweepIntervalMs);
   }
--- a/src/app/options.cpp
+++ b/src/app/options.cpp
@@ -37,7 +37,7 @@
     // that can't be opened is an error.
     if (!file.is_open()) throw SettingsError("options: cannot read " + path);
   }
-  FirstError errors;
+  FirstErrorCollector errors;
   google::protobuf::TextFormat::Parser parser;
   parser.RecordErrorsTo(&errors);
   config::OptionsFile in;
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -137,7 +137,7 @@
   for (Connection* connection : idle) connection->close();
 }
 
-void HttpClient::sweep() {
+void HttpClient::close_timed_out() {
   const std::int64_t now = EventLoop::now_ms();
   std::vector<Connection*> timed_out;
   for (const auto& [connection, times_out_at] : busy_)
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -27,14 +27,14 @@
 
   /// Sends a request. It fails at once, with status 0, if it needs a new connection and
   /// `max_connections` are open, or if the address is invalid. The connection is reused for later
-  /// requests to the address if `keep_alive` is set and the server agrees. `sweep` enforces the
-  /// timeout.
+  /// requests to the address if `keep_alive` is set and the server agrees. `close_timed_out`
+  /// enforces the timeout.
   void request(const std::string& address, const std::string& method, const std::string& path,
                const std::string& body, std::int64_t timeout_ms, bool keep_alive,
                ResponseCallback on_response);
   /// Closes the connections of requests that have timed out, which ends these requests with status
   /// 0. The owner must call it at regular intervals.
-  void sweep();
+  void close_timed_out();
   /// Closes the connections to the address that are kept for reuse.
   void close_idle(const std::string& address);
   /// The number of connections, idle ones and those still being established included.
--- a/tools/scale/plan.cpp
+++ b/tools/scale/plan.cpp
@@ -88,7 +88,7 @@
   if (!file) fail("cannot read " + path);
   std::ostringstream text;
   text << file.rdbuf();
-  FirstError errors;
+  FirstErrorCollector errors;
   google::protobuf::TextFormat::Parser parser;
   parser.RecordErrorsTo(&errors);
   Plan plan;
--- a/tools/scale/region_process.cpp
+++ b/tools/scale/region_process.cpp
@@ -281,8 +281,8 @@
 }
 
 void RegionProcess::check_timeouts() {
-  users_.sweep();
-  for (auto& [machine, sockets] : workers_) sockets.client->sweep();
+  users_.close_timed_out();
+  for (auto& [machine, sockets] : workers_) sockets.client->close_timed_out();
   timeout_check_timer_.set(kTimeoutCheckIntervalMs);
   // The main process has ended, so nobody reads further messages. The reset ends the controllers.
   if (getppid() != main_process_id_) {
