--- a/sim/checker.cpp
+++ b/sim/checker.cpp
@@ -144,12 +144,12 @@
   }
 }
 
-void Checker::end() {
+void Checker::check_end() {
   if (starts_ == 0) add_violation("nothing_ran", "");
 }
 
-void Checker::end_served() {
-  end();
+void Checker::check_end_and_service() {
+  check_end();
   constexpr Time kMaxStartDelayMs = 240'000;
   struct ServedCount {
     std::size_t served = 0, total = 0;
--- a/sim/checker.hpp
+++ b/sim/checker.hpp
@@ -76,12 +76,12 @@
   void step(Time now);
   /// Checks that at least one task has started. Must be called at the end, when all faults have
   /// ended.
-  void end();
-  /// Checks the same as `end`, and that the scheduler starved no group of jobs: of each class, of
-  /// each team and of each class's largest jobs at least half were served, and each of the largest
-  /// began within four minutes after it was accepted. Jobs that were cancelled before they began
-  /// don't count.
-  void end_served();
+  void check_end();
+  /// Checks the same as `check_end`, and that the scheduler starved no group of jobs: of each
+  /// class, of each team and of each class's largest jobs at least half were served, and each of
+  /// the largest began within four minutes after it was accepted. Jobs that were cancelled before
+  /// they began don't count.
+  void check_end_and_service();
 
   /// The cases in which each rule was broken, by the rule's name.
   [[nodiscard]] const std::map<std::string, std::vector<std::string>>& violations() const;
--- a/sim/fake_cloud.cpp
+++ b/sim/fake_cloud.cpp
@@ -67,7 +67,7 @@
     listed.zone = machine.zone;
     listed.spot = machine.spot;
     listed.state = machine.up ? ListedMachine::State::Running : ListedMachine::State::Booting;
-    listed.age_s = static_cast<double>(now - machine.launched) / 1000.0;
+    listed.age_s = static_cast<double>(now - machine.launched_at) / 1000.0;
     list.machines.push_back(std::move(listed));
   }
   snapshots_.push_back({now, std::move(list)});
@@ -105,7 +105,7 @@
   machine.type = request.scale_out.type;
   machine.zone = request.scale_out.zone;
   machine.spot = request.scale_out.spot;
-  machine.launched = now;
+  machine.launched_at = now;
   machine.broken = one_in_never_up > 0 && random_(one_in_never_up) == 0;
   const double boot_ms = 1000 * types.front().boot_s * (0.6 + random_(90) / 100.0);
   machine.boots_at = random_(12) == 0 ? now + 1000 : now + static_cast<Time>(boot_ms);
--- a/sim/fake_cloud.hpp
+++ b/sim/fake_cloud.hpp
@@ -30,7 +30,7 @@
 struct CloudMachine {
   std::string name, address, type, zone;
   bool spot = false, up = false, broken = false;
-  Time launched = 0, boots_at = 0;
+  Time launched_at = 0, boots_at = 0;
 };
 
 /// The name that the cloud gives to the `number`th machine that it launches.
--- a/sim/fake_kv_store.cpp
+++ b/sim/fake_kv_store.cpp
@@ -125,7 +125,7 @@
 
 int FakeKvStore::compare_and_swap(const KvRequest& request) {
   if (exceeds_limits(request)) {
-    ++malformed;
+    ++over_limit_requests;
     return 400;
   }
   for (const auto& put : request.puts)
@@ -181,7 +181,7 @@
           response.items.push_back(change);
           bytes += change.value.size();
         }
-    largest_watch = std::max(largest_watch, bytes);
+    largest_watch_response_bytes = std::max(largest_watch_response_bytes, bytes);
     if (watch->rejected || (response.items.empty() && now < watch->until)) {
       ++watch;
       continue;
--- a/sim/fake_kv_store.hpp
+++ b/sim/fake_kv_store.hpp
@@ -21,9 +21,10 @@
   bool outage = false;
   /// Limits of a value in bytes and of the operations in a transaction.
   std::size_t value_limit = std::size_t{8} * 1024, ops_limit = 16;
-  std::size_t largest_watch = 0;     // bytes of values in the largest response to a watch
-  std::uint64_t malformed = 0;       // requests beyond the limits; controllers must send none
-  std::uint64_t refused_writes = 0;  // requests that got 429 because of the rate of writes
+  std::size_t largest_watch_response_bytes =
+      0;                                  // bytes of values in the largest response to a watch
+  std::uint64_t over_limit_requests = 0;  // requests beyond the limits; controllers must send none
+  std::uint64_t refused_writes = 0;       // requests that got 429 because of the rate of writes
 
   /// Requests above these rates get 429. Both rates allow bursts of one second's worth.
   void limit_rates(double requests_per_second, double writes_per_second);
--- a/sim/fault_injection.cpp
+++ b/sim/fault_injection.cpp
@@ -84,7 +84,7 @@
       transmit(host.name, nodes_[other].name,
                [this, other, peer = *peer] { feed(other, PeerDisconnected{peer}); });
   }
-  at(now_ + for_ms, [this, node] {
+  schedule(now_ + for_ms, [this, node] {
     if (!nodes_[node].controller) start_node(node);
   });
 }
@@ -136,7 +136,7 @@
 
 void SimulatedRegion::kv_store_outage(Time for_ms) {
   kv_store_.outage = true;
-  at(now_ + for_ms, [this] { kv_store_.end_outage(now_); });
+  schedule(now_ + for_ms, [this] { kv_store_.end_outage(now_); });
 }
 
 void SimulatedRegion::kill_machine(const std::string& name) {
@@ -154,16 +154,16 @@
   // Once the lease has expired, counted from the last heartbeat that got a response, the tasks of a
   // machine that hangs count as ended: the worker ends them before it does anything else.
   const double lease = settings_[0].workers.lease_s * 1000;
-  at(hung.last_accepted_sent_at + static_cast<Time>(std::ceil(lease / hung.clock_rate)) + 1,
-     [this, name, until = hung.hang_until] {
-       Worker& worker = workers_[name];
-       if (!worker.alive || now_ >= until) return;
-       for (auto& [key, attempts] : worker.tasks)
-         for (TaskAttempt& task : attempts) {
-           if (task.present) task_ended(task.status.key, name, false);
-           task.present = false;
-         }
-     });
+  schedule(hung.last_accepted_sent_at + static_cast<Time>(std::ceil(lease / hung.clock_rate)) + 1,
+           [this, name, until = hung.hang_until] {
+             Worker& worker = workers_[name];
+             if (!worker.alive || now_ >= until) return;
+             for (auto& [key, attempts] : worker.tasks)
+               for (TaskAttempt& task : attempts) {
+                 if (task.present) task_ended(task.status.key, name, false);
+                 task.present = false;
+               }
+           });
 }
 
 void SimulatedRegion::block_inbound(const std::string& name, Time for_ms) {
@@ -184,7 +184,7 @@
     if (i != node) cut(nodes_[node].name, nodes_[i].name, for_ms, hold);
 }
 
-void SimulatedRegion::late_writes(double share, Time for_ms, bool at_once) {
+void SimulatedRegion::lose_write_responses(double share, Time for_ms, bool at_once) {
   (at_once ? lost_responses_ : late_writes_) = {share, now_ + for_ms};
 }
 
@@ -202,11 +202,11 @@
   cancel_at_end_ = {share, now_ + for_ms};
 }
 
-void SimulatedRegion::poll_closely(Time for_ms) { poll_closely_until_ = now_ + for_ms; }
+void SimulatedRegion::poll_intensively(Time for_ms) { poll_closely_until_ = now_ + for_ms; }
 
-void SimulatedRegion::send_odd_requests(Time for_ms) { send_unusual_request(now_ + for_ms); }
+void SimulatedRegion::send_unusual_requests(Time for_ms) { send_unusual_request(now_ + for_ms); }
 
-void SimulatedRegion::cancel_now(std::size_t count, Time hang_ms) {
+void SimulatedRegion::cancel_running_jobs(std::size_t count, Time hang_ms) {
   struct RunningTask {
     std::size_t user;
     std::string machine;
@@ -221,14 +221,14 @@
        ++attempt) {
     const auto& [user, machine] = running[random_(static_cast<std::uint32_t>(running.size()))];
     if (!chosen.insert(user).second) continue;
-    at(now_ + random_(200), [this, user = user] { cancel_job_of(user); });
+    schedule(now_ + random_(200), [this, user = user] { cancel_job_of(user); });
     if (hang_ms > 0 && chosen.size() <= 8) hang_machine(machine, hang_ms);
   }
 }
 
 void SimulatedRegion::preempt_machine(const std::string& name, Time in_ms) {
   workers_[name].preemption_at = now_ + in_ms;
-  at(now_ + in_ms, [this, name] {
+  schedule(now_ + in_ms, [this, name] {
     cloud_.machines.erase(name);
     kill_machine(name);
   });
@@ -265,7 +265,7 @@
                           : 5'000 + random_(static_cast<std::uint32_t>(plan_.length * 6 / 10));
     const bool cancelled = spec.kind == JobKind::Service || random_(6) == 0;
     const Time cancel_at = cancelled ? when + 10'000 + random_(60'000) : 0;
-    at(when, [this, spec, cancel_at] { submit(spec, cancel_at); });
+    schedule(when, [this, spec, cancel_at] { submit(spec, cancel_at); });
   }
 }
 
@@ -290,9 +290,9 @@
 // closely and cancel jobs.
 void SimulatedRegion::plan_overlapping_faults() {
   const Time span = plan_.faults_until - plan_.faults_from;
-  at(plan_.faults_from, [this, span] {
-    poll_closely(span);
-    send_odd_requests(span);
+  schedule(plan_.faults_from, [this, span] {
+    poll_intensively(span);
+    send_unusual_requests(span);
     cancel_at_end(0.3, span);
   });
   constexpr int kCombinations = 4;
@@ -300,12 +300,12 @@
     const Time when = plan_.faults_from + n * span / kCombinations + random_(4'000);
     const std::uint32_t faults = 2 + random_(2);
     for (std::uint32_t k = 0; k < faults; ++k)
-      at(when + random_(2'500),
-         [this] { inject_overlapping_fault(random_(kOverlappingFaultCount)); });
-    at(when + random_(2'500),
-       [this] { cancel_now(4, random_(3) == 0 ? 2'000 + random_(12'000) : 0); });
+      schedule(when + random_(2'500),
+               [this] { inject_overlapping_fault(random_(kOverlappingFaultCount)); });
+    schedule(when + random_(2'500),
+             [this] { cancel_running_jobs(4, random_(3) == 0 ? 2'000 + random_(12'000) : 0); });
   }
-  at(plan_.faults_until + ms(2 * plan_.lease_s), [this] { faults_ended(); });
+  schedule(plan_.faults_until + ms(2 * plan_.lease_s), [this] { faults_ended(); });
 }
 
 void SimulatedRegion::inject_overlapping_fault(std::uint32_t kind) {
@@ -329,9 +329,9 @@
       for (std::size_t node = 0; node < 3; ++node) kill(node, node == target ? 500 : 8'000);
       return;
     case OverlappingFault::LoseWriteResponses:
-      return late_writes(0.4, duration_ms, true);
+      return lose_write_responses(0.4, duration_ms, true);
     case OverlappingFault::DelayWrites:
-      return late_writes(0.3, duration_ms, false);
+      return lose_write_responses(0.3, duration_ms, false);
     case OverlappingFault::KeepHeartbeatsForNextLeader:
       return keep_heartbeats_for_next_leader(0.3, duration_ms);
     case OverlappingFault::DelayHeartbeats:
@@ -350,7 +350,7 @@
       return cut_zone(random_(2) == 0 ? "za" : "zb", duration_ms, hold);
     case OverlappingFault::RepeatedFailovers:
       for (int n = 0; n < 5; ++n)
-        at(now_ + Time{3'000} * n, [this] {
+        schedule(now_ + Time{3'000} * n, [this] {
           if (const int next = leader(); next >= 0) kill(static_cast<std::size_t>(next), 700);
         });
       return;
@@ -367,7 +367,7 @@
   for (std::uint32_t n = 0; n < count; ++n) {
     const Time when = plan_.faults_from + random_(span);
     const std::uint32_t kind = random_(kSingleFaultCount);
-    at(when, [this, kind] { inject_single_fault(kind); });
+    schedule(when, [this, kind] { inject_single_fault(kind); });
   }
 }
 
--- a/sim/processor.cpp
+++ b/sim/processor.cpp
@@ -22,7 +22,7 @@
   const std::uint64_t examined_before = examined_so_far(node);
   const auto actions = std::make_shared<std::vector<Action>>(step(node, std::move(input)));
   const Time done_at = now_ + step_time(node, examined_so_far(node) - examined_before);
-  at(done_at, [this, node, actions, alive = still_alive(node)] {
+  schedule(done_at, [this, node, actions, alive = still_alive(node)] {
     for (const Action& action : *actions)
       if (alive()) perform_action_unless_expired(node, action);
     if (!alive()) return;
--- a/sim/simulated_federation.cpp
+++ b/sim/simulated_federation.cpp
@@ -24,7 +24,7 @@
     names_.push_back(region_name(region));
     federation.regions.push_back({region_name(region), {"10.0.0.1:1"}});
     if (region == 0) continue;
-    for (const auto& [team, gpus] : plan.first_gpus)
+    for (const auto& [team, gpus] : plan.initial_gpus)
       federation.shares.push_back({team, region_name(region), 0, gpus});
   }
   for (std::size_t region = 0; region < plan.regions; ++region) {
@@ -175,7 +175,7 @@
                                           std::to_string(in_force) + " at " + std::to_string(now_));
 }
 
-std::string SimulatedFederation::broken() const {
+std::string SimulatedFederation::violations() const {
   std::string out;
   for (const auto& [rule, what] : violations_)
     out.append(rule).append(" (").append(what).append(") ");
@@ -211,7 +211,7 @@
     case 4:
       return region.kv_store_outage(span / 2);
     case 5:
-      return region.late_writes(0.4, span, random_(2) == 0);
+      return region.lose_write_responses(0.4, span, random_(2) == 0);
     case 6:
       return region.freeze(node, span);
     case 7:
--- a/sim/simulated_federation.hpp
+++ b/sim/simulated_federation.hpp
@@ -26,7 +26,7 @@
   double duplicated = 0.02;
   /// The share of each team's limit, in GPUs, with which every region but the first starts. The
   /// first region has the rest.
-  std::map<std::string, double> first_gpus;
+  std::map<std::string, double> initial_gpus;
   double reserve_ratio = 0.05;
   /// Runs without federation options: each region keeps a fixed part of each limit, and no share
   /// moves.
@@ -67,7 +67,7 @@
   [[nodiscard]] std::uint64_t messages() const { return messages_; }
   [[nodiscard]] std::uint64_t message_bytes() const { return message_bytes_; }
   /// All rules that were broken in any region or over all regions; empty if none was.
-  [[nodiscard]] std::string broken() const;
+  [[nodiscard]] std::string violations() const;
 
  private:
   struct MessageInTransit {
--- a/sim/simulated_region.cpp
+++ b/sim/simulated_region.cpp
@@ -22,7 +22,7 @@
   cloud_.address_prefix = deployment_.worker_address_prefix;
   cloud_.on_launched = [this](const CloudMachine& machine) {
     if (machine.broken) return;
-    at(plan_.boots_ms > 0 ? now_ + plan_.boots_ms : machine.boots_at, [this, machine] {
+    schedule(plan_.boot_ms > 0 ? now_ + plan_.boot_ms : machine.boots_at, [this, machine] {
       const auto it = cloud_.machines.find(machine.name);
       if (it == cloud_.machines.end()) return;
       it->second.up = true;
@@ -57,10 +57,10 @@
     report_waiting_jobs();
   }
   deliver_kept_heartbeats();
-  at(now_ + 20, [this] { housekeeping(); });
+  schedule(now_ + 20, [this] { housekeeping(); });
 }
 
-void SimulatedRegion::at(Time time, std::function<void()> run) {
+void SimulatedRegion::schedule(Time time, std::function<void()> run) {
   events_.push({std::max(time, now_), next_event_order_++, std::move(run)});
 }
 
@@ -82,12 +82,12 @@
   const auto [until, hold] = cuts_.between(from, to);
   if (now_ < until) {
     if (!hold) return;
-    return at(cuts_.arrival_of_held(from, to, until + delay()), std::move(arrive));
+    return schedule(cuts_.arrival_of_held(from, to, until + delay()), std::move(arrive));
   }
   // Over sockets, the real network delays each message.
-  if (plan_.over_sockets) return at(now_, std::move(arrive));
+  if (plan_.over_sockets) return schedule(now_, std::move(arrive));
   if (random_(1'000'000) < plan_.loss * 1'000'000) return;
-  at(now_ + delay(), std::move(arrive));
+  schedule(now_ + delay(), std::move(arrive));
 }
 
 void SimulatedRegion::start_node(std::size_t node) {
@@ -98,15 +98,15 @@
   host.busy = false;
   host.clock_rate = 1.0 + static_cast<double>(random_(500)) * 1e-6;
   const std::uint64_t seed = plan_.seed * 1000 + host.incarnation * 10 + node;
-  if (plan_.production && !host.upgraded) {
+  if (plan_.make_production_controller && !host.upgraded) {
     // The version in production doesn't know of lower limits that are announced for later.
     Settings settings = settings_[node];
     settings.store_limits = sample_settings(node, plan_.scale).store_limits;
-    host.controller = plan_.production(settings, seed);
+    host.controller = plan_.make_production_controller(settings, seed);
   } else {
-    host.controller = plan_.controllers ? plan_.controllers(node, settings_[node], seed)
-                                        : std::make_unique<CurrentController>(settings_[node],
-                                                                              plan_.options, seed);
+    host.controller = plan_.make_controller ? plan_.make_controller(node, settings_[node], seed)
+                                            : std::make_unique<CurrentController>(
+                                                  settings_[node], plan_.options, seed);
   }
   feed(node, Tick{});
 }
@@ -116,7 +116,7 @@
   if (!host.controller) return;
   if (now_ < host.frozen_until) {
     const auto held = std::make_shared<Input>(std::move(input));
-    return at(host.frozen_until, [this, node, held, incarnation = host.incarnation] {
+    return schedule(host.frozen_until, [this, node, held, incarnation = host.incarnation] {
       if (nodes_[node].incarnation == incarnation) feed(node, std::move(*held));
     });
   }
@@ -166,7 +166,7 @@
 }
 
 void SimulatedRegion::perform(std::size_t node, const ArmTimer& timer) {
-  at(now_ + timer.delay_ms, [this, node, alive = still_alive(node)] {
+  schedule(now_ + timer.delay_ms, [this, node, alive = still_alive(node)] {
     if (alive()) feed(node, Tick{});
   });
 }
@@ -183,10 +183,10 @@
     *done = true;
     feed(node, KvResponseReceived{id, reply});
   };
-  at(now_ + call.timeout_ms, [finish] { finish(KvResponse{}); });
+  schedule(now_ + call.timeout_ms, [finish] { finish(KvResponse{}); });
   const bool is_write = call.request.kind == KvRequest::Kind::Txn;
   if (is_write && affects_next(late_writes_)) {
-    at(now_ + 2'000 + random_(10'000), [this, request = call.request] {
+    schedule(now_ + 2'000 + random_(10'000), [this, request = call.request] {
       kv_store_.handle(request, false, now_, [](const KvResponse&) {});
     });
     return;
@@ -212,7 +212,7 @@
     const CloudResponse reply = cloud_.handle(request, now_);
     transmit(kCloudHost, nodes_[node].name, [finish, reply] { finish(reply); });
   });
-  at(now_ + call.timeout_ms, [finish] { finish(CloudResponse{}); });
+  schedule(now_ + call.timeout_ms, [finish] { finish(CloudResponse{}); });
 }
 
 void SimulatedRegion::perform(std::size_t node, const CallWorker& call) {
@@ -222,10 +222,10 @@
     feed(node, WorkerResponseReceived{id, 0, {}});
   };
   if (nodes_[node].direct_calls.size() >= settings_[node].process_limits.sockets / 4)
-    return at(now_, fail);
+    return schedule(now_, fail);
   nodes_[node].direct_calls.insert(call.call);
   send_direct_command(node, call.call, call.address, call.body);
-  at(now_ + call.timeout_ms, fail);
+  schedule(now_ + call.timeout_ms, fail);
 }
 
 void SimulatedRegion::perform(std::size_t, const SendToRegion& send) const {
@@ -240,7 +240,7 @@
 void SimulatedRegion::change_team_limit(const std::string& name, double gpus_max) {
   constexpr Time kRestartIntervalMs = 4'000, kDowntimeMs = 300;
   for (std::size_t node = 0; node < nodes_.size(); ++node)
-    at(now_ + static_cast<Time>(node) * kRestartIntervalMs, [this, node, name, gpus_max] {
+    schedule(now_ + static_cast<Time>(node) * kRestartIntervalMs, [this, node, name, gpus_max] {
       for (Team& team : settings_[node].teams)
         if (team.name == name) team.gpus_max = gpus_max;
       kill(node, kDowntimeMs);
--- a/sim/simulated_region.hpp
+++ b/sim/simulated_region.hpp
@@ -38,7 +38,7 @@
   /// Executes all events up to the given time.
   void run_until(Time time);
   /// Schedules a call. A time that is past counts as now.
-  void at(Time time, std::function<void()> run);
+  void schedule(Time time, std::function<void()> run);
   /// Runs the whole simulation. The checker holds the rules that were broken.
   void run() { run_until(plan_.length); }
   [[nodiscard]] Time now() const { return now_; }
@@ -63,11 +63,13 @@
   /// 4 s.
   void change_team_limit(const std::string& team, double gpus_max);
   /// Delivers a response of a controller that runs in another process.
-  void deliver(std::size_t node, const Response& response) { handle_node_response(node, response); }
+  void deliver_response(std::size_t node, const Response& response) {
+    handle_node_response(node, response);
+  }
   /// Executes a direct command on a worker; `then` gets the response. There is none if the worker
   /// is down or unreachable.
-  void command(const std::string& machine, const std::string& body,
-               const std::function<void(int, const Heartbeat&)>& then);
+  void send_command(const std::string& machine, const std::string& body,
+                    const std::function<void(int, const Heartbeat&)>& then);
   /// Requests a worker's status; `then` gets the response, under the same conditions.
   void inspect(const std::string& machine, const std::function<void(int, const Heartbeat&)>& then);
 
@@ -92,7 +94,7 @@
   void reject_kv_requests(std::size_t node, Time for_ms);
   /// Loses the response to that share of compare-and-swap requests. The store applies the requests
   /// either at once or 2 to 12 s late.
-  void late_writes(double share, Time for_ms, bool at_once);
+  void lose_write_responses(double share, Time for_ms, bool at_once);
 
   // --- Faults of the network: messages that a cut holds arrive after it, others are lost ---
 
@@ -147,22 +149,24 @@
   /// Makes the job's user cancel it now.
   void cancel(const std::string& id);
   /// Sends one request to that node, in addition to those that the job's user sends.
-  void ask(const std::string& id, std::size_t node, RequestOp op) { ask_for(id, node, op, {}); }
+  void send_request(const std::string& id, std::size_t node, RequestOp op) {
+    send_request_then(id, node, op, {});
+  }
   /// Does the same; `then` gets the status of the response.
-  void ask_for(const std::string& id, std::size_t node, RequestOp op,
-               const std::function<void(int)>& then);
+  void send_request_then(const std::string& id, std::size_t node, RequestOp op,
+                         const std::function<void(int)>& then);
   /// Makes the users of `count` running jobs cancel them within 200 ms. If `hang_ms` is positive, a
   /// machine of each of the first eight hangs for that time.
-  void cancel_now(std::size_t count, Time hang_ms);
+  void cancel_running_jobs(std::size_t count, Time hang_ms);
   /// Cancels the jobs of that share of the tasks that begin during `for_ms`, each at about the
   /// moment at which the task completes.
   void cancel_at_end(double share, Time for_ms);
   /// Makes users query all nodes within milliseconds after a job was accepted, ended or cancelled,
   /// submit it again, and cancel some jobs at once.
-  void poll_closely(Time for_ms);
+  void poll_intensively(Time for_ms);
   /// Sends repeated submissions, cancellations of jobs that are over, submissions that can't run or
   /// lack a field, and queries about jobs that were never submitted.
-  void send_odd_requests(Time for_ms);
+  void send_unusual_requests(Time for_ms);
 
   /// Tells the checker that no fault is injected from now on, so that no job may be left waiting or
   /// without a response.
@@ -189,7 +193,7 @@
   /// The number of heartbeats that have reached a node.
   [[nodiscard]] std::uint64_t heartbeats() const { return heartbeats_; }
   /// Successful responses to users that don't hold a job's state.
-  [[nodiscard]] std::uint64_t malformed_answers() const { return malformed_responses_; }
+  [[nodiscard]] std::uint64_t malformed_responses() const { return malformed_responses_; }
   /// The number of times that a gang has started.
   [[nodiscard]] std::uint32_t gang_starts(const std::string& job) {
     return gang_progress_[job].starts;
--- a/sim/simulation_plan.hpp
+++ b/sim/simulation_plan.hpp
@@ -57,26 +57,27 @@
   /// `SimulatedRegion::upgrade` replaces them. Empty: the simulation begins with the present
   /// version.
   std::function<std::unique_ptr<SimulatedController>(const Settings&, std::uint64_t seed)>
-      production;
+      make_production_controller;
   /// Replaces the sample deployment.
   std::optional<Deployment> deployment;
   /// Makes each controller; empty: controllers of the present version run within this process.
   std::function<std::unique_ptr<SimulatedController>(std::size_t node, const Settings&,
                                                      std::uint64_t seed)>
-      controllers;
+      make_controller;
   /// The operator's options for the controllers of the present version.
   Options options;
   /// Messages cross real sockets, which delay and lose them, so that the simulation doesn't.
   bool over_sockets = false;
-  std::uint32_t scale = 1;    // of the capacity and the teams; 12 machines at 1
-  double loss = 0.002;        // share of messages that are lost
-  double late_copies = 0.01;  // share of heartbeats of which a copy is sent 1 to 41 s later
+  std::uint32_t scale = 1;  // of the capacity and the teams; 12 machines at 1
+  double loss = 0.002;      // share of messages that are lost
+  double late_heartbeat_copies =
+      0.01;  // share of heartbeats of which a copy is sent 1 to 41 s later
   double heartbeat_interval_s = 1, lease_s = 10, cancel_s = 30;
   /// The processor of each controller. Inputs that reach a controller while it is busy wait, and
   /// its timers fire late.
   ProcessorCost processor;
   /// The time that each machine takes to boot; 0 means a random time around that of its type.
-  Time boots_ms = 0;
+  Time boot_ms = 0;
 };
 
 inline std::string node_name(std::size_t node) { return "node-" + std::to_string(node); }
--- a/sim/users.cpp
+++ b/sim/users.cpp
@@ -53,12 +53,12 @@
          UserRequest{
              {RequestSource::Kind::Local, call, 0}, op, submits ? "" : id, submits ? body : ""});
   });
-  at(now_ + response_timeout(op), [this, call] { response_handlers_.erase(call); });
+  schedule(now_ + response_timeout(op), [this, call] { response_handlers_.erase(call); });
   return call;
 }
 
 void SimulatedRegion::schedule_user_tick(std::size_t index, Time when) {
-  at(when, [this, index, request_number = users_[index]->request_number] {
+  schedule(when, [this, index, request_number = users_[index]->request_number] {
     if (users_[index]->request_number == request_number) user_tick(index);
   });
 }
@@ -95,7 +95,7 @@
                                           requested_at);
               });
   user.call = call;
-  at(now_ + response_timeout(op), [this, index, request_number, call, op] {
+  schedule(now_ + response_timeout(op), [this, index, request_number, call, op] {
     User& user = *users_[index];
     if (user.request_number == request_number && user.call == call)
       handle_user_response(index, op, 0, "");
@@ -136,8 +136,8 @@
 
 // A response of one node binds the responses of all nodes to later requests, so the checker gets
 // each of them.
-void SimulatedRegion::ask_for(const std::string& id, std::size_t node, RequestOp op,
-                              const std::function<void(int)>& then) {
+void SimulatedRegion::send_request_then(const std::string& id, std::size_t node, RequestOp op,
+                                        const std::function<void(int)>& then) {
   const auto it = user_by_job_.find(id);
   const std::string body = it == user_by_job_.end() ? "" : users_[it->second]->body;
   const Time requested_at = now_;
@@ -157,9 +157,10 @@
   const std::string id = users_[index]->spec.id;
   for (std::size_t repeat = 0; repeat < 3; ++repeat)
     for (std::size_t node = 0; node < nodes_.size(); ++node)
-      at(now_ + random_(20) + static_cast<Time>(repeat) * 100,
-         [this, id, node] { ask(id, node, RequestOp::Query); });
-  at(now_ + random_(20), [this, id] { ask(id, random_(node_count()), RequestOp::Submit); });
+      schedule(now_ + random_(20) + static_cast<Time>(repeat) * 100,
+               [this, id, node] { send_request(id, node, RequestOp::Query); });
+  schedule(now_ + random_(20),
+           [this, id] { send_request(id, random_(node_count()), RequestOp::Submit); });
   if (!users_[index]->ended && random_(8) == 0) cancel_job_of(index);
 }
 
@@ -179,13 +180,13 @@
 
 void SimulatedRegion::send_unusual_request(Time until) {
   if (now_ >= until) return;
-  at(now_ + 300 + random_(700), [this, until] { send_unusual_request(until); });
+  schedule(now_ + 300 + random_(700), [this, until] { send_unusual_request(until); });
   const std::size_t node = random_(node_count());
   if (!users_.empty()) {
     // Repeats the submission of a random job, and cancels the job as well if it is over.
     const User& user = *users_[random_(static_cast<std::uint32_t>(users_.size()))];
-    if (user.accepted) ask(user.spec.id, node, RequestOp::Submit);
-    if (user.ended) ask(user.spec.id, random_(node_count()), RequestOp::Cancel);
+    if (user.accepted) send_request(user.spec.id, node, RequestOp::Submit);
+    if (user.ended) send_request(user.spec.id, random_(node_count()), RequestOp::Cancel);
   }
   JobSpec spec;
   spec.id = "job-77" + std::to_string(next_unusual_job_++);
--- a/sim/workers.cpp
+++ b/sim/workers.cpp
@@ -51,7 +51,7 @@
   if (found == workers_.end() || !found->second.alive) return;
   Worker& worker = found->second;
   if (now_ < worker.hang_until) {
-    at(worker.hang_until, [this, name] { worker_tick(name); });
+    schedule(worker.hang_until, [this, name] { worker_tick(name); });
     return;
   }
   const double lease = settings_[0].workers.lease_s * 1000;
@@ -63,7 +63,7 @@
       (now_ >= worker.next_heartbeat ||
        (worker.status_changed && now_ - worker.last_heartbeat >= 500)))
     send_heartbeat(worker);
-  at(now_ + kWorkerTickMs, [this, name] { worker_tick(name); });
+  schedule(now_ + kWorkerTickMs, [this, name] { worker_tick(name); });
 }
 
 void SimulatedRegion::advance(Worker& worker, TaskAttempt& task) {
@@ -105,8 +105,8 @@
             ? now_
             : now_ + static_cast<Time>(user->spec.estimate_s * (500 + random_(1000)));
   if (task.completes_at > 0 && affects_next(cancel_at_end_))
-    at(task.completes_at - 50 + random_(200),
-       [this, id = user->spec.id] { cancel_job_of(user_by_job_.at(id)); });
+    schedule(task.completes_at - 50 + random_(200),
+             [this, id = user->spec.id] { cancel_job_of(user_by_job_.at(id)); });
 }
 
 void SimulatedRegion::end_task(Worker& worker, TaskAttempt& task, ExitCause cause) {
@@ -151,15 +151,15 @@
     if (!nodes_[node].controller) return finish(0, "");
     deliver({RequestSource::Kind::Local, call, 0});
   });
-  if (random_(1000) < plan_.late_copies * 1000)
-    at(now_ + 1000 + random_(40'000), [this, name, node, deliver] {
+  if (random_(1000) < plan_.late_heartbeat_copies * 1000)
+    schedule(now_ + 1000 + random_(40'000), [this, name, node, deliver] {
       transmit(name, nodes_[node].name, [deliver] { deliver({}); });
     });
   if (affects_next(kept_for_next_leader_)) kept_heartbeats_.push_back(raw);
   if (affects_next(delayed_heartbeats_))
-    at(now_ + 2'000 + random_(static_cast<std::uint32_t>(2'500 * plan_.lease_s)),
-       [this, raw] { deliver_to_all_controllers(raw); });
-  at(now_ + kHeartbeatTimeoutMs, [this, name, call, heartbeat_number, sent, incarnation] {
+    schedule(now_ + 2'000 + random_(static_cast<std::uint32_t>(2'500 * plan_.lease_s)),
+             [this, raw] { deliver_to_all_controllers(raw); });
+  schedule(now_ + kHeartbeatTimeoutMs, [this, name, call, heartbeat_number, sent, incarnation] {
     response_handlers_.erase(call);
     const auto it = workers_.find(name);
     if (it != workers_.end() && it->second.alive)
@@ -286,7 +286,7 @@
 void SimulatedRegion::transmit_command(const std::string& from, const std::string& to,
                                        std::function<void()> arrive) {
   if (affects_next(slow_commands_))
-    at(now_ + random_(6'000), std::move(arrive));
+    schedule(now_ + random_(6'000), std::move(arrive));
   else
     transmit(from, to, std::move(arrive));
 }
@@ -304,7 +304,7 @@
 void SimulatedRegion::execute_direct_command(std::size_t node, std::uint64_t call,
                                              const std::string& name, const std::string& body,
                                              std::uint64_t incarnation) {
-  command(name, body, [=, this](int status, const Heartbeat& heartbeat) {
+  send_command(name, body, [=, this](int status, const Heartbeat& heartbeat) {
     const auto response = [this, node, call, incarnation, status, heartbeat] {
       if (nodes_[node].incarnation != incarnation) return;
       nodes_[node].direct_calls.erase(call);
@@ -314,13 +314,13 @@
   });
 }
 
-void SimulatedRegion::command(const std::string& name, const std::string& body,
-                              const std::function<void(int, const Heartbeat&)>& then) {
+void SimulatedRegion::send_command(const std::string& name, const std::string& body,
+                                   const std::function<void(int, const Heartbeat&)>& then) {
   const auto it = workers_.find(name);
   if (it == workers_.end() || !it->second.alive || now_ < it->second.inbound_blocked_until) return;
   Worker& worker = it->second;
   if (now_ < worker.hang_until)  // a hung worker executes the command once it recovers
-    return at(worker.hang_until + 5, [=, this] { command(name, body, then); });
+    return schedule(worker.hang_until + 5, [=, this] { send_command(name, body, then); });
   int status = 400;
   const auto batch = decode_commands(body);
   if (batch && batch->incarnation) {
@@ -342,7 +342,7 @@
   const auto it = workers_.find(name);
   if (it == workers_.end() || !it->second.alive || now_ < it->second.inbound_blocked_until) return;
   if (now_ < it->second.hang_until)
-    return at(it->second.hang_until + 5, [=, this] { inspect(name, then); });
+    return schedule(it->second.hang_until + 5, [=, this] { inspect(name, then); });
   then(200, make_heartbeat(it->second));
 }
 
@@ -359,7 +359,7 @@
   if (epoch <= delivered_epoch_) return;
   delivered_epoch_ = epoch;
   for (const std::string& raw : kept_heartbeats_)
-    at(now_ + random_(300), [this, raw] { deliver_to_all_controllers(raw); });
+    schedule(now_ + random_(300), [this, raw] { deliver_to_all_controllers(raw); });
   kept_heartbeats_.clear();
 }
 
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -11,7 +11,8 @@
   for (Time when = from; when < until; when += every) {
     region.run_until(when);
     for (std::size_t job = 0; job < jobs; ++job)
-      for (std::size_t node = 0; node < 3; ++node) region.ask(job_id(job), node, RequestOp::Query);
+      for (std::size_t node = 0; node < 3; ++node)
+        region.send_request(job_id(job), node, RequestOp::Query);
   }
 }
 
@@ -32,7 +33,7 @@
     ASSERT_GE(region.leader(), 0);
     region.cut_peers(leader_of(region), 12'000, false);
     ask_everywhere(region, kJobs, 40'000, 42'000, 200);
-    region.late_writes(0.9, 9'000, true);
+    region.lose_write_responses(0.9, 9'000, true);
     for (std::size_t n = 0; n < kJobs; n += 2) region.cancel(job_id(n));
     ask_everywhere(region, kJobs, 42'000, 51'000, 60);
     region.run();
@@ -61,7 +62,7 @@
     ask_everywhere(region, 1, 40'000, 42'000, 500);
     // All jobs are cancelled at once while most responses of the key-value store are lost, so that
     // a commit takes a second or two.
-    region.late_writes(0.7, 15'000, true);
+    region.lose_write_responses(0.7, 15'000, true);
     for (std::size_t n = 0; n < kJobs; ++n) region.cancel(job_id(n));
     ask_everywhere(region, kJobs, 42'000, 56'000, 350);
     region.run();
@@ -82,8 +83,8 @@
     plan.length = 260'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    region.poll_closely(plan.length);
-    region.send_odd_requests(120'000);
+    region.poll_intensively(plan.length);
+    region.send_unusual_requests(120'000);
     region.cancel_at_end(0.4, 120'000);
     submit_mixed_jobs(region, 0, 10, seed);
     std::size_t next_job = 10;
@@ -96,8 +97,8 @@
       for (int k = 0; k < 60; ++k) {
         region.run_until(region.now() + 100);
         for (std::size_t n = next_job - 10; n < next_job; ++n)
-          region.ask(job_id(n), (n + static_cast<std::size_t>(k)) % 3,
-                     k % 9 == 0 ? RequestOp::Submit : RequestOp::Query);
+          region.send_request(job_id(n), (n + static_cast<std::size_t>(k)) % 3,
+                              k % 9 == 0 ? RequestOp::Submit : RequestOp::Query);
       }
       region.run_until(region.now() + 9'000);
     }
@@ -111,21 +112,21 @@
 const Scenario kScenarios[] = {
     {"WithoutOtherFaults", [](SimulatedRegion&, std::uint64_t) {}},
     {"WhileResponsesOfTheKeyValueStoreAreLost",
-     [](SimulatedRegion& region, std::uint64_t) { region.late_writes(0.5, 6'000, true); }},
+     [](SimulatedRegion& region, std::uint64_t) { region.lose_write_responses(0.5, 6'000, true); }},
     {"WhileTheLeaderHasLostItsPeersAndItsWritesAreDelayed",
      [](SimulatedRegion& region, std::uint64_t seed) {
        region.cut_peers(leader_of(region), 6'000, seed % 2 == 0);
-       region.late_writes(0.5, 6'000, seed % 3 == 0);
+       region.lose_write_responses(0.5, 6'000, seed % 3 == 0);
      }},
     {"WhileTheLeaderIsIsolatedWithItsWorkersAndUsers",
      [](SimulatedRegion& region, std::uint64_t seed) {
        region.isolate(leader_of(region), 8'000, seed % 2 == 0);
-       region.cancel_now(3, 0);
+       region.cancel_running_jobs(3, 0);
      }},
     {"WhileTheKeyValueStoreRejectsTheLeader",
      [](SimulatedRegion& region, std::uint64_t) {
        region.reject_kv_requests(leader_of(region), 5'000);
-       region.cancel_now(3, 0);
+       region.cancel_running_jobs(3, 0);
      }},
     {"WhileTheLeaderIsPaused",
      [](SimulatedRegion& region, std::uint64_t seed) {
@@ -203,9 +204,10 @@
   std::map<int, int> polls, submissions;
   for (std::size_t n = 0; n < kJobs; ++n)
     for (std::size_t node = 0; node < 3; ++node) {
-      region.ask_for(job_id(n), node, RequestOp::Query, [&](int status) { ++polls[status]; });
-      region.ask_for(job_id(n), node, RequestOp::Submit,
-                     [&](int status) { ++submissions[status]; });
+      region.send_request_then(job_id(n), node, RequestOp::Query,
+                               [&](int status) { ++polls[status]; });
+      region.send_request_then(job_id(n), node, RequestOp::Submit,
+                               [&](int status) { ++submissions[status]; });
     }
   region.run_until(54'000);
   EXPECT_EQ(polls[404], 0);
@@ -233,8 +235,8 @@
                      [&submitted](int status) { submitted = status; });
     region.run_until(24'000);
     EXPECT_EQ(submitted, 201) << seed;
-    region.ask_for("job-1", partitioned, RequestOp::Cancel,
-                   [&cancelled](int status) { cancelled = status; });
+    region.send_request_then("job-1", partitioned, RequestOp::Cancel,
+                             [&cancelled](int status) { cancelled = status; });
     region.run_until(25'000);
     EXPECT_EQ(cancelled, 200) << seed;
     EXPECT_EQ(leader_of(region), leader);
--- a/tests/behaviour_digest.cpp
+++ b/tests/behaviour_digest.cpp
@@ -24,8 +24,8 @@
 using DigestPointer = std::shared_ptr<BehaviourDigest>;
 
 void record_outputs(SimulationPlan& plan, const DigestPointer& digest) {
-  plan.controllers = [digest, options = plan.options](std::size_t, const Settings& settings,
-                                                      std::uint64_t seed) {
+  plan.make_controller = [digest, options = plan.options](std::size_t, const Settings& settings,
+                                                          std::uint64_t seed) {
     return std::make_unique<DigestedController>(settings, options, seed, digest);
   };
 }
@@ -49,7 +49,7 @@
   plan.fault_pairs = true;
   plan.length = 300'000;
   if (seed % 3 == 1) plan.cancel_s = 14;
-  if (seed % 4 == 0) plan.boots_ms = 1'500;
+  if (seed % 4 == 0) plan.boot_ms = 1'500;
   run_region(plan, digest);
 }
 
@@ -71,7 +71,7 @@
   FederationPlan plan;
   plan.seed = seed;
   plan.regions = regions;
-  plan.first_gpus = {{"red", share(kRedLimit)}, {"blue", share(kBlueLimit)}};
+  plan.initial_gpus = {{"red", share(kRedLimit)}, {"blue", share(kBlueLimit)}};
   plan.length = 240'000;
   plan.faults = true;
   plan.adjust = [&digest](std::size_t, SimulationPlan& region_plan) {
@@ -103,15 +103,15 @@
   plan.next_value_kb = 2;
   plan.next_txn_ops = 5;
   plan.next_write_rps = 20;
-  plan.production = make_production_controller;
+  plan.make_production_controller = make_production_controller;
   record_outputs(plan, digest);
   SimulatedRegion region(plan);
   region.run_until(1'000);
   submit_mixed_jobs(region, 0, 40, seed);
   region.run_until(55'000);
-  region.poll_closely(200'000);
+  region.poll_intensively(200'000);
   for (std::size_t step = 0; step < 3; ++step) {
-    if (seed % 2 == 0) region.late_writes(0.5, 6'000, step % 2 == 0);
+    if (seed % 2 == 0) region.lose_write_responses(0.5, 6'000, step % 2 == 0);
     if (seed % 3 == 0) region.kill(leader_of(region), 500);
     region.run_until(region.now() + 1'000);
     region.upgrade((step + seed) % 3, 3'000);
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -132,7 +132,8 @@
     const std::size_t leader = leader_of(region);
     // The machines are out of reach, so that the tasks can't be stopped at once.
     for (const auto& machine : region.machines_up()) cut_off(region, machine, 5'000, false);
-    for (std::size_t n = 0; n < kJobs; n += 2) region.ask(job_id(n), n % 3, RequestOp::Cancel);
+    for (std::size_t n = 0; n < kJobs; n += 2)
+      region.send_request(job_id(n), n % 3, RequestOp::Cancel);
     region.run_until(40'400);
     region.kill(leader, 20'000);
     std::set<std::string> started;
@@ -176,10 +177,11 @@
     const Time asked = region.now();
     int status = 0;
     Time took = 0;
-    region.ask_for(job_id(n), leader_of(region), RequestOp::Cancel, [&](int response_status) {
-      status = response_status;
-      took = region.now() - asked;
-    });
+    region.send_request_then(job_id(n), leader_of(region), RequestOp::Cancel,
+                             [&](int response_status) {
+                               status = response_status;
+                               took = region.now() - asked;
+                             });
     region.run_until(asked + 2'000);
     return std::pair(status, took);
   };
@@ -203,7 +205,7 @@
     plan.length = 400'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    region.poll_closely(plan.length);
+    region.poll_intensively(plan.length);
     for (std::size_t n = 0; n < 44; ++n) {
       JobSpec spec = n % 2 == 0 ? service(job_id(n), 2) : array(job_id(n), 3, 40);
       spec.team = n % 3 == 0 ? "blue" : "red";
@@ -216,7 +218,7 @@
     region.run_until(region.now() + 60'000);
     region.faults_ended();
     region.run();
-    region.checker().end_served();
+    region.checker().check_end_and_service();
     EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
   }
 }
@@ -231,14 +233,14 @@
          region.run_until(region.now() + 300);
          region.kill(leader_of(region), 3'000);
          region.run_until(region.now() + 2'500);
-         region.cancel_now(5, 0);
+         region.cancel_running_jobs(5, 0);
          region.run_until(region.now() + 14'000);
        }
      }},
     {"CancelledJobsMachinesAreCutOffOrHang",
      [](SimulatedRegion& region, std::uint64_t seed) {
        for (int round = 0; round < 3; ++round) {
-         region.cancel_now(6, 4'000 + static_cast<Time>(seed) * 1'200);
+         region.cancel_running_jobs(6, 4'000 + static_cast<Time>(seed) * 1'200);
          const auto busy = busy_machines(region);
          for (std::size_t k = 0; k < busy.size(); k += 3) cut_off(region, busy[k], 7'000, true);
          region.run_until(region.now() + 400);
@@ -252,7 +254,7 @@
        for (std::size_t k = 0; k < busy.size(); k += 2) cut_off(region, busy[k], 20'000, true);
        region.kill(leader_of(region), 2'000);
        region.run_until(region.now() + 4'500);
-       region.cancel_now(5, 0);
+       region.cancel_running_jobs(5, 0);
        region.kill(leader_of(region), 2'000);
        region.run_until(region.now() + 30'000);
      }},
@@ -265,7 +267,7 @@
          else
            region.isolate(leader, 9'000, seed % 2 == 0);
          for (int n = 0; n < 8; ++n) {
-           region.cancel_now(1, 0);
+           region.cancel_running_jobs(1, 0);
            region.run_until(region.now() + 500);
          }
          region.run_until(region.now() + 8'000);
@@ -275,7 +277,7 @@
      [](SimulatedRegion& region, std::uint64_t seed) {
        region.slow_commands(40'000);
        for (int round = 0; round < 4; ++round) {
-         region.cancel_now(4, 0);
+         region.cancel_running_jobs(4, 0);
          if (round == 2) region.kill(leader_of(region), 1'000);
          // Work of higher priority preempts the rest.
          for (std::size_t n = 0; n < 3; ++n) {
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -15,7 +15,7 @@
     plan.length = 340'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    region.poll_closely(200'000);
+    region.poll_intensively(200'000);
     region.cancel_at_end(0.05, 200'000);
     pcg32 random(seed);
     for (std::size_t n = 0; n < 640; ++n) {
@@ -25,7 +25,7 @@
       region.submit(spec, random(4) == 0 ? region.now() + 500 + random(9'000) : 0);
       region.run_until(region.now() + 250);
       if (n == 200 || n == 420) region.kill(leader_of(region), n == 200 ? 400 : 6'000);
-      if (n == 300) region.late_writes(0.4, 8'000, seed % 2 == 0);
+      if (n == 300) region.lose_write_responses(0.4, 8'000, seed % 2 == 0);
     }
     region.run_until(200'000);
     region.faults_ended();
@@ -41,7 +41,7 @@
     SimulationPlan plan = quiet(seed + 300);
     plan.length = 620'000;
     plan.loss = 0.03;
-    plan.late_copies = 0.05;
+    plan.late_heartbeat_copies = 0.05;
     SimulatedRegion region(plan);
     region.run_until(1'000);
     region.submit(array("job-9000", 60, 8));  // red's quota limit lets 30 tasks run at once
@@ -158,7 +158,7 @@
     for (Time t = 2'000; t < 160'000; t += 1'000) {
       region.run_until(t);
       for (const auto& [name, m] : region.cloud().machines)
-        if (m.broken) longest_boot = std::max(longest_boot, t - m.launched);
+        if (m.broken) longest_boot = std::max(longest_boot, t - m.launched_at);
     }
     // Three boot times of 12 s, plus a lease and a call to the cloud.
     EXPECT_GT(longest_boot, 30'000) << seed << ": no machine failed to come up";
@@ -255,7 +255,7 @@
     plan.length = 300'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    region.poll_closely(plan.length);
+    region.poll_intensively(plan.length);
     for (std::size_t n = 0; n < 14; ++n) {
       JobSpec spec = n % 2 == 0 ? service(job_id(n), 3) : array(job_id(n), 5, 25);
       spec.team = n % 3 == 0 ? "blue" : "red";
@@ -293,13 +293,13 @@
     plan.cancel_s = seed % 2 == 0 ? 12 : 30;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    region.poll_closely(plan.length);
+    region.poll_intensively(plan.length);
     submit_mixed_jobs(region, 0, 16, seed);
     region.run_until(50'000);
     region.cut_zone(seed % 2 == 0 ? "za" : "zb", 13'000 + static_cast<Time>(seed) * 4'000,
                     seed % 3 == 0);
     for (int round = 0; round < 4; ++round) {
-      region.cancel_now(2, 0);
+      region.cancel_running_jobs(2, 0);
       region.run_until(region.now() + 4'000);
       if (round == 1 && seed > 3) region.kill(leader_of(region), 4'000);
     }
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -36,7 +36,7 @@
   checker_.task_ended({"job-1", 1}, "m-2", true);
   checker_.state_reported("job-1", "done", 20);
   checker_.state_reported("job-1", "done", 9'000'000);
-  checker_.end();
+  checker_.check_end();
   EXPECT_TRUE(checker_.violations().empty()) << checker_.summary();
 }
 
@@ -205,7 +205,7 @@
 TEST_F(CheckerTest, NotServed) {
   checker_.state_reported("job-1", "pending", 0);
   checker_.task_started({"job-1", 0}, in_zone_a_, 10);
-  checker_.end_served();
+  checker_.check_end_and_service();
   // The array began and never ended. It counts for its class, its team and the largest jobs.
   EXPECT_TRUE(is_only_violation("not_served"));
   EXPECT_EQ(checker_.violations().at("not_served").size(), 3U);
@@ -215,12 +215,12 @@
   resubmit_with([](JobSpec& spec) { spec.kind = JobKind::Service; });
   checker_.state_reported("job-1", "pending", 0);
   checker_.task_started({"job-1", 0}, in_zone_a_, 240'001);
-  checker_.end_served();
+  checker_.check_end_and_service();
   EXPECT_TRUE(is_only_violation("late_largest"));
 }
 
 TEST_F(CheckerTest, NothingRan) {
-  checker_.end();
+  checker_.check_end();
   EXPECT_TRUE(is_only_violation("nothing_ran"));
 }
 
--- a/tests/commit_test.cpp
+++ b/tests/commit_test.cpp
@@ -38,7 +38,7 @@
     EXPECT_LE(quantile(delays, 0.9), 100) << "seed " << seed;
     region.run();
     EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
-    EXPECT_EQ(region.kv_store().malformed, 0U);
+    EXPECT_EQ(region.kv_store().over_limit_requests, 0U);
     EXPECT_EQ(region.kv_store().refused_writes, 0U) << "seed " << seed;
   }
 }
--- a/tests/day_test.cpp
+++ b/tests/day_test.cpp
@@ -13,10 +13,10 @@
 // end, so every accepted array must be over by then.
 void expect_rules_kept(SimulatedRegion& region, const SimulationPlan& plan) {
   region.run();
-  region.checker().end();
+  region.checker().check_end();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
-  EXPECT_EQ(region.kv_store().malformed, 0U);
-  EXPECT_EQ(region.malformed_answers(), 0U);
+  EXPECT_EQ(region.kv_store().over_limit_requests, 0U);
+  EXPECT_EQ(region.malformed_responses(), 0U);
   EXPECT_TRUE(region.checker().unfinished_arrays().empty())
       << region.checker().unfinished_arrays().front();
   EXPECT_GT(region.checker().jobs_over(), plan.jobs / 2);
--- a/tests/delayed_heartbeats_test.cpp
+++ b/tests/delayed_heartbeats_test.cpp
@@ -141,10 +141,10 @@
     const auto some_time = [&] { return region.now() + random(static_cast<std::uint32_t>(span)); };
     region.cut_machines(0.3 + 0.1 * random(5), span, true);
     if (random(2) == 0)
-      region.at(some_time(), [&region] { region.kill(leader_of(region), 4'000); });
+      region.schedule(some_time(), [&region] { region.kill(leader_of(region), 4'000); });
     if (options.more_faults)
-      region.at(some_time(),
-                [&region, &random, span] { inject_second_fault(region, random, span); });
+      region.schedule(some_time(),
+                      [&region, &random, span] { inject_second_fault(region, random, span); });
     region.run_until(region.now() + span + 4'000 + random(12'000));
   }
   region.run_until(region.now() + 3 * ms(plan.lease_s));
--- a/tests/election_history_test.cpp
+++ b/tests/election_history_test.cpp
@@ -46,7 +46,7 @@
 // Compares the history with a scan of all observed epochs. Epochs may be observed late, twice and
 // out of order.
 TEST(ElectionHistory, MatchesAScanOfAllObservedEpochs) {
-  fix_cases(500);
+  set_property_cases(500);
   const bool passed = rc::check([] {
     ElectionHistory history(kSpan);
     std::vector<std::pair<std::uint64_t, Time>> observed;
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -20,10 +20,10 @@
   for (std::uint64_t seed = 1; seed <= kSeedCount; ++seed) {
     SimulationPlan plan = quiet(seed * 13);
     plan.length = 500'000;
-    plan.boots_ms = scenario.boots_ms;
+    plan.boot_ms = scenario.boots_ms;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    region.poll_closely(plan.length);
+    region.poll_intensively(plan.length);
     submit_mixed_jobs(region, 0, kJobCount, seed);
     region.run_until(kScenarioStartMs);
     scenario.play(region, seed % 8);
@@ -40,7 +40,7 @@
        for (int round = 0; round < 4; ++round) {
          region.keep_heartbeats_for_next_leader(0.5, 9'000);
          region.run_until(region.now() + 8'000);
-         region.cancel_now(3, 0);
+         region.cancel_running_jobs(3, 0);
          if (seed % 2 == 0) region.cancel_at_end(0.5, 10'000);
          region.run_until(region.now() + 500);
          kill_leader(region, 4'000);
@@ -57,7 +57,7 @@
            region.cut(node_name(old_leader), machine, 15'000, true);
          region.cut(node_name(old_leader), kKvStoreHost, 15'000, true);
          region.run_until(region.now() + 4'000);
-         region.cancel_now(3, 0);
+         region.cancel_running_jobs(3, 0);
          region.run_until(region.now() + 21'000);
        }
      }},
@@ -69,7 +69,7 @@
        }
        for (std::size_t i = 0; i < 3; ++i) region.kill(i, i == seed % 3 ? 500 : 9'000);
        region.run_until(region.now() + 4'000);
-       region.cancel_now(3, 0);
+       region.cancel_running_jobs(3, 0);
        region.run_until(region.now() + 12'000);
      }},
     {"LongTasksOutOfReachAsTheLeaderEnds",
@@ -81,7 +81,7 @@
        }
        kill_leader(region, 6'000);
        region.run_until(region.now() + 5'000);
-       region.cancel_now(4, 0);
+       region.cancel_running_jobs(4, 0);
        region.run_until(region.now() + 40'000);
      }},
     {"TasksEndFarApartAcrossLeaders",
@@ -96,11 +96,11 @@
      }},
     {"LateWritesAfterNewerOnes",
      [](SimulatedRegion& region, std::uint64_t seed) {
-       region.late_writes(0.4, 40'000, false);
+       region.lose_write_responses(0.4, 40'000, false);
        for (int round = 0; round < 3; ++round) {
          submit_mixed_jobs(region, 100 + static_cast<std::size_t>(round) * 8, 8, seed);
          if (round == 1) kill_leader(region, 500);
-         region.cancel_now(3, 0);
+         region.cancel_running_jobs(3, 0);
          region.run_until(region.now() + 6'000);
        }
      }},
@@ -113,7 +113,7 @@
            if (machine.back() % 2 == 0) cut_off(region, machine, 13'000, true);
          region.run_until(region.now() + 10'000);
          kill_leader(region, 3'000);
-         region.cancel_now(2, 0);
+         region.cancel_running_jobs(2, 0);
          region.run_until(region.now() + 12'000);
        }
      }},
@@ -125,7 +125,7 @@
            spec.image = "img-" + std::to_string(n % 3);
            region.submit(spec, region.now() + 25'000);
          }
-         region.late_writes(0.5, 3'000, seed % 2 == 0);
+         region.lose_write_responses(0.5, 3'000, seed % 2 == 0);
          region.run_until(region.now() + 2'200 + static_cast<Time>(seed) * 150);
          kill_leader(region, 2'000);
          region.run_until(region.now() + 14'000);
@@ -136,7 +136,7 @@
      [](SimulatedRegion& region, std::uint64_t seed) {
        for (std::size_t i = 0; i < 3; ++i)
          region.kill(i, 11'000 + static_cast<Time>(seed * i) * 400);
-       region.cancel_now(4, seed % 2 == 0 ? 9'000 : 0);
+       region.cancel_running_jobs(4, seed % 2 == 0 ? 9'000 : 0);
        region.run_until(region.now() + 30'000);
      }},
     {"TenLeadersInTwoMinutesAlsoInAnOutage",
@@ -144,7 +144,7 @@
        for (int round = 0; round < 10; ++round) {
          if (round == 4) region.kv_store_outage(9'000);
          if (region.leader() >= 0) kill_leader(region, round % 3 == 0 ? 6'000 : 600);
-         region.cancel_now(1, 0);
+         region.cancel_running_jobs(1, 0);
          region.run_until(region.now() + 9'000 + static_cast<Time>(seed) * 400);
        }
      }},
@@ -153,7 +153,7 @@
        for (int round = 0; round < 3; ++round) {
          const std::size_t old_leader = leader_of(region);
          region.freeze(old_leader, 5'000 + static_cast<Time>(seed) * 900);
-         region.cancel_now(4, 0);
+         region.cancel_running_jobs(4, 0);
          region.cancel_at_end(0.5, 10'000);
          region.run_until(region.now() + 14'000);
        }
--- a/tests/fault_pairs_test.cpp
+++ b/tests/fault_pairs_test.cpp
@@ -22,13 +22,13 @@
     plan.heartbeat_interval_s = 0.8;
     plan.cancel_s = 20;
   }
-  if (plan.seed % 4 == 0) plan.boots_ms = 1'500;
+  if (plan.seed % 4 == 0) plan.boot_ms = 1'500;
   SimulatedRegion region(plan);
   region.run();
-  region.checker().end_served();
+  region.checker().check_end_and_service();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
-  EXPECT_EQ(region.kv_store().malformed, 0U);
-  EXPECT_EQ(region.malformed_answers(), 0U);
+  EXPECT_EQ(region.kv_store().over_limit_requests, 0U);
+  EXPECT_EQ(region.malformed_responses(), 0U);
   EXPECT_GT(region.checker().jobs_over(), plan.jobs / 2);
 }
 
--- a/tests/federation_test.cpp
+++ b/tests/federation_test.cpp
@@ -15,8 +15,8 @@
   FederationPlan plan;
   plan.seed = seed;
   plan.regions = regions;
-  plan.first_gpus = {{"red", kRedLimitGpus / static_cast<double>(regions)},
-                     {"blue", 12.0 / static_cast<double>(regions)}};
+  plan.initial_gpus = {{"red", kRedLimitGpus / static_cast<double>(regions)},
+                       {"blue", 12.0 / static_cast<double>(regions)}};
   return plan;
 }
 
@@ -52,7 +52,7 @@
   for (std::size_t n = 0; n < 30; ++n)
     federation.region(0).submit(service_with_priority(job_id(n), 1, Priority::Normal));
   federation.run_until(60'000);
-  EXPECT_EQ(federation.broken(), "");
+  EXPECT_EQ(federation.violations(), "");
   return federation.used_gpus("red") / kRedLimitGpus;
 }
 
@@ -70,13 +70,13 @@
 std::vector<Time> urgent_start_waits(std::uint64_t seed) {
   FederationPlan plan;
   plan.seed = seed;
-  plan.first_gpus = {{"red", 1}, {"blue", 0}};
+  plan.initial_gpus = {{"red", 1}, {"blue", 0}};
   plan.loss = 0;
   plan.adjust = [](std::size_t, SimulationPlan& region_plan) {
     add_machines(region_plan);
     region_plan.options.headroom_ratio = 1;
     region_plan.loss = 0;
-    region_plan.late_copies = 0;
+    region_plan.late_heartbeat_copies = 0;
   };
   SimulatedFederation federation(plan);
   std::vector<Time> waits;
@@ -99,7 +99,7 @@
     asking_region.submit(spec);
     federation.run_until(federation.now() + 3'000);
   }
-  EXPECT_EQ(federation.broken(), "");
+  EXPECT_EQ(federation.violations(), "");
   EXPECT_TRUE(submitted_at.empty());
   return waits;
 }
@@ -132,7 +132,7 @@
   federation.run_until(70'000);
   EXPECT_EQ(federation.region(1).checker().used_by("red").gpus, 5);
   EXPECT_LE(federation.region(0).checker().used_by("red").gpus, kRedLimitGpus - 5);
-  EXPECT_EQ(federation.broken(), "");
+  EXPECT_EQ(federation.violations(), "");
 }
 
 /// Numbers of the last transfers from region 0 to region 1 and back.
@@ -154,7 +154,7 @@
   federation.run_until(90'000);
   EXPECT_EQ(transfer_numbers(federation), before);
   EXPECT_EQ(federation.used_gpus("red"), kRedLimitGpus);
-  EXPECT_EQ(federation.broken(), "");
+  EXPECT_EQ(federation.violations(), "");
 }
 
 TEST(Federation, ANetworkCutWithLeadersKilledOnBothSidesLosesNoShare) {
@@ -178,9 +178,9 @@
     for (std::size_t n = 0; n < 2; ++n)
       federation.region(n).kill(leader_of(federation.region(n)), 4'000);
     federation.run_until(60'000);
-    EXPECT_EQ(federation.broken(), "") << seed;
+    EXPECT_EQ(federation.violations(), "") << seed;
     federation.run_until(160'000);
-    EXPECT_EQ(federation.broken(), "") << seed;
+    EXPECT_EQ(federation.violations(), "") << seed;
     EXPECT_EQ(federation.used_gpus("red"), 25) << seed;
     EXPECT_TRUE(federation.in_transit("red").none()) << seed;
     EXPECT_EQ(federation.held("red").gpus, 30'000) << seed;
@@ -198,7 +198,7 @@
   federation.run_until(60'000);
   for (std::size_t n = 0; n < 3; ++n)
     EXPECT_EQ(federation.region(n).checker().used_by("red").gpus, 8) << n;
-  EXPECT_EQ(federation.broken(), "");
+  EXPECT_EQ(federation.violations(), "");
 }
 
 TEST(Federation, ALimitThatIsLoweredIsInForceOnceTheExcessIsPaid) {
@@ -218,7 +218,7 @@
   federation.run_until(70'000);
   // Running tasks continue. What they use beyond the new limit is excess.
   EXPECT_GT(federation.ledger(0).teams.at("red").excess.gpus, 0);
-  EXPECT_EQ(federation.broken(), "");
+  EXPECT_EQ(federation.violations(), "");
   for (std::size_t n = 0; n < 2; ++n) federation.region(n).cancel("job-1");
   federation.run_until(130'000);
   EXPECT_TRUE(federation.ledger(0).teams.at("red").excess.none());
@@ -228,7 +228,7 @@
     federation.region(n).submit(service_with_priority("job-2", 20, Priority::Normal));
   federation.run_until(180'000);
   EXPECT_EQ(federation.used_gpus("red"), 20);
-  EXPECT_EQ(federation.broken(), "");
+  EXPECT_EQ(federation.violations(), "");
 }
 
 TEST(Federation, ARaisedLimitAddsToTheFirstRegionsShare) {
@@ -243,7 +243,7 @@
   federation.region(1).submit(service_with_priority("job-1", 30, Priority::Normal));
   federation.run_until(80'000);
   EXPECT_EQ(federation.region(1).checker().used_by("red").gpus, 30);
-  EXPECT_EQ(federation.broken(), "");
+  EXPECT_EQ(federation.violations(), "");
 }
 
 TEST(Federation, AShareThatCannotBeReadCountsAsZero) {
@@ -266,9 +266,9 @@
   plan.adjust = [](std::size_t n, SimulationPlan& region_plan) {
     add_machines(region_plan);
     if (n == 1)
-      region_plan.controllers = [options = region_plan.options](std::size_t node,
-                                                                const Settings& settings,
-                                                                std::uint64_t seed) {
+      region_plan.make_controller = [options = region_plan.options](std::size_t node,
+                                                                    const Settings& settings,
+                                                                    std::uint64_t seed) {
         static int started = 0;
         const bool forgotten = ++started > 3 && node != 3;
         return std::make_unique<CurrentController>(settings, forgotten ? Options{} : options, seed);
@@ -282,7 +282,7 @@
   federation.region(1).submit(service_with_priority("job-1", 25, Priority::Normal));
   federation.run_until(70'000);
   EXPECT_EQ(federation.region(1).checker().used_by("red").gpus, kRedLimitGpus / 2);
-  EXPECT_EQ(federation.broken(), "");
+  EXPECT_EQ(federation.violations(), "");
 }
 
 class FederatedFaults : public ::testing::TestWithParam<int> {};
@@ -310,7 +310,7 @@
     federation.run_until(federation.now() + random(8'000));
   }
   federation.run_until(230'000);
-  EXPECT_EQ(federation.broken(), "");
+  EXPECT_EQ(federation.violations(), "");
   if (!federation.ledger(0).teams.contains("red")) return;
   EXPECT_EQ(federation.held("red").gpus + federation.in_transit("red").gpus, 30'000);
 }
--- a/tests/federation_upgrade_test.cpp
+++ b/tests/federation_upgrade_test.cpp
@@ -11,10 +11,10 @@
 
 TEST(FederationUpgrade, SharesTakeEffectOnceAllControllersSupportThem) {
   FederationPlan plan;
-  plan.first_gpus = {{"red", 15}, {"blue", 6}};
+  plan.initial_gpus = {{"red", 15}, {"blue", 6}};
   plan.adjust = [](std::size_t n, SimulationPlan& region_plan) {
     if (n == 1)
-      region_plan.production = [](const Settings& settings, std::uint64_t seed) {
+      region_plan.make_production_controller = [](const Settings& settings, std::uint64_t seed) {
         return make_production_controller(settings, seed);
       };
   };
@@ -34,7 +34,7 @@
   EXPECT_TRUE(federation.ledger(1).teams.contains("red"));
   EXPECT_EQ(federation.held("red").gpus, 30'000);
   EXPECT_EQ(upgraded.checker().used_by("red").gpus, 4);
-  EXPECT_EQ(federation.broken(), "");
+  EXPECT_EQ(federation.violations(), "");
 }
 
 }  // namespace
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -144,7 +144,7 @@
     region.submit(gang("job-3", 4, 2, 10));
     region.run_until(region.now() + 50);
     // From now on, users query jobs within milliseconds of a change and cancel some as they end.
-    region.poll_closely(plan.length);
+    region.poll_intensively(plan.length);
     scenario.play(region, seed);
     region.run_until(region.now() + 60'000);
     region.faults_ended();
@@ -337,8 +337,8 @@
   spec.tasks = 7;
   int status = 0;
   region.submit(spec);
-  region.ask_for("job-3", leader_of(region), RequestOp::Submit,
-                 [&status](int response_status) { status = response_status; });
+  region.send_request_then("job-3", leader_of(region), RequestOp::Submit,
+                           [&status](int response_status) { status = response_status; });
   region.run_until(72'000);
   EXPECT_EQ(status, 422);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
@@ -353,8 +353,8 @@
   const auto status_of = [&region](const JobSpec& spec) {
     int status = 0;
     region.submit(spec);
-    region.ask_for(spec.id, leader_of(region), RequestOp::Submit,
-                   [&status](int response_status) { status = response_status; });
+    region.send_request_then(spec.id, leader_of(region), RequestOp::Submit,
+                             [&status](int response_status) { status = response_status; });
     region.run_until(region.now() + 1'000);
     return status;
   };
--- a/tests/json_test.cpp
+++ b/tests/json_test.cpp
@@ -94,7 +94,7 @@
 }
 
 TEST(Json, AgreesWithTheOrdinaryParser) {
-  fix_cases(2'000);
+  set_property_cases(2'000);
   int objects = 0;
   const bool passed = rc::check([&] {
     const std::string text = *arbitrary_text();
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -19,7 +19,7 @@
   constexpr double kWritesPerMachine = 0.1;
   SimulationPlan plan = quiet(seed);
   plan.scale = machines / kMachinesPerScale;
-  plan.boots_ms = 4'000;
+  plan.boot_ms = 4'000;
   Deployment deployment = sample_deployment(plan);
   deployment.one_in_never_up = 0;
   deployment.kv_write_rps = std::max(90.0, kWritesPerMachine * machines);
@@ -143,10 +143,10 @@
   EXPECT_GT(running, kMachines);
   // From `faults_ended` on, the checker reports each job that waits although it could start within
   // the quota limit of its team. The requests exceed these limits, so arrays may still wait.
-  region.checker().end();
+  region.checker().check_end();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
-  EXPECT_EQ(region.malformed_answers(), 0U);
-  EXPECT_EQ(region.kv_store().malformed, 0U);
+  EXPECT_EQ(region.malformed_responses(), 0U);
+  EXPECT_EQ(region.kv_store().over_limit_requests, 0U);
 }
 
 }  // namespace
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -47,7 +47,7 @@
   driver.kv_store().ops_limit = kMinTxnOperations;
   driver.run_for(4'000);
   EXPECT_TRUE(driver.controller().leading());
-  EXPECT_EQ(driver.kv_store().malformed, 0U);
+  EXPECT_EQ(driver.kv_store().over_limit_requests, 0U);
   EXPECT_LT(driver.kv_store().value_of(kManifestKey).size(), std::size_t{2} * 1024);
   const Snapshot checkpoint = driver.checkpoint();
   EXPECT_EQ(checkpoint.jobs.size(), records.size());
@@ -76,7 +76,7 @@
   driver.run_for(2'000);
   for (std::size_t n = 0; n < 30; ++n) driver.cancel(job_id(n));
   driver.run_for(4'000);
-  EXPECT_EQ(driver.kv_store().malformed, 0U);
+  EXPECT_EQ(driver.kv_store().over_limit_requests, 0U);
   EXPECT_EQ(driver.kv_store().value_of(shard_key(2)), shard);
   const Snapshot checkpoint = driver.checkpoint();
   std::size_t moved = 0;
@@ -107,7 +107,7 @@
     finished.push_back({{"job-1", index}, 1, RunState::Exited, ExitCause::Done, false});
   driver.heartbeat(heartbeat_of("m-1", 1, finished));
   driver.run_for(2'000);
-  EXPECT_EQ(driver.kv_store().malformed, 0U);
+  EXPECT_EQ(driver.kv_store().over_limit_requests, 0U);
   const Snapshot checkpoint = driver.checkpoint();
   EXPECT_EQ(checkpoint.bitmap_pieces.size(), 1U);
   Bitmap merged(kTasks);
@@ -132,14 +132,14 @@
     driver.run_for(100);
   }
   driver.run_for(30'000);
-  EXPECT_GT(driver.kv_store().malformed, 0U);
-  const std::uint64_t rejected_before = driver.kv_store().malformed;
+  EXPECT_GT(driver.kv_store().over_limit_requests, 0U);
+  const std::uint64_t rejected_before = driver.kv_store().over_limit_requests;
   for (std::size_t n = 0; n < 60; ++n) {
     driver.submit(encode_submission(array(job_id(n), 8, 30)));
     driver.run_for(100);
   }
   driver.run_for(10'000);
-  EXPECT_EQ(driver.kv_store().malformed, rejected_before);
+  EXPECT_EQ(driver.kv_store().over_limit_requests, rejected_before);
   EXPECT_EQ(driver.checkpoint().jobs.size(), 60U);
 }
 
@@ -176,7 +176,7 @@
     driver.submit(encode_submission(spec));
     driver.run_for(1'000);
   }
-  EXPECT_EQ(driver.kv_store().malformed, 0U);
+  EXPECT_EQ(driver.kv_store().over_limit_requests, 0U);
   EXPECT_EQ(driver.checkpoint().jobs.size(), 5U);
 }
 
@@ -200,7 +200,7 @@
   // Submissions are accepted throughout, although no instance can be launched.
   EXPECT_GE(region.submission_delays().size(), 58U);
   region.run_until(110'000);
-  EXPECT_EQ(region.kv_store().malformed, 0U);
+  EXPECT_EQ(region.kv_store().over_limit_requests, 0U);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
--- a/tests/machine_ranking_test.cpp
+++ b/tests/machine_ranking_test.cpp
@@ -61,7 +61,7 @@
 }
 
 TEST(MachineRanking, ChoosesTheSameMachineAsAFullScan) {
-  fix_cases(300);
+  set_property_cases(300);
   const bool passed = rc::check([] {
     Fleet fleet = random_fleet();
     Ranking ranking(
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -147,7 +147,7 @@
 // For any sequence of sends with any urgency, flushes and responses, every frame arrives once and
 // in order.
 TEST(PeerLink, FramesArriveOnceAndInOrder) {
-  fix_cases(200);
+  set_property_cases(200);
   const bool passed = rc::check("frames arrive in order", [] {
     const auto steps = *rc::gen::container<std::vector<Step>>(
         rc::gen::element(Step::SendNow, Step::SendMayWait, Step::SendMayWait, Step::SendUntilFlush,
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -23,7 +23,7 @@
   int injected = 0, violations = 0, unfinished = 0;
   for (int i = 0; i < kInjections; ++i) {
     SimulationPlan plan = quiet(1000 + static_cast<std::uint64_t>(i));
-    plan.late_copies = 1.0;
+    plan.late_heartbeat_copies = 1.0;
     SimulatedRegion region(plan);
     int completions = 0;
     region.on_completed = [&](const TaskKey&, const std::string&) {
@@ -539,8 +539,9 @@
     kill_leader();
   }
   region.run();
-  std::printf("largest response to a watch: %zu bytes\n", region.kv_store().largest_watch);
-  EXPECT_LT(region.kv_store().largest_watch, 512U * 1024);
+  std::printf("largest response to a watch: %zu bytes\n",
+              region.kv_store().largest_watch_response_bytes);
+  EXPECT_LT(region.kv_store().largest_watch_response_bytes, 512U * 1024);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
@@ -568,7 +569,7 @@
                 .jobs.at("job-1")
                 ->record.done.count(),
             done_before);
-  EXPECT_EQ(region.kv_store().malformed, 0U);
+  EXPECT_EQ(region.kv_store().over_limit_requests, 0U);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
--- a/tests/slow_processor_test.cpp
+++ b/tests/slow_processor_test.cpp
@@ -56,7 +56,7 @@
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SimulatedRegion region(slow_processor_plan(seed));
     // All controllers start at this moment, and all users submit their jobs at the same time.
-    region.poll_closely(500'000);
+    region.poll_intensively(500'000);
     submit_burst(region, seed);
     region.run_until(kFleetFullMs);
     const Time wait_during_start = region.longest_input_wait();
@@ -109,17 +109,17 @@
     {"StepsOutlastTheLeadersLease",
      [](SimulatedRegion& region, std::uint64_t seed) {
        region.slow_down(leader_of(region), 60.0 + 20.0 * static_cast<double>(seed), 15'000);
-       region.cancel_now(4, 0);
+       region.cancel_running_jobs(4, 0);
      }},
     {"StepsOutlastTheWorkersLease",
      [](SimulatedRegion& region, std::uint64_t) {
        region.slow_down(leader_of(region), 1'800, 30'000);
-       region.cancel_now(4, 0);
+       region.cancel_running_jobs(4, 0);
      }},
     {"CancellationsAtFullLoad",
      [](SimulatedRegion& region, std::uint64_t) {
        region.slow_down(leader_of(region), 2.0, 40'000);
-       region.cancel_now(6, 0);
+       region.cancel_running_jobs(6, 0);
      }},
 };
 
@@ -191,7 +191,7 @@
 std::size_t count_processor_warnings(double slowness) {
   std::vector<std::string> warnings;
   SimulationPlan plan = slow_processor_plan(1);
-  plan.controllers = [&](std::size_t, const Settings& settings, std::uint64_t seed) {
+  plan.make_controller = [&](std::size_t, const Settings& settings, std::uint64_t seed) {
     return std::make_unique<WarningController>(settings, seed, warnings);
   };
   SimulatedRegion region(plan);
--- a/tests/support/properties.hpp
+++ b/tests/support/properties.hpp
@@ -8,7 +8,7 @@
 
 /// Makes RapidCheck try `count` cases for each property that is checked from now on. The seed is
 /// fixed, so that every run tries the same cases.
-inline void fix_cases(int count) {
+inline void set_property_cases(int count) {
   setenv("RC_PARAMS", ("seed=1 max_success=" + std::to_string(count)).c_str(), 1);
 }
 
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -98,13 +98,13 @@
 /// Checks, at the end of a simulation, that no rule was broken and that all jobs that end by
 /// themselves are over.
 inline void expect_nothing_left(SimulatedRegion& region, std::uint64_t seed) {
-  region.checker().end_served();
+  region.checker().check_end_and_service();
   EXPECT_TRUE(region.checker().violations().empty())
       << "seed " << seed << " " << region.checker().summary();
   EXPECT_TRUE(region.checker().unfinished_arrays().empty())
       << "seed " << seed << " " << region.checker().unfinished_arrays().front();
-  EXPECT_EQ(region.malformed_answers(), 0U);
-  EXPECT_EQ(region.kv_store().malformed, 0U);
+  EXPECT_EQ(region.malformed_responses(), 0U);
+  EXPECT_EQ(region.kv_store().over_limit_requests, 0U);
 }
 
 /// Ends a simulation with `submit_mixed_jobs`: no fault is injected any more, every fourth job is
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -20,7 +20,7 @@
   plan.next_value_kb = 2;
   plan.next_txn_ops = 5;
   plan.next_write_rps = 20;
-  plan.production = make_production_controller;
+  plan.make_production_controller = make_production_controller;
   return plan;
 }
 
@@ -43,7 +43,7 @@
     region.run_until(1'000);
     submit_mixed_jobs(region, 0, 40, seed);
     region.run_until(kFirstUpgradeMs);
-    region.poll_closely(300'000);
+    region.poll_intensively(300'000);
     int step = 0;
     for (const std::size_t node : order) {
       GetParam().inject(region, step++);
@@ -105,16 +105,16 @@
                                  }},
                                 {"CommitOutcomesAreUnknownAtEachStep",
                                  [](SimulatedRegion& region, int step) {
-                                   region.late_writes(0.5, 6'000, step % 2 == 0);
+                                   region.lose_write_responses(0.5, 6'000, step % 2 == 0);
                                    region.delay_heartbeats(0.3, 6'000);
-                                   region.cancel_now(3, 0);
+                                   region.cancel_running_jobs(3, 0);
                                    region.run_until(region.now() + 500);
                                    region.kill(leader_of(region), 2'000);
                                    region.run_until(region.now() + 500);
                                  }},
                                 {"CancelledByOneVersionAndEnforcedByTheOther",
                                  [](SimulatedRegion& region, int step) {
-                                   region.cancel_now(4, step == 1 ? 6'000 : 0);
+                                   region.cancel_running_jobs(4, step == 1 ? 6'000 : 0);
                                    region.run_until(region.now() + 60);
                                  }},
                                 {"AllControllersRestartAtOnce", [](SimulatedRegion& region, int) {
@@ -158,7 +158,7 @@
     region.run_until(region.now() + 380'000);
     EXPECT_TRUE(region.checker().violations().empty())
         << "seed " << seed << " " << region.checker().summary();
-    EXPECT_EQ(region.kv_store().malformed, 0U) << seed;
+    EXPECT_EQ(region.kv_store().over_limit_requests, 0U) << seed;
     EXPECT_TRUE(region.checker().unfinished_arrays().empty())
         << "seed " << seed << " " << region.checker().unfinished_arrays().front();
   }
@@ -193,7 +193,8 @@
   int status = 0;
   region.submit(gang("job-1", 3, 2, 10));
   region.run_until(25'500);
-  region.ask_for("job-1", leader_of(region), RequestOp::Submit, [&status](int s) { status = s; });
+  region.send_request_then("job-1", leader_of(region), RequestOp::Submit,
+                           [&status](int s) { status = s; });
   region.run_until(26'000);
   EXPECT_EQ(status, 503);
   region.upgrade(0, kDowntimeMs);
--- a/tests/work_cost_test.cpp
+++ b/tests/work_cost_test.cpp
@@ -51,11 +51,12 @@
   SimulationPlan plan() {
     SimulationPlan plan = quiet(11);
     plan.scale = 8;
-    plan.boots_ms = 4'000;
-    plan.loss = plan.late_copies = 0;
+    plan.boot_ms = 4'000;
+    plan.loss = plan.late_heartbeat_copies = 0;
     plan.deployment = sample_deployment(plan);
     plan.deployment->one_in_never_up = 0;
-    plan.controllers = [meter = meter_](std::size_t, const Settings& settings, std::uint64_t seed) {
+    plan.make_controller = [meter = meter_](std::size_t, const Settings& settings,
+                                            std::uint64_t seed) {
       return std::make_unique<MeteredController>(settings, Options{}, seed, meter);
     };
     return plan;
--- a/tools/scale/region_process.cpp
+++ b/tools/scale/region_process.cpp
@@ -44,13 +44,13 @@
   simulation.jobs = 0;
   simulation.faults = false;
   simulation.loss = 0;
-  simulation.late_copies = 0;
+  simulation.late_heartbeat_copies = 0;
   simulation.over_sockets = true;
   simulation.heartbeat_interval_s = plan.fleet().report_s();
   simulation.lease_s = plan.fleet().lease_s();
   simulation.deployment = make_deployment(plan, region);
   simulation.cancel_s = simulation.deployment->controllers.front().workers.cancel_s;
-  simulation.boots_ms = ms(plan.fleet().boot_s());
+  simulation.boot_ms = ms(plan.fleet().boot_s());
   return simulation;
 }
 
@@ -71,7 +71,7 @@
       sample_timer_(loop_, [this] { sample(); }),
       timeout_check_timer_(loop_, [this] { check_timeouts(); }) {
   sim::SimulationPlan simulation = simulation_plan(plan_, options_.region);
-  simulation.controllers = [this](std::size_t node, const Settings& settings, std::uint64_t) {
+  simulation.make_controller = [this](std::size_t node, const Settings& settings, std::uint64_t) {
     return start_controller(node, settings);
   };
   region_ = std::make_unique<sim::SimulatedRegion>(simulation);
@@ -161,7 +161,7 @@
 }
 
 void RegionProcess::response_received(std::size_t node, const Response& response) {
-  region_->deliver(node, response);
+  region_->deliver_response(node, response);
   advance();
 }
 
@@ -196,7 +196,7 @@
   if (request.method == "GET" && request.path == "/inspect")
     region_->inspect(machine, respond);
   else if (request.method == "POST" && request.path == "/do")
-    region_->command(machine, request.body, respond);
+    region_->send_command(machine, request.body, respond);
   else
     server.respond(connection, 404, encode_error("no such path"), 0);
   advance();
@@ -206,7 +206,7 @@
   const std::string& region_name = plan_.region(options_.region).name();
   for (const Fault& fault : plan_.fault())
     if (fault.region() == region_name)
-      region_->at(ms(fault.at_s()), [this, &fault] { inject(fault); });
+      region_->schedule(ms(fault.at_s()), [this, &fault] { inject(fault); });
 }
 
 void RegionProcess::inject(const Fault& fault) {
--- a/tools/scale/workload.cpp
+++ b/tools/scale/workload.cpp
@@ -62,7 +62,7 @@
   for (std::uint32_t n = 0; n < jobs; ++n) {
     const JobSpec spec = next_job(JobKind::Service, Priority::Normal, size);
     const Time submit_at = begin + ms(plan_.load().ramp_s()) * n / std::max<std::uint32_t>(1, jobs);
-    region_.at(submit_at, [this, spec] { region_.submit(spec); });
+    region_.schedule(submit_at, [this, spec] { region_.submit(spec); });
   }
 }
 
@@ -75,7 +75,7 @@
        submit_at < static_cast<double>(end); submit_at += interval_ms) {
     JobSpec spec = next_job(JobKind::Array, Priority::Low, size);
     spec.estimate_s = plan_.load().array_task_s();
-    region_.at(static_cast<Time>(submit_at), [this, spec] { region_.submit(spec); });
+    region_.schedule(static_cast<Time>(submit_at), [this, spec] { region_.submit(spec); });
   }
 }
 
@@ -84,7 +84,7 @@
   for (double submit_at = static_cast<double>(begin); submit_at < static_cast<double>(end);
        submit_at += 1000 / jobs_per_s) {
     const JobSpec spec = next_job(JobKind::Service, Priority::High, 1);
-    region_.at(static_cast<Time>(submit_at), [this, spec] {
+    region_.schedule(static_cast<Time>(submit_at), [this, spec] {
       urgent_submitted_at_[spec.id] = region_.now();
       region_.submit(spec, region_.now() + kUrgentCancelAfterMs);
     });
