--- a/sim/fake_cloud.cpp
+++ b/sim/fake_cloud.cpp
@@ -106,7 +106,7 @@
   machine.zone = request.scale_out.zone;
   machine.spot = request.scale_out.spot;
   machine.launched_at = now;
-  machine.broken = one_in_never_up > 0 && random_(one_in_never_up) == 0;
+  machine.never_boots = one_in_never_up > 0 && random_(one_in_never_up) == 0;
   const double boot_ms = 1000 * types.front().boot_s * (0.6 + random_(90) / 100.0);
   machine.boots_at = random_(12) == 0 ? now + 1000 : now + static_cast<Time>(boot_ms);
   machines[machine.name] = machine;
--- a/sim/fake_cloud.hpp
+++ b/sim/fake_cloud.hpp
@@ -29,7 +29,7 @@
 /// in simulated milliseconds: `boots_at` is when the machine comes up.
 struct CloudMachine {
   std::string name, address, type, zone;
-  bool spot = false, up = false, broken = false;
+  bool spot = false, up = false, never_boots = false;
   Time launched_at = 0, boots_at = 0;
 };
 
--- a/sim/fault_injection.cpp
+++ b/sim/fault_injection.cpp
@@ -94,10 +94,10 @@
   kill(node, for_ms);
 }
 
-void SimulatedRegion::lower_limits() {
-  kv_store_.value_limit = static_cast<std::size_t>(plan_.next_value_kb * 1024);
-  kv_store_.ops_limit = plan_.next_txn_ops;
-  kv_store_.limit_rates(settings_[0].store_limits.rps, plan_.next_write_rps);
+void SimulatedRegion::lower_store_limits() {
+  kv_store_.value_limit = static_cast<std::size_t>(plan_.lowered_value_kb * 1024);
+  kv_store_.ops_limit = plan_.lowered_txn_ops;
+  kv_store_.limit_rates(settings_[0].store_limits.rps, plan_.lowered_write_rps);
 }
 
 void SimulatedRegion::cut(const std::string& a, const std::string& b, Time for_ms, bool hold) {
@@ -198,7 +198,7 @@
 
 void SimulatedRegion::slow_commands(Time for_ms) { slow_commands_ = {0.5, now_ + for_ms}; }
 
-void SimulatedRegion::cancel_at_end(double share, Time for_ms) {
+void SimulatedRegion::cancel_on_completion(double share, Time for_ms) {
   cancel_at_end_ = {share, now_ + for_ms};
 }
 
@@ -293,7 +293,7 @@
   schedule(plan_.faults_from, [this, span] {
     poll_intensively(span);
     send_unusual_requests(span);
-    cancel_at_end(0.3, span);
+    cancel_on_completion(0.3, span);
   });
   constexpr int kCombinations = 4;
   for (int n = 0; n < kCombinations; ++n) {
--- a/sim/simulated_region.cpp
+++ b/sim/simulated_region.cpp
@@ -21,7 +21,7 @@
   cloud_.one_in_never_up = deployment_.one_in_never_up;
   cloud_.address_prefix = deployment_.worker_address_prefix;
   cloud_.on_launched = [this](const CloudMachine& machine) {
-    if (machine.broken) return;
+    if (machine.never_boots) return;
     schedule(plan_.boot_ms > 0 ? now_ + plan_.boot_ms : machine.boots_at, [this, machine] {
       const auto it = cloud_.machines.find(machine.name);
       if (it == cloud_.machines.end()) return;
--- a/sim/simulated_region.hpp
+++ b/sim/simulated_region.hpp
@@ -87,7 +87,7 @@
   // --- Faults of the key-value store ---
 
   /// Lowers the store's limits to the plan's next limits, without telling the controllers.
-  void lower_limits();
+  void lower_store_limits();
   /// Makes the store reject all requests.
   void kv_store_outage(Time for_ms);
   /// Makes the store reject all requests of one node.
@@ -160,7 +160,7 @@
   void cancel_running_jobs(std::size_t count, Time hang_ms);
   /// Cancels the jobs of that share of the tasks that begin during `for_ms`, each at about the
   /// moment at which the task completes.
-  void cancel_at_end(double share, Time for_ms);
+  void cancel_on_completion(double share, Time for_ms);
   /// Makes users query all nodes within milliseconds after a job was accepted, ended or cancelled,
   /// submit it again, and cancel some jobs at once.
   void poll_intensively(Time for_ms);
@@ -189,7 +189,7 @@
   /// The longest time for which an input has waited for its controller's processor.
   [[nodiscard]] Time longest_input_wait() const { return longest_input_wait_; }
   /// Resets the longest wait of inputs.
-  void forget_input_waits() { longest_input_wait_ = 0; }
+  void reset_input_waits() { longest_input_wait_ = 0; }
   /// The number of heartbeats that have reached a node.
   [[nodiscard]] std::uint64_t heartbeats() const { return heartbeats_; }
   /// Successful responses to users that don't hold a job's state.
--- a/sim/simulation_plan.cpp
+++ b/sim/simulation_plan.cpp
@@ -64,13 +64,14 @@
     settings.workers.gang_peer_s = plan.gang_peer_s;
     // Controllers use the smaller of the current and the announced limit, as when settings are
     // read.
-    if (plan.next_value_kb > 0)
-      settings.store_limits.value_kb = std::min(settings.store_limits.value_kb, plan.next_value_kb);
-    if (plan.next_txn_ops > 0)
-      settings.store_limits.txn_ops = std::min(settings.store_limits.txn_ops, plan.next_txn_ops);
-    if (plan.next_write_rps > 0)
+    if (plan.lowered_value_kb > 0)
+      settings.store_limits.value_kb =
+          std::min(settings.store_limits.value_kb, plan.lowered_value_kb);
+    if (plan.lowered_txn_ops > 0)
+      settings.store_limits.txn_ops = std::min(settings.store_limits.txn_ops, plan.lowered_txn_ops);
+    if (plan.lowered_write_rps > 0)
       settings.store_limits.write_rps =
-          std::min(settings.store_limits.write_rps, plan.next_write_rps);
+          std::min(settings.store_limits.write_rps, plan.lowered_write_rps);
     deployment.controllers.push_back(std::move(settings));
   }
   const Settings full = sample_settings(0, plan.scale);
--- a/sim/simulation_plan.hpp
+++ b/sim/simulation_plan.hpp
@@ -50,9 +50,9 @@
   bool gangs = false;        // a third of the jobs are gangs
   double gang_wait_s = 20, gang_peer_s = 2;
   /// Lower limits of the key-value store, which are announced in the settings and take effect with
-  /// `SimulatedRegion::lower_limits`; 0 means that none is announced.
-  double next_value_kb = 0, next_write_rps = 0;
-  std::uint64_t next_txn_ops = 0;
+  /// `SimulatedRegion::lower_store_limits`; 0 means that none is announced.
+  double lowered_value_kb = 0, lowered_write_rps = 0;
+  std::uint64_t lowered_txn_ops = 0;
   /// Makes controllers of the version in production, with which the simulation then begins;
   /// `SimulatedRegion::upgrade` replaces them. Empty: the simulation begins with the present
   /// version.
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -23,15 +23,15 @@
 TEST(Answers, AJobIsNotReportedInItsOldStateWhileACommitIsInDoubt) {
   constexpr std::size_t kJobs = 12;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    SimulationPlan plan = quiet(seed);
+    SimulationPlan plan = plan_without_faults(seed);
     plan.length = 70'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
     for (std::size_t n = 0; n < kJobs; ++n)
-      region.submit(n % 2 == 0 ? service(job_id(n), 1) : array(job_id(n), 1, 28));
+      region.submit(n % 2 == 0 ? service_job(job_id(n), 1) : array_job(job_id(n), 1, 28));
     region.run_until(40'000);
     ASSERT_GE(region.leader(), 0);
-    region.cut_peers(leader_of(region), 12'000, false);
+    region.cut_peers(leader_index(region), 12'000, false);
     ask_everywhere(region, kJobs, 40'000, 42'000, 200);
     region.lose_write_responses(0.9, 9'000, true);
     for (std::size_t n = 0; n < kJobs; n += 2) region.cancel(job_id(n));
@@ -48,17 +48,17 @@
 TEST(Answers, AShardIsWrittenAsCommittedNotAsInMemory) {
   constexpr std::size_t kJobs = 90;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    SimulationPlan plan = quiet(seed + 20);
+    SimulationPlan plan = plan_without_faults(seed + 20);
     plan.length = 90'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
     for (std::size_t n = 0; n < kJobs; ++n) {
-      JobSpec spec = service(job_id(n), 1);
+      JobSpec spec = service_job(job_id(n), 1);
       spec.need = {0.1, 0.05, 1};
       region.submit(spec);
     }
     region.run_until(40'000);
-    region.cut_peers(leader_of(region), 20'000, false);
+    region.cut_peers(leader_index(region), 20'000, false);
     ask_everywhere(region, 1, 40'000, 42'000, 500);
     // All jobs are cancelled at once while most responses of the key-value store are lost, so that
     // a commit takes a second or two.
@@ -79,20 +79,21 @@
 // older state than another has reported.
 TEST_P(ConsistentAnswers, NoControllerReportsAnOlderStateThanAnother) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    SimulationPlan plan = quiet(seed * 3 + 100);
+    SimulationPlan plan = plan_without_faults(seed * 3 + 100);
     plan.length = 260'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
     region.poll_intensively(plan.length);
     region.send_unusual_requests(120'000);
-    region.cancel_at_end(0.4, 120'000);
+    region.cancel_on_completion(0.4, 120'000);
     submit_mixed_jobs(region, 0, 10, seed);
     std::size_t next_job = 10;
     for (int round = 0; round < 5; ++round) {
       for (int k = 0; k < 10; ++k, ++next_job)
-        region.submit(array(job_id(next_job), 1 + static_cast<std::uint32_t>(k % 2), 2 + k % 4));
+        region.submit(
+            array_job(job_id(next_job), 1 + static_cast<std::uint32_t>(k % 2), 2 + k % 4));
       region.run_until(region.now() + 3'000);
-      GetParam().play(region, seed);
+      GetParam().run(region, seed);
       // Queries and repeated submissions arrive while tasks end.
       for (int k = 0; k < 60; ++k) {
         region.run_until(region.now() + 100);
@@ -105,7 +106,7 @@
     region.run_until(150'000);
     region.faults_ended();
     region.run();
-    expect_nothing_left(region, seed);
+    expect_rules_kept_and_nothing_left(region, seed);
   }
 }
 
@@ -115,31 +116,31 @@
      [](SimulatedRegion& region, std::uint64_t) { region.lose_write_responses(0.5, 6'000, true); }},
     {"WhileTheLeaderHasLostItsPeersAndItsWritesAreDelayed",
      [](SimulatedRegion& region, std::uint64_t seed) {
-       region.cut_peers(leader_of(region), 6'000, seed % 2 == 0);
+       region.cut_peers(leader_index(region), 6'000, seed % 2 == 0);
        region.lose_write_responses(0.5, 6'000, seed % 3 == 0);
      }},
     {"WhileTheLeaderIsIsolatedWithItsWorkersAndUsers",
      [](SimulatedRegion& region, std::uint64_t seed) {
-       region.isolate(leader_of(region), 8'000, seed % 2 == 0);
+       region.isolate(leader_index(region), 8'000, seed % 2 == 0);
        region.cancel_running_jobs(3, 0);
      }},
     {"WhileTheKeyValueStoreRejectsTheLeader",
      [](SimulatedRegion& region, std::uint64_t) {
-       region.reject_kv_requests(leader_of(region), 5'000);
+       region.reject_kv_requests(leader_index(region), 5'000);
        region.cancel_running_jobs(3, 0);
      }},
     {"WhileTheLeaderIsPaused",
      [](SimulatedRegion& region, std::uint64_t seed) {
-       region.freeze(leader_of(region), 1'000 + static_cast<Time>(seed) * 500);
+       region.freeze(leader_index(region), 1'000 + static_cast<Time>(seed) * 500);
      }},
     {"WhileAPeerIsPausedAndTheLeaderIsRejected",
      [](SimulatedRegion& region, std::uint64_t seed) {
-       region.freeze((leader_of(region) + 1) % 3, 1'000 + static_cast<Time>(seed) * 500);
-       region.reject_kv_requests(leader_of(region), 4'000);
+       region.freeze((leader_index(region) + 1) % 3, 1'000 + static_cast<Time>(seed) * 500);
+       region.reject_kv_requests(leader_index(region), 4'000);
      }},
     {"WhileTheLeaderIsKilled",
      [](SimulatedRegion& region, std::uint64_t seed) {
-       region.kill(leader_of(region), seed % 2 == 0 ? 300 : 5'000);
+       region.kill(leader_index(region), seed % 2 == 0 ? 300 : 5'000);
      }},
 };
 
@@ -188,18 +189,18 @@
 // it may hold get 503, and submissions aren't accepted, since they may repeat such a job. Jobs that
 // could be read are still served.
 TEST(Answers, AnUnreadableValueIsUnknownNotMissing) {
-  SimulationPlan plan = quiet(31);
+  SimulationPlan plan = plan_without_faults(31);
   SimulatedRegion region(plan);
   region.run_until(1'000);
   constexpr std::size_t kJobs = 60;
   for (std::size_t n = 0; n < kJobs; ++n) {
-    JobSpec spec = service(job_id(n), 1);
+    JobSpec spec = service_job(job_id(n), 1);
     spec.need = {0.1, 0.05, 1};
     region.submit(spec);
   }
   region.run_until(40'000);
   ASSERT_TRUE(region.kv_store().corrupt("sr/s/000000"));
-  region.kill(leader_of(region), 6'000);
+  region.kill(leader_index(region), 6'000);
   region.run_until(50'000);
   std::map<int, int> polls, submissions;
   for (std::size_t n = 0; n < kJobs; ++n)
@@ -224,14 +225,14 @@
 // submissions and cancellations to one that can, and users get their responses as usual.
 TEST(Answers, AControllerWithoutAPathToTheLeaderUsesAPeer) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    SimulatedRegion region(quiet(seed));
+    SimulatedRegion region(plan_without_faults(seed));
     region.run_until(20'000);
-    const std::size_t leader = leader_of(region);
+    const std::size_t leader = leader_index(region);
     const std::size_t partitioned = (leader + 1 + seed % 2) % 3;
     region.cut(node_name(leader), node_name(partitioned), 20'000, seed % 3 == 0);
     region.run_until(23'000);
     int submitted = 0, cancelled = 0;
-    region.submit_at(service("job-1", 1), partitioned,
+    region.submit_at(service_job("job-1", 1), partitioned,
                      [&submitted](int status) { submitted = status; });
     region.run_until(24'000);
     EXPECT_EQ(submitted, 201) << seed;
@@ -239,7 +240,7 @@
                              [&cancelled](int status) { cancelled = status; });
     region.run_until(25'000);
     EXPECT_EQ(cancelled, 200) << seed;
-    EXPECT_EQ(leader_of(region), leader);
+    EXPECT_EQ(leader_index(region), leader);
     EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   }
 }
--- a/tests/behaviour_digest.cpp
+++ b/tests/behaviour_digest.cpp
@@ -83,7 +83,7 @@
   SimulatedFederation federation(plan);
   pcg32 random(seed * 31);
   for (std::size_t n = 0; n < 24; ++n) {
-    JobSpec spec = service(job_id(n), 1 + random(8));
+    JobSpec spec = service_job(job_id(n), 1 + random(8));
     spec.priority = static_cast<Priority>(random(4));
     spec.spot = true;
     SimulatedRegion& region =
@@ -98,11 +98,11 @@
 // recorded.
 #ifdef SAILREEL_HAS_PRODUCTION
 void run_upgrade(std::uint64_t seed, const DigestPointer& digest) {
-  SimulationPlan plan = quiet(seed);
+  SimulationPlan plan = plan_without_faults(seed);
   plan.length = 300'000;
-  plan.next_value_kb = 2;
-  plan.next_txn_ops = 5;
-  plan.next_write_rps = 20;
+  plan.lowered_value_kb = 2;
+  plan.lowered_txn_ops = 5;
+  plan.lowered_write_rps = 20;
   plan.make_production_controller = make_production_controller;
   record_outputs(plan, digest);
   SimulatedRegion region(plan);
@@ -112,15 +112,15 @@
   region.poll_intensively(200'000);
   for (std::size_t step = 0; step < 3; ++step) {
     if (seed % 2 == 0) region.lose_write_responses(0.5, 6'000, step % 2 == 0);
-    if (seed % 3 == 0) region.kill(leader_of(region), 500);
+    if (seed % 3 == 0) region.kill(leader_index(region), 500);
     region.run_until(region.now() + 1'000);
     region.upgrade((step + seed) % 3, 3'000);
     region.run_until(region.now() + 12'000);
   }
-  region.lower_limits();
-  for (std::size_t n = 200; n < 206; ++n) region.submit(gang(job_id(n), 2 + n % 5, 3, 10));
+  region.lower_store_limits();
+  for (std::size_t n = 200; n < 206; ++n) region.submit(gang_job(job_id(n), 2 + n % 5, 3, 10));
   region.run_until(region.now() + 5'000);
-  region.kill(leader_of(region), 4'000);
+  region.kill(leader_index(region), 4'000);
   region.run();
 }
 #endif
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -35,7 +35,7 @@
 // heartbeats to the old leader, or to a peer that keeps their tasks alive. This combination of
 // faults has caused the most failures.
 void play_outage_after_lost_access(const OutageAfterLostAccess& fault, std::uint64_t seed) {
-  SimulationPlan plan = quiet(seed);
+  SimulationPlan plan = plan_without_faults(seed);
   plan.lease_s = fault.lease_s;
   plan.cancel_s = fault.cancel_s;
   plan.loss = 0;
@@ -43,7 +43,7 @@
   SimulatedRegion region(plan);
   region.run_until(1'000);
   for (std::size_t n = 0; n < kJobs; ++n) {
-    JobSpec spec = service(job_id(n), 2);
+    JobSpec spec = service_job(job_id(n), 2);
     spec.spread = n % 2 == 0;
     spec.team = n % 3 == 0 ? "blue" : "red";
     spec.priority = static_cast<Priority>(n % 2);
@@ -125,11 +125,11 @@
 // its tasks are gone.
 TEST(Cancellation, SurvivesAChangeOfLeader) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    SimulatedRegion region(quiet(seed + 40));
+    SimulatedRegion region(plan_without_faults(seed + 40));
     region.run_until(1'000);
-    for (std::size_t n = 0; n < kJobs; ++n) region.submit(service(job_id(n), 2));
+    for (std::size_t n = 0; n < kJobs; ++n) region.submit(service_job(job_id(n), 2));
     region.run_until(40'000);
-    const std::size_t leader = leader_of(region);
+    const std::size_t leader = leader_index(region);
     // The machines are out of reach, so that the tasks can't be stopped at once.
     for (const auto& machine : region.machines_up()) cut_off(region, machine, 5'000, false);
     for (std::size_t n = 0; n < kJobs; n += 2)
@@ -141,7 +141,7 @@
       if (command.op == Command::Op::Start) started.insert(command.key.job);
     };
     region.run_until(75'000);
-    const Tables& tables = region.controller(leader_of(region))->tables();
+    const Tables& tables = region.controller(leader_index(region))->tables();
     for (std::size_t n = 0; n < kJobs; n += 2) {
       EXPECT_FALSE(started.contains(job_id(n))) << seed << " " << n;
       const auto finished = tables.finished.find(job_id(n));
@@ -156,19 +156,19 @@
 // the user is soon told that the job is cancelled. In neither case does the user wait until the
 // timeout.
 TEST(Cancellation, GetsAPromptResponseEitherWay) {
-  SimulationPlan plan = quiet(51);
+  SimulationPlan plan = plan_without_faults(51);
   plan.loss = 0;
   SimulatedRegion region(plan);
   region.run_until(1'000);
   for (std::size_t n = 0; n < 4; ++n) {
-    JobSpec spec = service(job_id(n), 2);
+    JobSpec spec = service_job(job_id(n), 2);
     spec.spread = n < 2;
     if (n >= 2) spec.zone = "za";
     region.submit(spec);
   }
   region.run_until(40'000);
   std::string unreachable;
-  for (const auto& [name, machine] : region.controller(leader_of(region))->tables().machines)
+  for (const auto& [name, machine] : region.controller(leader_index(region))->tables().machines)
     if (machine->zone == "zb" && !machine->empty()) unreachable = name;
   ASSERT_FALSE(unreachable.empty());
   cut_off(region, unreachable, 8'000, true);
@@ -177,7 +177,7 @@
     const Time asked = region.now();
     int status = 0;
     Time took = 0;
-    region.send_request_then(job_id(n), leader_of(region), RequestOp::Cancel,
+    region.send_request_then(job_id(n), leader_index(region), RequestOp::Cancel,
                              [&](int response_status) {
                                status = response_status;
                                took = region.now() - asked;
@@ -201,20 +201,20 @@
 
 TEST_P(CancellationAtTeamLimits, KeepsTheRules) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    SimulationPlan plan = quiet(seed * 5 + 2);
+    SimulationPlan plan = plan_without_faults(seed * 5 + 2);
     plan.length = 400'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
     region.poll_intensively(plan.length);
     for (std::size_t n = 0; n < 44; ++n) {
-      JobSpec spec = n % 2 == 0 ? service(job_id(n), 2) : array(job_id(n), 3, 40);
+      JobSpec spec = n % 2 == 0 ? service_job(job_id(n), 2) : array_job(job_id(n), 3, 40);
       spec.team = n % 3 == 0 ? "blue" : "red";
       spec.priority = spec.kind == JobKind::Array ? Priority::Low : Priority::High;
       spec.image = "img-" + std::to_string(n % 3);
       region.submit(spec, spec.kind == JobKind::Service ? 130'000 + static_cast<Time>(n) * 900 : 0);
     }
     region.run_until(50'000);
-    GetParam().play(region, seed);
+    GetParam().run(region, seed);
     region.run_until(region.now() + 60'000);
     region.faults_ended();
     region.run();
@@ -231,7 +231,7 @@
          for (std::size_t k = seed % 2; k < busy.size(); k += 2)
            cut_off(region, busy[k], 9'000, round == 1);
          region.run_until(region.now() + 300);
-         region.kill(leader_of(region), 3'000);
+         region.kill(leader_index(region), 3'000);
          region.run_until(region.now() + 2'500);
          region.cancel_running_jobs(5, 0);
          region.run_until(region.now() + 14'000);
@@ -244,7 +244,7 @@
          const auto busy = busy_machines(region);
          for (std::size_t k = 0; k < busy.size(); k += 3) cut_off(region, busy[k], 7'000, true);
          region.run_until(region.now() + 400);
-         region.kill(leader_of(region), round == 0 ? 400 : 5'000);
+         region.kill(leader_index(region), round == 0 ? 400 : 5'000);
          region.run_until(region.now() + 16'000);
        }
      }},
@@ -252,16 +252,16 @@
      [](SimulatedRegion& region, std::uint64_t) {
        const auto busy = busy_machines(region);
        for (std::size_t k = 0; k < busy.size(); k += 2) cut_off(region, busy[k], 20'000, true);
-       region.kill(leader_of(region), 2'000);
+       region.kill(leader_index(region), 2'000);
        region.run_until(region.now() + 4'500);
        region.cancel_running_jobs(5, 0);
-       region.kill(leader_of(region), 2'000);
+       region.kill(leader_index(region), 2'000);
        region.run_until(region.now() + 30'000);
      }},
     {"TheLeaderIsRejectedOrIsolated",
      [](SimulatedRegion& region, std::uint64_t seed) {
        for (int round = 0; round < 4; ++round) {
-         const std::size_t leader = leader_of(region);
+         const std::size_t leader = leader_index(region);
          if (round % 2 == 0)
            region.reject_kv_requests(leader, 6'000);
          else
@@ -278,10 +278,10 @@
        region.slow_commands(40'000);
        for (int round = 0; round < 4; ++round) {
          region.cancel_running_jobs(4, 0);
-         if (round == 2) region.kill(leader_of(region), 1'000);
+         if (round == 2) region.kill(leader_index(region), 1'000);
          // Work of higher priority preempts the rest.
          for (std::size_t n = 0; n < 3; ++n) {
-           JobSpec spec = service(job_id(500 + static_cast<std::size_t>(round) * 10 + n), 2);
+           JobSpec spec = service_job(job_id(500 + static_cast<std::size_t>(round) * 10 + n), 2);
            spec.priority = Priority::Production;
            region.submit(spec, region.now() + 30'000 + static_cast<Time>(seed) * 500);
          }
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -11,26 +11,26 @@
 // cancelled, and the leader is killed twice meanwhile.
 TEST(Capacity, OneTaskJobsFourASecondForMinutes) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    SimulationPlan plan = quiet(seed + 200);
+    SimulationPlan plan = plan_without_faults(seed + 200);
     plan.length = 340'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
     region.poll_intensively(200'000);
-    region.cancel_at_end(0.05, 200'000);
+    region.cancel_on_completion(0.05, 200'000);
     pcg32 random(seed);
     for (std::size_t n = 0; n < 640; ++n) {
-      JobSpec spec = array(job_id(n), 1, 2 + random(12));
+      JobSpec spec = array_job(job_id(n), 1, 2 + random(12));
       spec.team = n % 3 == 0 ? "blue" : "red";
       spec.image = "img-" + std::to_string(random(3));
       region.submit(spec, random(4) == 0 ? region.now() + 500 + random(9'000) : 0);
       region.run_until(region.now() + 250);
-      if (n == 200 || n == 420) region.kill(leader_of(region), n == 200 ? 400 : 6'000);
+      if (n == 200 || n == 420) region.kill(leader_index(region), n == 200 ? 400 : 6'000);
       if (n == 300) region.lose_write_responses(0.4, 8'000, seed % 2 == 0);
     }
     region.run_until(200'000);
     region.faults_ended();
     region.run();
-    expect_nothing_left(region, seed);
+    expect_rules_kept_and_nothing_left(region, seed);
   }
 }
 
@@ -38,27 +38,27 @@
 // arrays must start nevertheless.
 TEST(Capacity, MoreWorkThanCapacityOverSlowLinks) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    SimulationPlan plan = quiet(seed + 300);
+    SimulationPlan plan = plan_without_faults(seed + 300);
     plan.length = 620'000;
     plan.loss = 0.03;
     plan.late_heartbeat_copies = 0.05;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    region.submit(array("job-9000", 60, 8));  // red's quota limit lets 30 tasks run at once
+    region.submit(array_job("job-9000", 60, 8));  // red's quota limit lets 30 tasks run at once
     for (std::size_t n = 0; n < 90; ++n) {
-      JobSpec spec = n % 3 == 0 ? service(job_id(n), 2)
-                                : array(job_id(n), 1 + static_cast<std::uint32_t>(n % 8), 12);
+      JobSpec spec = n % 3 == 0 ? service_job(job_id(n), 2)
+                                : array_job(job_id(n), 1 + static_cast<std::uint32_t>(n % 8), 12);
       spec.team = n % 4 == 0 ? "blue" : "red";
       spec.priority = n % 3 == 0 ? static_cast<Priority>(n % 2) : Priority::Low;
       spec.image = "img-" + std::to_string(n % 4);
       region.submit(spec, spec.kind == JobKind::Service ? region.now() + 60'000 : 0);
       region.run_until(region.now() + 1'200);
       if (n % 30 == 20) region.slow_commands(10'000);
-      if (n == 50) region.kill(leader_of(region), 1'000);
+      if (n == 50) region.kill(leader_index(region), 1'000);
     }
     region.run_until(200'000);
     region.run();
-    expect_nothing_left(region, seed);
+    expect_rules_kept_and_nothing_left(region, seed);
   }
 }
 
@@ -68,7 +68,7 @@
 // few tasks at a time.
 TEST(Capacity, WorkBeyondAGuaranteedQuotaWaitsForSpotInstances) {
   for (const bool spot_available : {true, false}) {
-    SimulationPlan plan = quiet(800);
+    SimulationPlan plan = plan_without_faults(800);
     plan.length = 300'000;
     SimulatedRegion region(plan);
     if (!spot_available)
@@ -76,7 +76,7 @@
     region.run_until(1'000);
     std::size_t done = 0;
     region.on_completed = [&](const TaskKey&, const std::string&) { ++done; };
-    region.submit(array("job-1", 80, 4));
+    region.submit(array_job("job-1", 80, 4));
     std::size_t most_on_demand = 0;
     for (Time t = 2'000; t < 200'000; t += 1'000) {
       region.run_until(t);
@@ -102,17 +102,17 @@
 // guest's jobs must be served too.
 TEST(Capacity, AGuestDoesNotDelayWorkWithinAGuaranteedQuota) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    SimulationPlan plan = quiet(seed + 1'000);
+    SimulationPlan plan = plan_without_faults(seed + 1'000);
     plan.length = 420'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    JobSpec huge = array("job-9000", 300, 4);
+    JobSpec huge = array_job("job-9000", 300, 4);
     huge.team = "guest";
     huge.job_class = "huge";
     huge.priority = Priority::Low;
     region.submit(huge);
     for (std::size_t n = 300; n < 380; ++n) {
-      JobSpec spec = array(job_id(n), 1, 5);
+      JobSpec spec = array_job(job_id(n), 1, 5);
       spec.team = "guest";
       spec.job_class = "swarm";
       spec.priority = Priority::Low;
@@ -127,7 +127,7 @@
     };
     for (std::size_t n = 0; n < 6; ++n) {
       submitted_at[job_id(n)] = region.now();
-      JobSpec spec = service(job_id(n), 2);
+      JobSpec spec = service_job(job_id(n), 2);
       spec.job_class = "serve";
       region.submit(spec);
       region.run_until(region.now() + 5'000);
@@ -140,7 +140,7 @@
       EXPECT_LE(started_at[id] - submitted, 25'000) << seed << " " << id;
     }
     region.run();
-    expect_nothing_left(region, seed);
+    expect_rules_kept_and_nothing_left(region, seed);
   }
 }
 
@@ -148,25 +148,25 @@
 // meanwhile, so that the cost of unused machines stays bounded.
 TEST(Capacity, MachinesThatNeverComeUpAreReplaced) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    SimulationPlan plan = quiet(seed + 1'100);
+    SimulationPlan plan = plan_without_faults(seed + 1'100);
     plan.length = 200'000;
     SimulatedRegion region(plan);
     region.cloud().one_in_never_up = 2;
     region.run_until(1'000);
-    for (std::size_t n = 0; n < 10; ++n) region.submit(service(job_id(n), 2));
+    for (std::size_t n = 0; n < 10; ++n) region.submit(service_job(job_id(n), 2));
     Time longest_boot = 0;
     for (Time t = 2'000; t < 160'000; t += 1'000) {
       region.run_until(t);
       for (const auto& [name, m] : region.cloud().machines)
-        if (m.broken) longest_boot = std::max(longest_boot, t - m.launched_at);
+        if (m.never_boots) longest_boot = std::max(longest_boot, t - m.launched_at);
     }
     // Three boot times of 12 s, plus a lease and a call to the cloud.
     EXPECT_GT(longest_boot, 30'000) << seed << ": no machine failed to come up";
     EXPECT_LE(longest_boot, 60'000) << seed;
-    const Tables& tables = region.controller(leader_of(region))->tables();
+    const Tables& tables = region.controller(leader_index(region))->tables();
     for (const auto& [id, job] : tables.jobs) EXPECT_EQ(job->queued, 0U) << seed << " " << id;
     region.run();
-    expect_nothing_left(region, seed);
+    expect_rules_kept_and_nothing_left(region, seed);
   }
 }
 
@@ -175,7 +175,7 @@
 // which every task fails must still be terminated.
 TEST(Capacity, FailingJobsAreDistinguishedFromFaultyMachines) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    SimulationPlan plan = quiet(seed + 700);
+    SimulationPlan plan = plan_without_faults(seed + 700);
     plan.length = 260'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
@@ -189,9 +189,10 @@
       failing_starts += c.op == Command::Op::Start && failing ? 1 : 0;
     };
     for (std::size_t n = 30; n < 34; ++n)
-      region.submit_failing(n % 2 == 0 ? service(job_id(n), 2) : array(job_id(n), 8, 20), 125'000);
+      region.submit_failing(n % 2 == 0 ? service_job(job_id(n), 2) : array_job(job_id(n), 8, 20),
+                            125'000);
     region.run_until(125'000);
-    const Tables& tables = region.controller(leader_of(region))->tables();
+    const Tables& tables = region.controller(leader_index(region))->tables();
     for (const auto& name : healthy)
       if (const auto it = tables.machines.find(name); it != tables.machines.end()) {
         EXPECT_FALSE(it->second->cordoned && it->second->cordon_cause == CordonCause::Faulty)
@@ -209,11 +210,12 @@
     const std::string& faulty_machine = busy.front();
     region.make_faulty(faulty_machine);
     for (std::size_t n = 40; n < 56; ++n) {
-      region.submit(array(job_id(n), 2, 6));
+      region.submit(array_job(job_id(n), 2, 6));
       region.run_until(region.now() + 2'000);
     }
     region.run_until(215'000);
-    EXPECT_FALSE(region.controller(leader_of(region))->tables().machines.contains(faulty_machine))
+    EXPECT_FALSE(
+        region.controller(leader_index(region))->tables().machines.contains(faulty_machine))
         << seed;
     EXPECT_TRUE(region.checker().unfinished_arrays().empty()) << seed;
     EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
@@ -226,18 +228,18 @@
 // has reproduced a failure.
 TEST(Capacity, AMachineFoundFaultyWhileItsHeartbeatIsProcessed) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    SimulationPlan plan = quiet(seed + 900);
+    SimulationPlan plan = plan_without_faults(seed + 900);
     plan.length = 300'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    for (std::size_t n = 0; n < 14; ++n) region.submit(service(job_id(n), 2));
+    for (std::size_t n = 0; n < 14; ++n) region.submit(service_job(job_id(n), 2));
     region.run_until(45'000);
     for (int round = 0; round < 2; ++round) {
       const auto busy = busy_machines(region);
       ASSERT_FALSE(busy.empty());
       region.make_faulty(busy[seed % busy.size()]);
       for (std::size_t n = 0; n < 8; ++n) {
-        region.submit(array(job_id(100 + static_cast<std::size_t>(round) * 10 + n), 2, 6));
+        region.submit(array_job(job_id(100 + static_cast<std::size_t>(round) * 10 + n), 2, 6));
         region.run_until(region.now() + 130);
       }
       region.run_until(region.now() + 12'000);
@@ -251,13 +253,13 @@
 // Fault combination: services and arrays that are bound to one zone lose machines in that zone.
 TEST(Capacity, JobsBoundToAZoneLoseMachines) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    SimulationPlan plan = quiet(seed + 400);
+    SimulationPlan plan = plan_without_faults(seed + 400);
     plan.length = 300'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
     region.poll_intensively(plan.length);
     for (std::size_t n = 0; n < 14; ++n) {
-      JobSpec spec = n % 2 == 0 ? service(job_id(n), 3) : array(job_id(n), 5, 25);
+      JobSpec spec = n % 2 == 0 ? service_job(job_id(n), 3) : array_job(job_id(n), 5, 25);
       spec.team = n % 3 == 0 ? "blue" : "red";
       if (n % 4 < 2)
         spec.one_zone = true;
@@ -275,12 +277,12 @@
         region.preempt_machine(busy[index], 5'000);
       region.run_until(region.now() + 1'000);
     }
-    if (seed % 2 == 0) region.kill(leader_of(region), 3'000);
+    if (seed % 2 == 0) region.kill(leader_index(region), 3'000);
     region.run_until(120'000);
     region.faults_ended();
     for (std::size_t n = 0; n < 14; n += 2) region.cancel(job_id(n));
     region.run();
-    expect_nothing_left(region, seed);
+    expect_rules_kept_and_nothing_left(region, seed);
   }
 }
 
@@ -288,7 +290,7 @@
 // and jobs on both sides are cancelled.
 TEST(Capacity, AZonePartitionedForLongerThanALease) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    SimulationPlan plan = quiet(seed + 500);
+    SimulationPlan plan = plan_without_faults(seed + 500);
     plan.length = 340'000;
     plan.cancel_s = seed % 2 == 0 ? 12 : 30;
     SimulatedRegion region(plan);
@@ -301,12 +303,12 @@
     for (int round = 0; round < 4; ++round) {
       region.cancel_running_jobs(2, 0);
       region.run_until(region.now() + 4'000);
-      if (round == 1 && seed > 3) region.kill(leader_of(region), 4'000);
+      if (round == 1 && seed > 3) region.kill(leader_index(region), 4'000);
     }
     region.run_until(150'000);
     region.faults_ended();
     region.run();
-    expect_nothing_left(region, seed);
+    expect_rules_kept_and_nothing_left(region, seed);
   }
 }
 
@@ -316,7 +318,7 @@
 // heartbeat.
 TEST(Capacity, AMachineThatReachesNoControllerGetsNoWork) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    SimulationPlan plan = quiet(seed + 600);
+    SimulationPlan plan = plan_without_faults(seed + 600);
     plan.length = 260'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
@@ -326,14 +328,14 @@
     for (const auto& m : busy_machines(region))
       if (blocked_machines.size() < 2) blocked_machines.insert(m);
     for (const auto& m : blocked_machines) region.block_outbound(m, 70'000);
-    if (seed % 2 == 0) region.kill(leader_of(region), 3'000);
+    if (seed % 2 == 0) region.kill(leader_index(region), 3'000);
     region.run_until(58'000);  // these machines have missed heartbeats by now
-    for (std::size_t n = 20; n < 28; ++n) region.submit(service(job_id(n), 1), 140'000);
+    for (std::size_t n = 20; n < 28; ++n) region.submit(service_job(job_id(n), 1), 140'000);
     std::size_t reserved = 0;
     for (Time t = 59'000; t < 100'000; t += 500) {
       region.run_until(t);
       if (region.leader() < 0) continue;
-      for (const auto& [name, m] : region.controller(leader_of(region))->tables().machines)
+      for (const auto& [name, m] : region.controller(leader_index(region))->tables().machines)
         if (blocked_machines.contains(name))
           for (const TaskAttempt& attempt : m->attempts)
             reserved += attempt.state == AttemptState::Reserved && attempt.key.job >= "job-20" &&
@@ -345,7 +347,7 @@
     region.run_until(160'000);
     region.faults_ended();
     region.run();
-    expect_nothing_left(region, seed);
+    expect_rules_kept_and_nothing_left(region, seed);
   }
 }
 
--- a/tests/commit_test.cpp
+++ b/tests/commit_test.cpp
@@ -17,15 +17,15 @@
 // the budget, and submissions waited up to 0.95 s until it had recovered.
 TEST(Commit, SubmissionsDoNotWaitForBackgroundWrites) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    SimulationPlan plan = quiet(seed + 1'200);
+    SimulationPlan plan = plan_without_faults(seed + 1'200);
     plan.scale = 16;
     plan.loss = 0;  // a lost response is noticed only after a second
     SimulatedRegion region(plan);
     region.run_until(1'000);
     pcg32 random(seed);
     for (std::size_t job_number = 0; job_number < 520; ++job_number) {
-      JobSpec spec =
-          job_number % 2 == 0 ? service(job_id(job_number), 2) : array(job_id(job_number), 6, 8);
+      JobSpec spec = job_number % 2 == 0 ? service_job(job_id(job_number), 2)
+                                         : array_job(job_id(job_number), 6, 8);
       spec.team = job_number % 3 == 0 ? "blue" : "red";
       spec.image = "img-" + std::to_string(random(12));
       spec.image_gb = 5;
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -10,7 +10,7 @@
 
 JobRecord started_job(const std::string& id, std::uint32_t tasks) {
   JobRecord record;
-  record.spec = array(id, tasks, 30);
+  record.spec = array_job(id, tasks, 30);
   record.started = tasks;
   record.done = Bitmap(tasks);
   return record;
--- a/tests/delayed_heartbeats_test.cpp
+++ b/tests/delayed_heartbeats_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 JobSpec one_zone_array(const std::string& id, std::uint32_t tasks, double run_s) {
-  JobSpec spec = array(id, tasks, run_s);
+  JobSpec spec = array_job(id, tasks, run_s);
   spec.one_zone = true;
   spec.priority = Priority::Low;
   return spec;
@@ -18,7 +18,7 @@
 
 /// The number of zones in which the leader knows tasks of the job.
 std::size_t known_zone_count(const SimulatedRegion& region, const std::string& job) {
-  const auto& jobs = region.controller(leader_of(region))->tables().jobs;
+  const auto& jobs = region.controller(leader_index(region))->tables().jobs;
   const auto found = jobs.find(job);
   return found == jobs.end() ? 0 : found->second->per_zone.size();
 }
@@ -28,13 +28,13 @@
 // array; some of its tasks are placed in another zone, the others wait. When the partition ends,
 // earlier heartbeats of the machines arrive.
 TEST(DelayedHeartbeats, AnArrayBoundToOneZoneIsNeverFoundInTwo) {
-  SimulationPlan plan = quiet(3);
+  SimulationPlan plan = plan_without_faults(3);
   plan.scale = 2;
   SimulatedRegion region(plan);
   region.run_until(1'000);
   // Services take all but a few places of zone zb, so the array is placed in zone za.
   for (std::size_t n = 0; n < 43; ++n) {
-    JobSpec spec = service(job_id(n), 2);
+    JobSpec spec = service_job(job_id(n), 2);
     spec.zone = "zb";
     spec.spot = true;
     spec.team = n % 5 < 3 ? "red" : "blue";
@@ -75,11 +75,11 @@
 JobSpec random_job(const std::string& id, bool mixed, pcg32& random) {
   JobSpec spec = one_zone_array(id, 8 + random(22), 10 + random(25));
   if (mixed && random(3) == 0) {
-    spec = service(id, 2 + random(5));
+    spec = service_job(id, 2 + random(5));
     spec.spread = random(2) == 0;
     spec.one_zone = !spec.spread;
   } else if (mixed && random(3) == 0) {
-    spec = gang(id, 2 + random(4), 2, 10 + random(10));
+    spec = gang_job(id, 2 + random(4), 2, 10 + random(10));
     spec.one_zone = random(2) == 0;
   }
   spec.team = random(3) == 0 ? "blue" : "red";
@@ -87,7 +87,7 @@
 }
 
 void inject_second_fault(SimulatedRegion& region, pcg32& random, Time span) {
-  const std::size_t leader = leader_of(region);
+  const std::size_t leader = leader_index(region);
   const auto for_some_machines = [&](const std::function<void(const std::string&)>& inject) {
     for (const std::string& machine : region.machines_up())
       if (random(4) == 0) inject(machine);
@@ -118,7 +118,7 @@
 // what they sent arrives when the cut ends; meanwhile leaders are killed. Arrays that are bound to
 // one zone are rescheduled all the time.
 void play_machine_cuts(std::uint64_t seed, const MachineCutOptions& options) {
-  SimulationPlan plan = quiet(seed * 31);
+  SimulationPlan plan = plan_without_faults(seed * 31);
   plan.length = 480'000;
   plan.scale = 2;
   SimulatedRegion region(plan);
@@ -141,7 +141,7 @@
     const auto some_time = [&] { return region.now() + random(static_cast<std::uint32_t>(span)); };
     region.cut_machines(0.3 + 0.1 * random(5), span, true);
     if (random(2) == 0)
-      region.schedule(some_time(), [&region] { region.kill(leader_of(region), 4'000); });
+      region.schedule(some_time(), [&region] { region.kill(leader_index(region), 4'000); });
     if (options.more_faults)
       region.schedule(some_time(),
                       [&region, &random, span] { inject_second_fault(region, random, span); });
@@ -151,7 +151,7 @@
   region.faults_ended();
   for (const std::string& id : services) region.cancel(id);
   region.run();
-  expect_nothing_left(region, seed);
+  expect_rules_kept_and_nothing_left(region, seed);
 }
 
 // The number of days to play: `usual` in CI, or the value of SAILREEL_SOAK_DAYS in a long run by
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -18,7 +18,7 @@
 TEST_P(Failover, KeepsTheRules) {
   const Scenario& scenario = GetParam();
   for (std::uint64_t seed = 1; seed <= kSeedCount; ++seed) {
-    SimulationPlan plan = quiet(seed * 13);
+    SimulationPlan plan = plan_without_faults(seed * 13);
     plan.length = 500'000;
     plan.boot_ms = scenario.boots_ms;
     SimulatedRegion region(plan);
@@ -26,13 +26,15 @@
     region.poll_intensively(plan.length);
     submit_mixed_jobs(region, 0, kJobCount, seed);
     region.run_until(kScenarioStartMs);
-    scenario.play(region, seed % 8);
+    scenario.run(region, seed % 8);
     region.run_until(region.now() + 60'000);
     expect_all_served(region, kJobCount, seed);
   }
 }
 
-void kill_leader(SimulatedRegion& region, Time for_ms) { region.kill(leader_of(region), for_ms); }
+void kill_leader(SimulatedRegion& region, Time for_ms) {
+  region.kill(leader_index(region), for_ms);
+}
 
 const Scenario kScenarios[] = {
     {"OldReportsReachEveryControllerAsALeaderBegins",
@@ -41,7 +43,7 @@
          region.keep_heartbeats_for_next_leader(0.5, 9'000);
          region.run_until(region.now() + 8'000);
          region.cancel_running_jobs(3, 0);
-         if (seed % 2 == 0) region.cancel_at_end(0.5, 10'000);
+         if (seed % 2 == 0) region.cancel_on_completion(0.5, 10'000);
          region.run_until(region.now() + 500);
          kill_leader(region, 4'000);
          region.run_until(region.now() + 9'000);
@@ -52,7 +54,7 @@
        for (int round = 0; round < 3; ++round) {
          // The machines' messages are held and reach the leader long after its successor is
          // elected.
-         const std::size_t old_leader = leader_of(region);
+         const std::size_t old_leader = leader_index(region);
          for (const auto& machine : busy_machines(region))
            region.cut(node_name(old_leader), machine, 15'000, true);
          region.cut(node_name(old_leader), kKvStoreHost, 15'000, true);
@@ -87,7 +89,7 @@
     {"TasksEndFarApartAcrossLeaders",
      [](SimulatedRegion& region, std::uint64_t seed) {
        for (std::size_t n = 100; n < 112; ++n)
-         region.submit(array(job_id(n), 2 + static_cast<std::uint32_t>(n % 2), 25));
+         region.submit(array_job(job_id(n), 2 + static_cast<std::uint32_t>(n % 2), 25));
        for (int round = 0; round < 4; ++round) {
          region.run_until(region.now() + 7'000 + static_cast<Time>(seed) * 200);
          kill_leader(region, round % 2 == 0 ? 300 : 6'000);
@@ -121,7 +123,7 @@
      [](SimulatedRegion& region, std::uint64_t seed) {
        for (int round = 0; round < 4; ++round) {
          for (std::size_t n = 0; n < 8; ++n) {
-           JobSpec spec = service(job_id(100 + static_cast<std::size_t>(round) * 10 + n), 1);
+           JobSpec spec = service_job(job_id(100 + static_cast<std::size_t>(round) * 10 + n), 1);
            spec.image = "img-" + std::to_string(n % 3);
            region.submit(spec, region.now() + 25'000);
          }
@@ -151,10 +153,10 @@
     {"AFrozenLeaderWakesUnderItsSuccessor",
      [](SimulatedRegion& region, std::uint64_t seed) {
        for (int round = 0; round < 3; ++round) {
-         const std::size_t old_leader = leader_of(region);
+         const std::size_t old_leader = leader_index(region);
          region.freeze(old_leader, 5'000 + static_cast<Time>(seed) * 900);
          region.cancel_running_jobs(4, 0);
-         region.cancel_at_end(0.5, 10'000);
+         region.cancel_on_completion(0.5, 10'000);
          region.run_until(region.now() + 14'000);
        }
      }},
--- a/tests/federation_test.cpp
+++ b/tests/federation_test.cpp
@@ -21,7 +21,7 @@
 }
 
 JobSpec service_with_priority(const std::string& id, std::uint32_t tasks, Priority priority) {
-  JobSpec spec = service(id, tasks);
+  JobSpec spec = service_job(id, tasks);
   spec.priority = priority;
   spec.image_gb = 1;
   spec.spot = true;
@@ -176,7 +176,7 @@
     federation.cut(0, 1, 90'000, seed % 2 == 0);
     federation.run_until(30'000);
     for (std::size_t n = 0; n < 2; ++n)
-      federation.region(n).kill(leader_of(federation.region(n)), 4'000);
+      federation.region(n).kill(leader_index(federation.region(n)), 4'000);
     federation.run_until(60'000);
     EXPECT_EQ(federation.violations(), "") << seed;
     federation.run_until(160'000);
@@ -251,7 +251,7 @@
   SimulatedFederation federation(plan);
   federation.run_until(15'000);
   ASSERT_TRUE(federation.region(1).kv_store().corrupt(share_key("red")));
-  federation.region(1).kill(leader_of(federation.region(1)), 1'000);
+  federation.region(1).kill(leader_index(federation.region(1)), 1'000);
   federation.run_until(25'000);
   federation.region(1).submit(service_with_priority("job-1", 3, Priority::High));
   federation.run_until(60'000);
--- a/tests/federation_upgrade_test.cpp
+++ b/tests/federation_upgrade_test.cpp
@@ -23,7 +23,7 @@
   federation.run_until(15'000);
   EXPECT_TRUE(federation.ledger(0).teams.contains("red"));
   EXPECT_FALSE(federation.ledger(1).teams.contains("red"));
-  upgraded.submit(service("job-1", 4));
+  upgraded.submit(service_job("job-1", 4));
   for (std::size_t node = 0; node < 2; ++node) {
     upgraded.upgrade(node, 1'000);
     federation.run_until(federation.now() + 15'000);
--- a/tests/fixed_limits_test.cpp
+++ b/tests/fixed_limits_test.cpp
@@ -15,7 +15,7 @@
 // never read.
 TEST(FixedLimits, AListOfManyPagesIsReadToItsEnd) {
   constexpr std::size_t kUnknownMachines = 1'200;
-  SimulationPlan plan = quiet(31);
+  SimulationPlan plan = plan_without_faults(31);
   Deployment deployment = sample_deployment(plan);
   for (Settings& settings : deployment.controllers) settings.cloud_limits.rps = 2;
   plan.deployment = deployment;
@@ -27,11 +27,11 @@
     machine.name = "m-" + std::to_string(500'000 + n);
     machine.type = "box";
     machine.zone = n % 2 == 0 ? "za" : "zb";
-    machine.broken = true;
+    machine.never_boots = true;
     region.cloud().machines[machine.name] = machine;
   }
   region.run_until(30'000);
-  const Tables& tables = region.controller(leader_of(region))->tables();
+  const Tables& tables = region.controller(leader_index(region))->tables();
   EXPECT_EQ(tables.machines.size(), kUnknownMachines);
   region.run();
   EXPECT_TRUE(region.cloud().machines.empty())
@@ -42,7 +42,7 @@
 // still be asked in its turn, and be terminated well before its lease expires.
 TEST(FixedLimits, ADeadMachineIsDetectedAmongManyUnreachableOnes) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    SimulationPlan plan = quiet(seed + 40);
+    SimulationPlan plan = plan_without_faults(seed + 40);
     plan.scale = 4;
     plan.lease_s = 20;
     plan.cancel_s = 50;
@@ -52,7 +52,7 @@
     plan.deployment = deployment;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    for (std::size_t n = 0; n < 40; ++n) region.submit(service(job_id(n), 3));
+    for (std::size_t n = 0; n < 40; ++n) region.submit(service_job(job_id(n), 3));
     region.run_until(45'000);
     region.cut_zone("za", 60'000, false);
     region.run_until(56'000);
@@ -69,7 +69,7 @@
     // Enough time for two failed inquiries, each after two rounds of inquiries to the other
     // machines, and a call to the cloud.
     region.run_until(region.now() + 14'000);
-    const Controller* leader = region.controller(leader_of(region));
+    const Controller* leader = region.controller(leader_index(region));
     ASSERT_NE(leader, nullptr);
     EXPECT_EQ(leader->tables().machines.count(machine_to_kill), 0U)
         << "seed " << seed << " " << machine_to_kill;
@@ -89,7 +89,7 @@
   ASSERT_TRUE(driver.controller().leading());
   // All submissions arrive at one moment: once the burst of the write rate limit is spent, they
   // wait for the next commit.
-  const auto body = [](std::size_t n) { return encode_submission(array(job_id(n), 1, 5)); };
+  const auto body = [](std::size_t n) { return encode_submission(array_job(job_id(n), 1, 5)); };
   std::size_t rejected = 0;
   for (std::size_t n = 0; n < 2'500; ++n) rejected += driver.submit(body(n)) == 503 ? 1 : 0;
   EXPECT_EQ(rejected, 0U);
@@ -100,16 +100,16 @@
 // Attempt numbers of one epoch must not overlap those of the next. The leader resigns before its
 // numbers are used up, and the work continues under the next epoch.
 TEST(FixedLimits, ExhaustedAttemptNumbersChangeTheLeader) {
-  SimulationPlan plan = quiet(51);
+  SimulationPlan plan = plan_without_faults(51);
   plan.options.attempts_per_epoch = 60;
   SimulatedRegion region(plan);
   region.run_until(1'000);
   for (std::size_t n = 0; n < 30; ++n) {
-    region.submit(array(job_id(n), 6, 5));
+    region.submit(array_job(job_id(n), 6, 5));
     region.run_until(region.now() + 2'000);
   }
   region.run();
-  EXPECT_GE(region.controller(leader_of(region))->epoch(), 3U)
+  EXPECT_GE(region.controller(leader_index(region))->epoch(), 3U)
       << "180 tasks at 60 attempts per epoch";
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   EXPECT_TRUE(region.checker().unfinished_arrays().empty());
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -129,7 +129,7 @@
 TEST_P(GangScenarioTest, KeepsTheRules) {
   const Scenario& scenario = GetParam();
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    SimulationPlan plan = quiet(seed * 17);
+    SimulationPlan plan = plan_without_faults(seed * 17);
     plan.length = 400'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
@@ -137,19 +137,19 @@
     region.run_until(45'000);
     // Two gangs need several machines, the first of them within one zone; the third fits on a
     // single machine.
-    JobSpec together = gang("job-1", 4, 6, 12);
+    JobSpec together = gang_job("job-1", 4, 6, 12);
     together.one_zone = true;
     region.submit(together);
-    region.submit(gang("job-2", 5, 6, 15));
-    region.submit(gang("job-3", 4, 2, 10));
+    region.submit(gang_job("job-2", 5, 6, 15));
+    region.submit(gang_job("job-3", 4, 2, 10));
     region.run_until(region.now() + 50);
     // From now on, users query jobs within milliseconds of a change and cancel some as they end.
     region.poll_intensively(plan.length);
-    scenario.play(region, seed);
+    scenario.run(region, seed);
     region.run_until(region.now() + 60'000);
     region.faults_ended();
     region.run_until(region.now() + 150'000);
-    expect_nothing_left(region, seed);
+    expect_rules_kept_and_nothing_left(region, seed);
   }
 }
 
@@ -228,22 +228,22 @@
     {"TheLeaderEndsInEachPhase",
      [](SimulatedRegion& region, std::uint64_t seed) {
        region.run_until(region.now() + 200 * static_cast<Time>(seed));
-       region.kill(leader_of(region), 4'000);
+       region.kill(leader_index(region), 4'000);
        wait_for_task(region, "job-2");
-       region.kill(leader_of(region), 4'000);
+       region.kill(leader_index(region), 4'000);
        wait_for_start(region, "job-2");
-       region.kill(leader_of(region), 4'000);
+       region.kill(leader_index(region), 4'000);
        region.run_until(region.now() + 4'000);
        region.preempt_machine(wait_for_task(region, "job-2"), 8'000);
        region.run_until(region.now() + 300);
-       region.kill(leader_of(region), 4'000);
+       region.kill(leader_index(region), 4'000);
      }},
     {"TheLeaderEndsAsAGangIsDone",
      [](SimulatedRegion& region, std::uint64_t seed) {
        bool ended = false;
        region.on_completed = [&region, &ended, seed](const TaskKey& key, const std::string&) {
          if (key.job != "job-2" || std::exchange(ended, true)) return;
-         region.kill(leader_of(region), seed % 2 == 0 ? 300 : 5'000);
+         region.kill(leader_index(region), seed % 2 == 0 ? 300 : 5'000);
        };
        region.run_until(region.now() + 60'000);
        region.on_completed = nullptr;
@@ -286,7 +286,7 @@
        region.delay_heartbeats(0.4, 40'000);
        region.keep_heartbeats_for_next_leader(0.4, 20'000);
        wait_for_start(region, "job-1");
-       region.kill(leader_of(region), 4'000);
+       region.kill(leader_index(region), 4'000);
        region.run_until(region.now() + 8'000);
        const std::string machine = wait_for_task(region, "job-2");
        if (!machine.empty()) region.kill_machine(machine);
@@ -294,7 +294,7 @@
     {"HigherPriorityJobsPreemptGangs", [](SimulatedRegion& region, std::uint64_t) {
        wait_for_start(region, "job-2");
        for (std::size_t job_number = 50; job_number < 58; ++job_number) {
-         JobSpec spec = service(job_id(job_number), 2);
+         JobSpec spec = service_job(job_id(job_number), 2);
          spec.need = {7, 1, 10};
          region.submit(spec, region.now() + 40'000);
        }
@@ -306,9 +306,9 @@
 // A spot notice on one machine stops the whole gang with a grace period, in which all tasks save
 // their progress, so that the next attempt can continue from it.
 TEST(GangStops, ASpotNoticeOnOneMachineSavesTheProgressOfAllTasks) {
-  SimulatedRegion region(quiet(3));
+  SimulatedRegion region(plan_without_faults(3));
   region.run_until(1'000);
-  JobSpec spec = gang("job-1", 5, 6, 60);
+  JobSpec spec = gang_job("job-1", 5, 6, 60);
   spec.checkpoint_s = 1'000;  // so long that the tasks save only when they are stopped
   region.submit(spec);
   wait_for_start(region, "job-1");
@@ -322,13 +322,13 @@
 // A gang that needs exactly its team's limit runs, and one that needs more is rejected with status
 // 422.
 TEST(GangLimits, AGangMayUseExactlyItsTeamsLimit) {
-  SimulatedRegion region(quiet(4));
+  SimulatedRegion region(plan_without_faults(4));
   region.run_until(1'000);
-  JobSpec spec = gang("job-1", 6, 2, 10);
+  JobSpec spec = gang_job("job-1", 6, 2, 10);
   spec.team = "blue";
   spec.need.gpus = 2;  // 12 for the whole gang, which is the team's limit
   region.submit(spec);
-  JobSpec single = array("job-2", 1, 5);
+  JobSpec single = array_job("job-2", 1, 5);
   single.team = "blue";
   region.submit(single);
   region.run_until(70'000);
@@ -337,7 +337,7 @@
   spec.tasks = 7;
   int status = 0;
   region.submit(spec);
-  region.send_request_then("job-3", leader_of(region), RequestOp::Submit,
+  region.send_request_then("job-3", leader_index(region), RequestOp::Submit,
                            [&status](int response_status) { status = response_status; });
   region.run_until(72'000);
   EXPECT_EQ(status, 422);
@@ -348,17 +348,17 @@
 // impossible if the job is restricted to one zone. Such a gang must be rejected at submission,
 // because it would wait forever. A gang of a single task is exempt.
 TEST(GangLimits, AGangThatCanNeverRunIsRejected) {
-  SimulatedRegion region(quiet(5));
+  SimulatedRegion region(plan_without_faults(5));
   region.run_until(3'000);
   const auto status_of = [&region](const JobSpec& spec) {
     int status = 0;
     region.submit(spec);
-    region.send_request_then(spec.id, leader_of(region), RequestOp::Submit,
+    region.send_request_then(spec.id, leader_index(region), RequestOp::Submit,
                              [&status](int response_status) { status = response_status; });
     region.run_until(region.now() + 1'000);
     return status;
   };
-  JobSpec spec = gang("job-1", 4, 2, 10);
+  JobSpec spec = gang_job("job-1", 4, 2, 10);
   spec.spread = true;
   EXPECT_LT(status_of(spec), 300);
   spec.id = "job-2";
@@ -377,7 +377,7 @@
 std::unique_ptr<ControllerDriver> leader_with_running_gang() {
   auto driver = std::make_unique<ControllerDriver>(settings_without_peers());
   JobRecord record;
-  record.spec = gang("job-1", 2, 6, 30);
+  record.spec = gang_job("job-1", 2, 6, 30);
   record.started = 2;
   record.done = Bitmap(2);
   driver->write(kManifestKey, encode_manifest({1, 0, {}}, {encode_record(record)}));
@@ -429,14 +429,14 @@
 // Single tasks that keep arriving take each part of a machine as it becomes free. A gang that needs
 // whole machines must start nevertheless.
 TEST(GangRoom, AGangDoesNotStarveBehindSingleTasks) {
-  SimulationPlan plan = quiet(6);
+  SimulationPlan plan = plan_without_faults(6);
   plan.length = 600'000;
   SimulatedRegion region(plan);
   region.run_until(1'000);
   // Slightly more tasks than the machines can run.
   constexpr std::size_t kFirstJob = 10, kEndJob = 150, kGangAfterJob = 60;
   for (std::size_t job_number = kFirstJob; job_number < kEndJob; ++job_number) {
-    JobSpec single = array(job_id(job_number), 8, 8);
+    JobSpec single = array_job(job_id(job_number), 8, 8);
     single.need = {4, 0, 10};
     single.team = "guest";
     single.spot = false;
@@ -444,7 +444,7 @@
     region.submit(single);
     region.run_until(region.now() + 1'600);
     if (job_number != kGangAfterJob) continue;
-    JobSpec spec = gang("job-1", 3, 16, 10);
+    JobSpec spec = gang_job("job-1", 3, 16, 10);
     spec.team = "guest";
     spec.one_zone = true;
     region.submit(spec);
@@ -455,9 +455,9 @@
 
 // All machines for a gang that has to be in one zone are launched in the same zone.
 TEST(GangRoom, MachinesAreLaunchedInTheGangsZone) {
-  SimulatedRegion region(quiet(7));
+  SimulatedRegion region(plan_without_faults(7));
   region.run_until(1'000);
-  JobSpec spec = gang("job-1", 3, 16, 10);
+  JobSpec spec = gang_job("job-1", 3, 16, 10);
   spec.one_zone = true;
   region.submit(spec);
   region.run_until(3'000);
@@ -477,19 +477,19 @@
 // starve, and no gang may hold room for which another waits.
 TEST(GangRoom, ManyGangsAndSingleTasksAllComplete) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    SimulationPlan plan = quiet(seed);
+    SimulationPlan plan = plan_without_faults(seed);
     plan.length = 900'000;
     SimulatedRegion region(plan);
     region.run_until(1'000);
     pcg32 random(seed);
     for (std::size_t job_number = 0; job_number < 60; ++job_number) {
-      JobSpec single = array(job_id(job_number), 2, 8);
+      JobSpec single = array_job(job_id(job_number), 2, 8);
       single.spot = false;
       single.priority = Priority::Normal;
       if (job_number % 4 != 0) {
         region.submit(single);
       } else {
-        JobSpec spec = gang(job_id(job_number), 4 + random(5), 5, 8);
+        JobSpec spec = gang_job(job_id(job_number), 4 + random(5), 5, 8);
         spec.team = "guest";
         spec.one_zone = random(2) == 0;
         spec.need.gpus = 2;
--- a/tests/incarnation_fence_test.cpp
+++ b/tests/incarnation_fence_test.cpp
@@ -68,7 +68,7 @@
   void add_job(const std::string& id, std::uint32_t tasks,
                const std::function<void(JobSpec&)>& adjust) {
     JobRecord record;
-    record.spec = array(id, tasks, 30);
+    record.spec = array_job(id, tasks, 30);
     if (adjust) adjust(record.spec);
     record.started = tasks;
     record.done = Bitmap(tasks);
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -17,7 +17,7 @@
 /// and the cloud grow with the fleet.
 SimulationPlan large_fleet_plan(std::uint32_t machines, std::uint64_t seed) {
   constexpr double kWritesPerMachine = 0.1;
-  SimulationPlan plan = quiet(seed);
+  SimulationPlan plan = plan_without_faults(seed);
   plan.scale = machines / kMachinesPerScale;
   plan.boot_ms = 4'000;
   Deployment deployment = sample_deployment(plan);
@@ -41,8 +41,8 @@
   pcg32 random(seed);
   const std::uint32_t jobs = machines * 2 / 3;
   for (std::uint32_t n = 0; n < jobs; ++n) {
-    JobSpec spec = n % 2 == 0 ? array(job_id(n), 8 + random(17), 10 + random(20))
-                              : service(job_id(n), 4 + random(9));
+    JobSpec spec = n % 2 == 0 ? array_job(job_id(n), 8 + random(17), 10 + random(20))
+                              : service_job(job_id(n), 4 + random(9));
     spec.team = n % 3 == 0 ? "blue" : "red";
     spec.image = "img-" + std::to_string(random(kImages));
     spec.priority = spec.kind == JobKind::Array ? Priority::Low : static_cast<Priority>(random(2));
@@ -65,7 +65,7 @@
   region.run_until(1'000);
   submit_burst(region, machines, 5);
   region.run_until(50'000);
-  const std::size_t leader = leader_of(region);
+  const std::size_t leader = leader_index(region);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
   BurstWork work{static_cast<double>(region.machines_up().size()),
                  static_cast<double>(region.controller(leader)->examined())};
@@ -92,7 +92,7 @@
 /// The running controller that leads and has finished reconciliation; null if there is none.
 const Controller* settled_leader(const SimulatedRegion& region) {
   if (region.leader() < 0) return nullptr;
-  const Controller* controller = region.controller(leader_of(region));
+  const Controller* controller = region.controller(leader_index(region));
   return controller != nullptr && controller->holds_valid_lease(region.now()) &&
                  !controller->reconciling()
              ? controller
@@ -121,7 +121,7 @@
   submit_burst(region, kMachines, 8);
   region.run_until(34'000);
   ASSERT_GE(region.machines_up().size(), 4'000U);
-  region.kill(leader_of(region), 6'000);
+  region.kill(leader_index(region), 6'000);
   region.run_until(region.now() + 100);
   const Time reconciliation_ms = time_to_reconcile(region, 20'000);
   std::printf("machines %zu, reconciled after %lld ms\n", region.machines_up().size(),
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -26,7 +26,7 @@
 
 JobRecord array_record(std::size_t n, std::uint32_t tasks) {
   JobRecord record;
-  record.spec = array(job_id(n), tasks, 30);
+  record.spec = array_job(job_id(n), tasks, 30);
   record.seq = 1;
   record.done = Bitmap(tasks);
   return record;
@@ -128,14 +128,14 @@
   driver.set_types({sample_type()});
   driver.run_for(3'000);
   for (std::size_t n = 0; n < 60; ++n) {
-    driver.submit(encode_submission(array(job_id(n), 8, 30)));
+    driver.submit(encode_submission(array_job(job_id(n), 8, 30)));
     driver.run_for(100);
   }
   driver.run_for(30'000);
   EXPECT_GT(driver.kv_store().over_limit_requests, 0U);
   const std::uint64_t rejected_before = driver.kv_store().over_limit_requests;
   for (std::size_t n = 0; n < 60; ++n) {
-    driver.submit(encode_submission(array(job_id(n), 8, 30)));
+    driver.submit(encode_submission(array_job(job_id(n), 8, 30)));
     driver.run_for(100);
   }
   driver.run_for(10'000);
@@ -147,7 +147,7 @@
   ControllerDriver driver(settings_with_low_limits());
   driver.set_types({sample_type()});
   driver.run_for(3'000);
-  JobSpec spec = array("job-1", 1, 30);
+  JobSpec spec = array_job("job-1", 1, 30);
   spec.any_type = false;
   for (int n = 0; n < 40; ++n)
     spec.types.push_back("box" + std::string(50, 'x') + std::to_string(n));
@@ -165,7 +165,7 @@
   driver.run_for(500);
   lower_store_limits(driver);
   driver.run_for(2'500);
-  JobSpec spec = array("job-1", 512, 30);
+  JobSpec spec = array_job("job-1", 512, 30);
   spec.job_class = std::string(200, 'c');
   spec.image = std::string(200, 'i');
   spec.any_type = false;
@@ -183,17 +183,17 @@
 // While the cloud doesn't respond, scale-out requests accumulate in the manifest, which must stay
 // within the limit on values.
 TEST(LowerLimits, PendingScaleOutsNeverOutgrowTheManifest) {
-  SimulationPlan plan = quiet(8);
-  plan.next_value_kb = 1;
-  plan.next_txn_ops = 3;
-  plan.next_write_rps = 20;
+  SimulationPlan plan = plan_without_faults(8);
+  plan.lowered_value_kb = 1;
+  plan.lowered_txn_ops = 3;
+  plan.lowered_write_rps = 20;
   plan.scale = 4;
   SimulatedRegion region(plan);
   region.run_until(2'000);
-  region.lower_limits();
+  region.lower_store_limits();
   region.cloud().outage = true;
   for (std::size_t n = 0; n < 60; ++n) {
-    region.submit(array(job_id(n), 4, 10));
+    region.submit(array_job(job_id(n), 4, 10));
     region.run_until(region.now() + 600);
   }
   region.cloud().outage = false;
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -22,7 +22,7 @@
   constexpr int kInjections = 200;
   int injected = 0, violations = 0, unfinished = 0;
   for (int i = 0; i < kInjections; ++i) {
-    SimulationPlan plan = quiet(1000 + static_cast<std::uint64_t>(i));
+    SimulationPlan plan = plan_without_faults(1000 + static_cast<std::uint64_t>(i));
     plan.late_heartbeat_copies = 1.0;
     SimulatedRegion region(plan);
     int completions = 0;
@@ -34,7 +34,7 @@
       region.kill(static_cast<std::size_t>(leader), i % 2 == 0 ? 200 : 6'000);
     };
     region.run_until(1'000);
-    region.submit(array("job-1", 4, 8));
+    region.submit(array_job("job-1", 4, 8));
     region.run();
     violations += region.checker().violations().empty() ? 0 : 1;
     unfinished += region.checker().unfinished_arrays().empty() ? 0 : 1;
@@ -49,7 +49,7 @@
 // Guards against finished jobs that count as unfinished after a failover: they used to be rewritten
 // in the long form when their shard was written.
 TEST(Incident, FinishedJobsStayFinishedAcrossFailovers) {
-  SimulationPlan plan = quiet(7);
+  SimulationPlan plan = plan_without_faults(7);
   plan.jobs = 60;
   plan.length = 400'000;
   SimulatedRegion region(plan);
@@ -77,9 +77,9 @@
 // controllers in the middle of an election.
 TEST(Incident, PollsDuringAnElectionNeverGet404) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    SimulatedRegion region(quiet(seed));
+    SimulatedRegion region(plan_without_faults(seed));
     region.run_until(1'000);
-    for (int n = 0; n < 60; ++n) region.submit(service("job-" + std::to_string(n), 1));
+    for (int n = 0; n < 60; ++n) region.submit(service_job("job-" + std::to_string(n), 1));
     region.run_until(20'000);
     for (int round = 0; round < 6; ++round) {
       if (const int leader = region.leader(); leader >= 0)
@@ -93,9 +93,9 @@
 // A controller that has lost the key-value store and its peers, but not its workers, must release
 // the workers: once the new leader reaches them, they switch to it before their leases expire.
 TEST(Incident, AnIsolatedLeaderReleasesItsWorkers) {
-  SimulatedRegion region(quiet(3));
+  SimulatedRegion region(plan_without_faults(3));
   region.run_until(1'000);
-  region.submit(service("job-1", 4));
+  region.submit(service_job("job-1", 4));
   region.run_until(40'000);
   const int old_leader = region.leader();
   ASSERT_GE(old_leader, 0);
@@ -120,12 +120,12 @@
     const std::uint64_t seed = 10 + scenario / 4;
     const char* zone = scenario % 2 == 0 ? "za" : "zb";
     const bool hold = scenario % 4 < 2;
-    SimulationPlan plan = quiet(seed);
+    SimulationPlan plan = plan_without_faults(seed);
     plan.loss = 0;
     SimulatedRegion region(plan);
     region.run_until(1'000);
     for (int n = 0; n < 12; ++n) {
-      JobSpec spec = service("job-" + std::to_string(n), 2);
+      JobSpec spec = service_job("job-" + std::to_string(n), 2);
       spec.spread = true;
       spec.team = n % 2 == 0 ? "red" : "blue";
       region.submit(spec);
@@ -149,7 +149,7 @@
 // are replaced elsewhere, but only once nothing can run in the zone any more. The checker reports a
 // task that runs twice.
 TEST(Incident, TasksOfAZoneThatStaysPartitionedAreReplaced) {
-  SimulationPlan plan = quiet(19);
+  SimulationPlan plan = plan_without_faults(19);
   plan.length = 160'000;
   // Without random message loss: the heartbeats of a reachable machine may pass through the
   // partitioned controller, so two lost messages would expire its lease as well. TCP would
@@ -158,7 +158,7 @@
   SimulatedRegion region(plan);
   region.run_until(1'000);
   for (int n = 0; n < 12; ++n) {
-    JobSpec spec = service("job-" + std::to_string(n), 1 + static_cast<std::uint32_t>(n) % 2);
+    JobSpec spec = service_job("job-" + std::to_string(n), 1 + static_cast<std::uint32_t>(n) % 2);
     spec.image = "img-" + std::to_string(n);  // so that the jobs don't all go to one machine
     region.submit(spec);
   }
@@ -194,10 +194,10 @@
 // unreachable machine alive for longer than cancel_s.
 TEST(Incident, ACancellationWaitsForAnUnreachableMachine) {
   constexpr std::size_t kJobs = 12;
-  SimulatedRegion region(quiet(18));
+  SimulatedRegion region(plan_without_faults(18));
   region.run_until(1'000);
   for (std::size_t n = 0; n < kJobs; ++n) {
-    JobSpec spec = service("job-" + std::to_string(n), 2);
+    JobSpec spec = service_job("job-" + std::to_string(n), 2);
     spec.spread = true;  // so that each zone has one task of the job
     spec.team = n % 2 == 0 ? "red" : "blue";
     region.submit(spec, 52'000);
@@ -214,9 +214,9 @@
 // Guards against a recorded incident: the leader lost its workers and peers, but not the key-value
 // store, so it kept its own lease while the lease of every worker expired.
 TEST(Incident, ALeaderThatHearsNoWorkerResigns) {
-  SimulatedRegion region(quiet(8));
+  SimulatedRegion region(plan_without_faults(8));
   region.run_until(1'000);
-  JobSpec spec = service("job-1", 4);
+  JobSpec spec = service_job("job-1", 4);
   spec.spread = true;  // so that the job needs two machines
   region.submit(spec);
   region.run_until(40'000);
@@ -237,9 +237,9 @@
 
 // No task ends because of a key-value store outage that lasts longer than the lease of a worker.
 TEST(Incident, TasksSurviveAKeyValueStoreOutage) {
-  SimulatedRegion region(quiet(4));
+  SimulatedRegion region(plan_without_faults(4));
   region.run_until(1'000);
-  region.submit(service("job-1", 4));
+  region.submit(service_job("job-1", 4));
   region.run_until(40'000);
   int starts = 0;
   count_starts(region, starts);
@@ -257,7 +257,7 @@
   const auto healthy = [](const SimulatedRegion& region, std::size_t node) {
     return region.controller(node)->healthy(region.now() + 1'000'000);
   };
-  SimulatedRegion region(quiet(21));
+  SimulatedRegion region(plan_without_faults(21));
   region.run_until(30'000);
   region.kv_store_outage(20'000);
   region.run_until(48'000);
@@ -273,12 +273,12 @@
 // During an outage of the key-value store, submissions get a response at once. Their users repeat
 // them, and they are accepted after the outage.
 TEST(Incident, SubmissionsInAnOutageAreAnsweredAtOnce) {
-  SimulatedRegion region(quiet(9));
+  SimulatedRegion region(plan_without_faults(9));
   region.run_until(5'000);
   const int leader = region.leader();
   ASSERT_GE(leader, 0);
   region.kv_store_outage(8'000);
-  for (int n = 0; n < 5; ++n) region.submit(array("job-" + std::to_string(n), 1, 2));
+  for (int n = 0; n < 5; ++n) region.submit(array_job("job-" + std::to_string(n), 1, 2));
   region.run_until(12'900);
   EXPECT_EQ(region.unanswered_submissions(), 0U);
   region.run();
@@ -291,15 +291,15 @@
 // heartbeats still arrive. The tasks run elsewhere afterwards, and never in two places at the same
 // time.
 TEST(Incident, TasksOfAMachineThatReceivesNothingRunElsewhere) {
-  SimulatedRegion region(quiet(5));
+  SimulatedRegion region(plan_without_faults(5));
   region.run_until(1'000);
-  region.submit(service("job-1", 2));
+  region.submit(service_job("job-1", 2));
   region.run_until(30'000);
   std::string blocked_machine;
   region.on_command = [&](const std::string& machine, const Command& c) {
     if (c.op == Command::Op::Start) blocked_machine = machine;
   };
-  region.submit(service("job-2", 1));
+  region.submit(service_job("job-2", 1));
   region.run_until(40'000);
   ASSERT_FALSE(blocked_machine.empty());
   region.block_inbound(blocked_machine, 80'000);
@@ -316,14 +316,14 @@
 // demand of a cold start, and launched no instances for work of the lowest priority until all other
 // work ran.
 TEST(Size, AColdStartScalesOutForAllWaitingJobs) {
-  SimulatedRegion region(quiet(10));
+  SimulatedRegion region(plan_without_faults(10));
   for (int n = 0; n < 90; ++n) {
-    JobSpec spec = service("job-" + std::to_string(100 + n), 1);
+    JobSpec spec = service_job("job-" + std::to_string(100 + n), 1);
     spec.need = {1, 0.2, 5};
     region.submit(spec);
   }
   region.run_until(3'000);
-  region.submit(array("job-1", 8, 20));
+  region.submit(array_job("job-1", 8, 20));
   // State before any machine is up. The services' 90 x 0.2 GPUs need three machines of 8 GPUs,
   // including headroom. The array has the lowest priority and needs a spot instance.
   region.run_until(6'000);
@@ -338,10 +338,10 @@
 // machines made up half of the cost at the end of a simulated day. Surplus machines must be
 // drained, and a migrating replica must be down for only about one heartbeat interval.
 TEST(Fleet, SurplusMachinesAreDrained) {
-  SimulatedRegion region(quiet(15));
+  SimulatedRegion region(plan_without_faults(15));
   region.run_until(1'000);
   for (int n = 0; n < 36; ++n) {
-    JobSpec spec = service("job-" + std::to_string(n), 1);
+    JobSpec spec = service_job("job-" + std::to_string(n), 1);
     if (n % 4 == 0) spec.team = "blue";
     region.submit(spec, n % 4 == 1 ? 0 : 60'000);
   }
@@ -373,13 +373,13 @@
 // comparing each waiting task with each machine in every pass, which happened at 200 machines.
 TEST(Size, WorkPerHeartbeatDoesNotGrowWithTheJobs) {
   const auto per_heartbeat = [](int jobs) {
-    SimulationPlan plan = quiet(11);
+    SimulationPlan plan = plan_without_faults(11);
     plan.scale = 17;
     SimulatedRegion region(plan);
     region.run_until(1'000);
     // Enough jobs to fill every machine, so that some of them wait.
     for (int n = 0; n < jobs; ++n) {
-      JobSpec spec = array("job-" + std::to_string(1'000 + n), 20, 30);
+      JobSpec spec = array_job("job-" + std::to_string(1'000 + n), 20, 30);
       spec.image = "img-" + std::to_string(n % 4);
       spec.team = n % 2 == 0 ? "red" : "blue";
       spec.need.cpus = 1.8 + n % 7 * 0.05;
@@ -409,9 +409,9 @@
 // at the same time as that leader, delayed reconciliation for the machine's lease and the former
 // leader's grace period, 22 s in all.
 TEST(Incident, AMachineThatDiedWithTheLeaderDoesNotDelayReconciliation) {
-  SimulatedRegion region(quiet(12));
+  SimulatedRegion region(plan_without_faults(12));
   region.run_until(1'000);
-  for (int n = 0; n < 20; ++n) region.submit(service("job-" + std::to_string(n), 1));
+  for (int n = 0; n < 20; ++n) region.submit(service_job("job-" + std::to_string(n), 1));
   region.run_until(40'000);
   const int old_leader = region.leader();
   ASSERT_GE(old_leader, 0);
@@ -430,10 +430,10 @@
 // just before those of the machines' new incarnations. The leader considered the machines unable to
 // receive messages, and gave them no work for two leases.
 TEST(Incident, DelayedHeartbeatsDoNotQuarantineAMachine) {
-  SimulatedRegion region(quiet(13));
+  SimulatedRegion region(plan_without_faults(13));
   region.run_until(1'000);
   for (int n = 0; n < 36; ++n) {
-    JobSpec spec = service("job-" + std::to_string(n), 1);
+    JobSpec spec = service_job("job-" + std::to_string(n), 1);
     if (n % 4 == 0) spec.team = "blue";
     region.submit(spec);
   }
@@ -465,11 +465,11 @@
 // used only the ratio of silent machines to all machines terminated healthy ones. Silent machines
 // may be considered dead only if other machines of their zone respond.
 TEST(Incident, DeadMachinesAreDistinguishedFromUnreachableOnes) {
-  SimulationPlan plan = quiet(16);
+  SimulationPlan plan = plan_without_faults(16);
   plan.scale = 6;
   SimulatedRegion region(plan);
   region.run_until(1'000);
-  for (int n = 0; n < 120; ++n) region.submit(service("job-" + std::to_string(n), 1));
+  for (int n = 0; n < 120; ++n) region.submit(service_job("job-" + std::to_string(n), 1));
   region.run_until(50'000);
   const int leader = region.leader();
   ASSERT_GE(leader, 0);
@@ -498,13 +498,13 @@
 // sockets for inquiries, a failover took a second longer, and the machines that were not asked came
 // one step closer to being considered dead.
 TEST(Size, AFailoverWithManyMachinesIsReconciledAtOnce) {
-  SimulationPlan plan = quiet(17);
+  SimulationPlan plan = plan_without_faults(17);
   plan.scale = 17;
   plan.loss = 0;
   SimulatedRegion region(plan);
   region.run_until(1'000);
   for (int n = 0; n < 140; ++n) {
-    JobSpec spec = array("job-" + std::to_string(1'000 + n), 10, 60);
+    JobSpec spec = array_job("job-" + std::to_string(1'000 + n), 10, 60);
     spec.team = n % 2 == 0 ? "red" : "blue";
     spec.spot = false;  // jobs beyond the guaranteed quota would wait for spot instances
     region.submit(spec);
@@ -525,7 +525,7 @@
 // minutes, and then requested all changes since. The size of the store's response must not grow
 // with the time since the last read.
 TEST(Incident, ALookupAfterALongTimeReadsKeysInsteadOfChanges) {
-  SimulationPlan plan = quiet(14);
+  SimulationPlan plan = plan_without_faults(14);
   plan.scale = 17;
   plan.jobs = 1'000;
   plan.length = 200'000;
@@ -548,9 +548,9 @@
 // A job with the largest permitted number of tasks keeps its completed tasks through the checkpoint
 // and a failover.
 TEST(Size, AJobOfAHundredThousandTasks) {
-  SimulatedRegion region(quiet(6));
+  SimulatedRegion region(plan_without_faults(6));
   region.run_until(1'000);
-  region.submit(array("job-1", 100'000, 4));
+  region.submit(array_job("job-1", 100'000, 4));
   region.run_until(60'000);
   const int leader = region.leader();
   ASSERT_GE(leader, 0);
--- a/tests/slow_processor_test.cpp
+++ b/tests/slow_processor_test.cpp
@@ -23,7 +23,7 @@
 constexpr double kSlowFactor = 6;
 
 SimulationPlan slow_processor_plan(std::uint64_t seed) {
-  SimulationPlan plan = quiet(seed * 17);
+  SimulationPlan plan = plan_without_faults(seed * 17);
   plan.length = 500'000;
   plan.processor = {12, 0.1};
   return plan;
@@ -33,8 +33,8 @@
 void submit_burst(SimulatedRegion& region, std::uint64_t seed) {
   pcg32 random(seed * 31);
   for (std::size_t n = 0; n < kJobs; ++n) {
-    JobSpec spec =
-        n % 2 == 0 ? service(job_id(n), 1 + random(2)) : array(job_id(n), 1 + random(3), 20);
+    JobSpec spec = n % 2 == 0 ? service_job(job_id(n), 1 + random(2))
+                              : array_job(job_id(n), 1 + random(3), 20);
     spec.team = n % 3 == 0 ? "blue" : "red";
     spec.image = "img-" + std::to_string(random(3));
     region.submit(spec);
@@ -47,7 +47,7 @@
 }
 
 std::uint64_t current_epoch(const SimulatedRegion& region) {
-  return region.leader() < 0 ? 0 : region.controller(leader_of(region))->epoch();
+  return region.leader() < 0 ? 0 : region.controller(leader_index(region))->epoch();
 }
 
 class SlowProcessor : public ::testing::TestWithParam<Scenario> {};
@@ -60,14 +60,14 @@
     submit_burst(region, seed);
     region.run_until(kFleetFullMs);
     const Time wait_during_start = region.longest_input_wait();
-    region.forget_input_waits();
-    if (GetParam().play) GetParam().play(region, seed);
+    region.reset_input_waits();
+    if (GetParam().run) GetParam().run(region, seed);
     region.run_until(region.now() + 60'000);
     std::printf("longest wait of an input: %lld ms while the fleet came up, %lld ms afterwards\n",
                 static_cast<long long>(wait_during_start),
                 static_cast<long long>(region.longest_input_wait()));
     EXPECT_GT(wait_during_start, kMinInputWaitMs);
-    if (GetParam().play) {
+    if (GetParam().run) {
       EXPECT_GT(region.longest_input_wait(), kMinInputWaitMs);
     }
     expect_all_served(region, kJobs, seed);
@@ -80,7 +80,7 @@
      [](SimulatedRegion& region, std::uint64_t seed) {
        slow_down_all(region, kSlowFactor, 30'000);
        for (int round = 0; round < 6; ++round) {
-         region.kill(leader_of(region), 100 + 50 * static_cast<Time>(seed));
+         region.kill(leader_index(region), 100 + 50 * static_cast<Time>(seed));
          region.run_until(region.now() + 900 + 100 * static_cast<Time>(round));
          region.kill(static_cast<std::size_t>(round) % 3, 300);
          region.run_until(region.now() + 700);
@@ -103,22 +103,22 @@
      }},
     {"TheLeaderIsSeveralTimesSlower",
      [](SimulatedRegion& region, std::uint64_t seed) {
-       region.slow_down(leader_of(region), 3.0 + static_cast<double>(seed), 20'000);
+       region.slow_down(leader_index(region), 3.0 + static_cast<double>(seed), 20'000);
      }},
     // A step takes longer than the leader's lease, so the lease has expired when the step ends.
     {"StepsOutlastTheLeadersLease",
      [](SimulatedRegion& region, std::uint64_t seed) {
-       region.slow_down(leader_of(region), 60.0 + 20.0 * static_cast<double>(seed), 15'000);
+       region.slow_down(leader_index(region), 60.0 + 20.0 * static_cast<double>(seed), 15'000);
        region.cancel_running_jobs(4, 0);
      }},
     {"StepsOutlastTheWorkersLease",
      [](SimulatedRegion& region, std::uint64_t) {
-       region.slow_down(leader_of(region), 1'800, 30'000);
+       region.slow_down(leader_index(region), 1'800, 30'000);
        region.cancel_running_jobs(4, 0);
      }},
     {"CancellationsAtFullLoad",
      [](SimulatedRegion& region, std::uint64_t) {
-       region.slow_down(leader_of(region), 2.0, 40'000);
+       region.slow_down(leader_index(region), 2.0, 40'000);
        region.cancel_running_jobs(6, 0);
      }},
 };
@@ -134,7 +134,7 @@
     region.run_until(kFleetFullMs);
     const std::uint64_t epoch_before = current_epoch(region);
     ASSERT_GT(epoch_before, 0U);
-    region.slow_down(leader_of(region), 5.0, 20'000);
+    region.slow_down(leader_index(region), 5.0, 20'000);
     region.run_until(region.now() + 30'000);
     std::printf("epoch %llu before, %llu after\n", static_cast<unsigned long long>(epoch_before),
                 static_cast<unsigned long long>(current_epoch(region)));
@@ -154,7 +154,7 @@
     submit_burst(region, seed);
     region.run_until(kFleetFullMs);
     slow_down_all(region, kSlowFactor, kSlowMs);
-    region.kill(leader_of(region), 1'000);
+    region.kill(leader_index(region), 1'000);
     region.run_until(region.now() + 60'000);
     const std::uint64_t epoch_before = current_epoch(region);
     region.run_until(region.now() + 60'000);
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -8,7 +8,7 @@
 namespace sailreel::sim {
 
 /// A plan of two minutes without planned jobs or faults.
-inline SimulationPlan quiet(std::uint64_t seed) {
+inline SimulationPlan plan_without_faults(std::uint64_t seed) {
   SimulationPlan plan;
   plan.seed = seed;
   plan.jobs = 0;
@@ -19,7 +19,7 @@
 
 /// An array whose tasks need one GPU each, run for half to one and a half times `run_s`, and may
 /// run on spot machines.
-inline JobSpec array(const std::string& id, std::uint32_t tasks, double run_s) {
+inline JobSpec array_job(const std::string& id, std::uint32_t tasks, double run_s) {
   JobSpec spec;
   spec.id = id;
   spec.job_class = "batch";
@@ -34,8 +34,8 @@
 }
 
 /// A production service whose replicas need one GPU each and don't run on spot machines.
-inline JobSpec service(const std::string& id, std::uint32_t tasks) {
-  JobSpec spec = array(id, tasks, 0);
+inline JobSpec service_job(const std::string& id, std::uint32_t tasks) {
+  JobSpec spec = array_job(id, tasks, 0);
   spec.kind = JobKind::Service;
   spec.priority = Priority::Production;
   spec.spot = false;
@@ -43,8 +43,8 @@
 }
 
 /// A gang whose tasks need `cpus` CPUs each. A machine of the sample deployment has 16.
-inline JobSpec gang(const std::string& id, std::uint32_t tasks, double cpus, double run_s) {
-  JobSpec spec = array(id, tasks, run_s);
+inline JobSpec gang_job(const std::string& id, std::uint32_t tasks, double cpus, double run_s) {
+  JobSpec spec = array_job(id, tasks, run_s);
   spec.kind = JobKind::Gang;
   spec.job_class = "gang";
   spec.priority = Priority::Normal;
@@ -56,10 +56,10 @@
   return spec;
 }
 
-/// A named case of a parameterized test: `play` runs the middle part of a simulation.
+/// A named case of a parameterized test: `run` runs the middle part of a simulation.
 struct Scenario {
   const char* name;
-  std::function<void(SimulatedRegion&, std::uint64_t seed)> play;
+  std::function<void(SimulatedRegion&, std::uint64_t seed)> run;
   Time boots_ms = 0;
 };
 // NOLINTNEXTLINE(readability-identifier-naming): GoogleTest looks for this name
@@ -77,8 +77,8 @@
                               std::uint64_t seed) {
   pcg32 random(seed * 77 + first);
   for (std::size_t n = first; n < first + count; ++n) {
-    JobSpec spec = n % 2 == 0 ? service(job_id(n), 1 + random(2))
-                              : array(job_id(n), 1 + random(3), 6 + random(50));
+    JobSpec spec = n % 2 == 0 ? service_job(job_id(n), 1 + random(2))
+                              : array_job(job_id(n), 1 + random(3), 6 + random(50));
     spec.team = n % 3 == 0 ? "blue" : "red";
     spec.image = "img-" + std::to_string(random(3));
     spec.priority = spec.kind == JobKind::Array ? Priority::Low : static_cast<Priority>(random(2));
@@ -91,13 +91,13 @@
 }
 
 /// The node that leads; the first node if none does.
-inline std::size_t leader_of(const SimulatedRegion& region) {
+inline std::size_t leader_index(const SimulatedRegion& region) {
   return static_cast<std::size_t>(std::max(0, region.leader()));
 }
 
 /// Checks, at the end of a simulation, that no rule was broken and that all jobs that end by
 /// themselves are over.
-inline void expect_nothing_left(SimulatedRegion& region, std::uint64_t seed) {
+inline void expect_rules_kept_and_nothing_left(SimulatedRegion& region, std::uint64_t seed) {
   region.checker().check_end_and_service();
   EXPECT_TRUE(region.checker().violations().empty())
       << "seed " << seed << " " << region.checker().summary();
@@ -113,14 +113,14 @@
   region.faults_ended();
   for (std::size_t n = 0; n < jobs; n += 4) region.cancel(job_id(n));
   region.run_until(region.now() + 160'000);
-  expect_nothing_left(region, seed);
+  expect_rules_kept_and_nothing_left(region, seed);
 }
 
 /// The machines that hold tasks according to the present leader, which has heard from them.
 inline std::vector<std::string> busy_machines(const SimulatedRegion& region) {
   std::vector<std::string> out;
   if (region.leader() < 0) return out;
-  for (const auto& [name, machine] : region.controller(leader_of(region))->tables().machines)
+  for (const auto& [name, machine] : region.controller(leader_index(region))->tables().machines)
     if (machine->heard_in_epoch && !machine->empty()) out.push_back(name);
   return out;
 }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -15,11 +15,11 @@
 constexpr Time kFirstUpgradeMs = 55'000, kUpgradeIntervalMs = 12'000, kDowntimeMs = 3'000;
 
 SimulationPlan upgrade_plan(std::uint64_t seed) {
-  SimulationPlan plan = quiet(seed);
+  SimulationPlan plan = plan_without_faults(seed);
   plan.length = 600'000;
-  plan.next_value_kb = 2;
-  plan.next_txn_ops = 5;
-  plan.next_write_rps = 20;
+  plan.lowered_value_kb = 2;
+  plan.lowered_txn_ops = 5;
+  plan.lowered_write_rps = 20;
   plan.make_production_controller = make_production_controller;
   return plan;
 }
@@ -51,20 +51,20 @@
       region.run_until(region.now() + kUpgradeIntervalMs);
     }
     region.run_until(region.now() + 10'000);
-    region.lower_limits();
+    region.lower_store_limits();
     submit_mixed_jobs(region, 100, 12, seed);
     for (std::size_t n = 200; n < 206; ++n) {
-      JobSpec spec = gang(job_id(n), 2 + n % 5, 3, 10);
+      JobSpec spec = gang_job(job_id(n), 2 + n % 5, 3, 10);
       spec.one_zone = n % 2 == 0;
       region.submit(spec);
     }
     region.run_until(region.now() + 5'000);
-    region.kill(leader_of(region), 4'000);
+    region.kill(leader_index(region), 4'000);
     region.run_until(region.now() + 60'000);
     region.faults_ended();
     for (std::size_t n = 0; n < 40; n += 3) region.cancel(job_id(n));
     region.run_until(region.now() + 150'000);
-    expect_nothing_left(region, seed);
+    expect_rules_kept_and_nothing_left(region, seed);
     ++seed;
   } while (std::next_permutation(order.begin(), order.end()));
 }
@@ -72,14 +72,14 @@
 const UpgradeFault kFaults[] = {{"NoFault", [](SimulatedRegion&, int) {}},
                                 {"TheLeaderRestartsWithoutAnUpgrade",
                                  [](SimulatedRegion& region, int) {
-                                   region.kill(leader_of(region), 500);
+                                   region.kill(leader_index(region), 500);
                                    region.run_until(region.now() + 4'000);
-                                   region.kill(leader_of(region), 300);
+                                   region.kill(leader_index(region), 300);
                                    region.run_until(region.now() + 3'000);
                                  }},
                                 {"TheLeaderIsFrozen",
                                  [](SimulatedRegion& region, int) {
-                                   region.freeze(leader_of(region), 6'000);
+                                   region.freeze(leader_index(region), 6'000);
                                    region.run_until(region.now() + 3'000);
                                  }},
                                 {"TheKeyValueStoreRejectsOneController",
@@ -109,7 +109,7 @@
                                    region.delay_heartbeats(0.3, 6'000);
                                    region.cancel_running_jobs(3, 0);
                                    region.run_until(region.now() + 500);
-                                   region.kill(leader_of(region), 2'000);
+                                   region.kill(leader_index(region), 2'000);
                                    region.run_until(region.now() + 500);
                                  }},
                                 {"CancelledByOneVersionAndEnforcedByTheOther",
@@ -132,12 +132,12 @@
 TEST(Upgrade, LimitsFallAtAnyStepAfterwardsWithLargeValuesStored) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     SimulationPlan plan = upgrade_plan(seed * 5);
-    plan.next_value_kb = seed % 2 == 0 ? 2 : 1;
-    plan.next_txn_ops = seed % 4 < 2 ? 5 : 3;
+    plan.lowered_value_kb = seed % 2 == 0 ? 2 : 1;
+    plan.lowered_txn_ops = seed % 4 < 2 ? 5 : 3;
     SimulatedRegion region(plan);
     region.run_until(1'000);
     submit_mixed_jobs(region, 0, 90, seed);
-    JobSpec large = array("job-900", 9'000, 1);
+    JobSpec large = array_job("job-900", 9'000, 1);
     large.need = {0.03, 0, 0.01};
     if (seed % 4 == 0) region.submit(large);
     region.run_until(kFirstUpgradeMs);
@@ -148,9 +148,9 @@
       if (node < 2) region.run_until(region.now() + kUpgradeIntervalMs);
     }
     region.run_until(region.now() + kDowntimeMs + 50 * static_cast<Time>(seed));
-    region.lower_limits();
+    region.lower_store_limits();
     region.run_until(region.now() + 200 * static_cast<Time>(seed));
-    region.kill(leader_of(region), 2'000);
+    region.kill(leader_index(region), 2'000);
     region.run_until(region.now() + 20'000);
     submit_mixed_jobs(region, 200, 20, seed);
     for (std::size_t n = 0; n < 90; n += 2) region.cancel(job_id(n));
@@ -169,13 +169,13 @@
 TEST(Upgrade, GangsAreNotForwardedToAnOlderLeader) {
   SimulatedRegion region(upgrade_plan(4));
   region.run_until(2'000);
-  const std::size_t leader = leader_of(region);
+  const std::size_t leader = leader_index(region);
   const std::size_t other = (leader + 1) % 3;
   region.upgrade(other, kDowntimeMs);
   region.run_until(15'000);
-  ASSERT_EQ(leader_of(region), leader);
+  ASSERT_EQ(leader_index(region), leader);
   int status = 0;
-  JobSpec spec = gang("job-1", 3, 2, 10);
+  JobSpec spec = gang_job("job-1", 3, 2, 10);
   region.submit_at(spec, other, [&status](int s) { status = s; });
   region.run_until(16'000);
   EXPECT_EQ(status, 503);
@@ -191,9 +191,9 @@
   region.kill(0, 8'000);
   region.run_until(25'000);
   int status = 0;
-  region.submit(gang("job-1", 3, 2, 10));
+  region.submit(gang_job("job-1", 3, 2, 10));
   region.run_until(25'500);
-  region.send_request_then("job-1", leader_of(region), RequestOp::Submit,
+  region.send_request_then("job-1", leader_index(region), RequestOp::Submit,
                            [&status](int s) { status = s; });
   region.run_until(26'000);
   EXPECT_EQ(status, 503);
@@ -205,7 +205,7 @@
   // be heard after a restart.
   for (std::size_t i = 0; i < 3; ++i) region.kill(i, i == 2 ? 60'000 : 1'000);
   region.run_until(75'000);
-  region.submit(gang("job-2", 3, 2, 10));
+  region.submit(gang_job("job-2", 3, 2, 10));
   region.run_until(100'000);
   EXPECT_GT(region.gang_starts("job-2"), 0U);
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
--- a/tests/work_cost_test.cpp
+++ b/tests/work_cost_test.cpp
@@ -27,7 +27,7 @@
     region_.run_until(kSubmitMs);
     meter_->reset();
     for (std::size_t n = 0; n < kJobs; ++n) {
-      JobSpec spec = service(job_id(n), kTasksPerJob);
+      JobSpec spec = service_job(job_id(n), kTasksPerJob);
       spec.team = n % 2 == 0 ? "blue" : "red";
       spec.image = "img-" + std::to_string(n % 5);
       region_.submit(spec);
@@ -49,7 +49,7 @@
 
  private:
   SimulationPlan plan() {
-    SimulationPlan plan = quiet(11);
+    SimulationPlan plan = plan_without_faults(11);
     plan.scale = 8;
     plan.boot_ms = 4'000;
     plan.loss = plan.late_heartbeat_copies = 0;
@@ -129,13 +129,14 @@
   undisturbed.run_idle();
   expect_at_most("quiet second", undisturbed.meter().total(), kSeconds, {710, 0.05});  // 568, 0
   MeteredSimulation failover;
-  failover.run_with_event([](SimulatedRegion& region) { region.kill(leader_of(region), 2'000); });
+  failover.run_with_event(
+      [](SimulatedRegion& region) { region.kill(leader_index(region), 2'000); });
   expect_at_most("second with a failover", failover.meter().total(), kSeconds,
                  {800, 6});  // 640, 4.0
   MeteredSimulation outage;
   outage.run_with_event([](SimulatedRegion& region) {
     region.kv_store_outage(kMeasuredMs);
-    for (std::size_t n = kJobs; n < 2 * kJobs; ++n) region.submit(service(job_id(n), 1));
+    for (std::size_t n = kJobs; n < 2 * kJobs; ++n) region.submit(service_job(job_id(n), 1));
   });
   expect_at_most("second with an outage", outage.meter().total(), kSeconds,
                  {1'300, 0.05});  // 1,009, 0
