--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -97,7 +97,7 @@
   void handle_peer_heartbeat(std::size_t peer, const ControllerHeartbeat& heartbeat);
   void send_heartbeats();
 
-  // intake.cpp
+  // user_requests.cpp
   void handle_user_request(const UserRequest& request);
   void lead_submit(const UserRequest& request);
   void lead_query(const UserRequest& request);
@@ -133,7 +133,7 @@
   void respond_committed(const RequestSource& source, int status, const Job& job);
   void finalize_if_over(Job& job);
 
-  // share_moves.cpp
+  // share_actions.cpp
   void share_tick();
   void handle_region_message(const RegionMessageReceived& input);
   void perform_share_actions(std::vector<federation::ShareAction> actions);
--- a/tests/scale_test.sh
+++ b/tests/scale_test.sh
@@ -20,7 +20,7 @@
   ! pgrep -f -- "--directory $work/run" > /dev/null || fail "regions' processes are still running"
 }
 
-plays_to_its_end() {
+runs_to_completion() {
   "$scale" --plan "$plans/small.textproto" --report "$work/report.json" --directory "$work/run" \
     > "$work/table" || { cat "$work/table"; fail "the run didn't exit with status 0"; }
   cat "$work/table"
@@ -59,10 +59,10 @@
   grep -q nothing_ran "$work/table" || fail "the table doesn't name nothing_ran"
 }
 
-leaves_nothing_behind_when_ended() { leaves_nothing_behind_after TERM; }
-leaves_nothing_behind_when_killed() { leaves_nothing_behind_after KILL; }
+leaves_no_process_when_terminated() { leaves_no_process_after TERM; }
+leaves_no_process_when_killed() { leaves_no_process_after KILL; }
 
-leaves_nothing_behind_after() {
+leaves_no_process_after() {
   "$scale" --plan "$plans/small.textproto" --directory "$work/run" > "$work/table" &
   local pid=$! status=0
   for _ in $(seq 100); do
