--- a/src/controller/actions.hpp
+++ b/src/controller/actions.hpp
@@ -91,7 +91,7 @@
   CloudRequest request;
   Time timeout_ms = 0;
 };
-/// Sends a command or an inquiry directly to a worker, but not at or after `valid_until`. `call`
+/// Sends a command or a probe directly to a worker, but not at or after `valid_until`. `call`
 /// identifies the response.
 struct CallWorker {
   std::uint64_t call = 0;
--- a/src/controller/capacity_check.hpp
+++ b/src/controller/capacity_check.hpp
@@ -12,7 +12,7 @@
 /// The number of a controller's sockets that each use may take.
 struct SocketShares {
   std::size_t services = 0;      // to the key-value store and the cloud
-  std::size_t worker_calls = 0;  // to workers, for direct commands and inquiries
+  std::size_t worker_calls = 0;  // to workers, for direct commands and probes
   std::size_t links = 0;         // with other controllers, in both directions
   std::size_t server = 0;        // from users and workers
 };
--- a/src/controller/checkpoint_outcomes.cpp
+++ b/src/controller/checkpoint_outcomes.cpp
@@ -58,7 +58,7 @@
     for (std::size_t i = 0; i * kSmallPieceBits < job.spec().tasks; ++i) job.dirty_pieces.insert(i);
 }
 
-// The job's last record is committed. Only a summary of the finished job is kept.
+// Called once the job's last record is committed. Keeps only a summary of the finished job.
 void Controller::job_finished(Job& job) {
   const std::string id = job.spec().id;
   const bool done = job.record.phase == Phase::Done;
--- a/src/controller/checkpoint_writer.cpp
+++ b/src/controller/checkpoint_writer.cpp
@@ -185,7 +185,7 @@
       KvUrgency::Urgent);
 }
 
-// The store rejects the commit as too large, although it is within the known limits.
+// Handles a commit that the store rejects as too large although it is within the known limits.
 void CheckpointWriter::handle_rejected_commit() {
   std::size_t largest = 0;
   std::string key;
@@ -211,9 +211,9 @@
   check_commit_outcome();
 }
 
-// The store was not reached, or could not report the outcome of the commit. Waiting requests are
-// rejected at once, so that clients retry. The commit is repeated nevertheless, and a client's
-// retry finds what it has written.
+// Handles a commit that did not reach the store, or whose outcome the store could not report.
+// Waiting requests are rejected at once, so that clients retry. The commit is repeated
+// nevertheless, and a client's retry finds what it has written.
 void CheckpointWriter::handle_unanswered_commit(int status) {
   commit_retry_at_ = clock_.now + (status == 0 ? 0 : kRetryAfterErrorMs);
   for (auto* responses : {&commit_.pending_responses, &pending_responses_}) {
@@ -285,7 +285,7 @@
     }
 }
 
-// The end of these tasks is committed, so their workers may forget them.
+// Marks the end of these tasks as committed, so that their workers may forget them.
 void CheckpointWriter::mark_finished_tasks_committed(const std::vector<FinishedTask>& finished) {
   for (const FinishedTask& task : finished)
     if (Machine* machine = tables_.machine(task.machine))
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -536,7 +536,7 @@
 
   // reconciliation
   bool reconciling_ = false;
-  /// By then, every task that a former leader kept alive has ended.
+  /// The time by which every task that a former leader kept alive has certainly ended.
   Time former_leases_expire_at_ = 0;
   std::uint64_t next_attempt_ = 1;
   /// Whether checkpoint values that hold jobs or machines could not be read: jobs or machines that
--- a/src/controller/failure_detection.cpp
+++ b/src/controller/failure_detection.cpp
@@ -22,9 +22,9 @@
   if (lost_contact_with_workers(contact)) return election_.resign(StepDownCause::NoWorkerReachable);
   const bool few_are_silent = machines_likely_at_fault(contact.silent, contact.up);
   for (auto& [name, machine] : tables_.machines) watch_machine(*machine, few_are_silent);
-  // This comes before the inquiries to silent machines, because it sends an inquiry to one
-  // responding machine of each zone. With few sockets, inquiries to machines that don't respond
-  // would leave none for it.
+  // `detect_dead_machines` runs before silent machines are probed, because it probes one responding
+  // machine of each zone. With few sockets, probes of machines that don't respond would leave none
+  // for it.
   if (holds_valid_lease(clock_.now) && contact.silent > 0) detect_dead_machines();
 }
 
@@ -92,7 +92,7 @@
     terminate_instance(machine, TerminationCause::LeaseExpired);
 }
 
-// Terminates machines that neither send heartbeats nor respond to inquiries, while others of their
+// Terminates machines that neither send heartbeats nor respond to probes, while others of their
 // zone respond: such a machine is most likely dead. Terminating it proves that its tasks are gone,
 // sooner than lease expiry would. If no machine of the zone is reached, the fault is more likely
 // the network between this controller and the zone, and lease expiry is awaited: a rule by the
@@ -146,7 +146,7 @@
       if (few_are_silent && zone.up == 1) terminate_instance(*machine, cause);
     } else if (reached_at >
                (machine->heard_in_epoch ? machine->silent_since : election_.elected_at())) {
-      // Only a failed inquiry that was sent after the zone was reached counts. An earlier one may
+      // Only a failed probe that was sent after the zone was reached counts. An earlier one may
       // have failed just before a partition ended that was over for other machines already.
       const bool few_of_zone =
           zone.silent == 1 || zone.silent * kMinMachinesPerDeadMachine <= zone.up;
--- a/src/controller/gang_scheduling.cpp
+++ b/src/controller/gang_scheduling.cpp
@@ -215,7 +215,7 @@
   return zones;
 }
 
-// Called for a gang that doesn't fit. Instances are requested and tasks are preempted only for the
+// Requests instances and preempts tasks for a gang that doesn't fit. Both are done only for the
 // missing tasks; if all tasks have to be in one zone, in the zone where the fewest are missing. If
 // other tasks of the gang are already placed, nothing is preempted or reserved.
 //
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -78,7 +78,7 @@
 // Rejects a heartbeat of an incarnation that is proved to have ended. Without this check,
 // heartbeats that the network has delayed would be taken for current, and tasks that were
 // rescheduled would be adopted again in their former zone (docs/incidents/held-reports.md). If the
-// proof is wrong, the worker's response to the inquiry that is sent here shows it.
+// proof is wrong, the worker's response to the probe that is sent here shows it.
 void Controller::reject_heartbeat(const HeartbeatReceived& input, Machine& machine) {
   const Heartbeat& heartbeat = input.heartbeat;
   outbox_.log(Log::Level::Info, LogEvent::HeartbeatRejected,
@@ -179,7 +179,8 @@
   handle_incarnation_loss(machine, IncarnationLossCause::NewIncarnation);
 }
 
-// Notes the machine's address, and has a machine that isn't in the checkpoint recorded there.
+// Records the machine's address, and adds a machine that isn't in the checkpoint to the next
+// commit.
 void Controller::record_address(Machine& machine, const std::string& address) {
   if (machine.address != address) {
     machine.address = address;
@@ -193,7 +194,7 @@
 void Controller::record_heartbeat(Machine& machine, const Heartbeat& heartbeat) {
   const Time now = clock_.now;
   tables_.set_size_from_type(machine);
-  // A response to an inquiry renews no lease. If the incarnation is new to this controller, or its
+  // A response to a probe renews no lease. If the incarnation is new to this controller, or its
   // lease has expired by this controller's calculation, the remaining time is unknown and a full
   // lease is assumed. Otherwise a recovered machine would be terminated at its first silence, as if
   // its old lease still counted. A full lease is assumed only once until the machine sends a
--- a/src/controller/image_fetches.cpp
+++ b/src/controller/image_fetches.cpp
@@ -56,9 +56,10 @@
                {"votes", fetch_votes_}});
 }
 
-// How many images a machine may fetch at the same time. If concurrent fetches share the rate,
-// fetching one image after the other finishes the last one no later and the first one sooner. While
-// that is unknown, two concurrent fetches are allowed, because only concurrent fetches show it.
+// Returns how many images a machine may fetch at the same time. If concurrent fetches share the
+// rate, fetching one image after the other finishes the last one no later and the first one sooner.
+// While that is unknown, two concurrent fetches are allowed, because only concurrent fetches show
+// it.
 std::size_t Controller::fetch_limit() const {
   return fetch_votes_ > 0 ? 1 : fetch_votes_ < 0 ? 8 : 2;
 }
--- a/src/controller/outbox.hpp
+++ b/src/controller/outbox.hpp
@@ -57,7 +57,7 @@
                      KvUrgency urgency = KvUrgency::WithinBudget);
   /// Sends a request to the cloud. Returns false, without sending it, if the budget is used up.
   bool call_cloud(CloudRequest request, CloudContinuation continuation, CloudBudget budget);
-  /// Sends a command or an inquiry directly to a worker, but not at or after `valid_until`.
+  /// Sends a command or a probe directly to a worker, but not at or after `valid_until`.
   void call_worker(const std::string& address, std::string body, Time valid_until,
                    WorkerContinuation continuation);
   /// Whether all sockets that are set aside for direct calls to workers are in use.
--- a/src/controller/peer_table.hpp
+++ b/src/controller/peer_table.hpp
@@ -77,7 +77,7 @@
   /// Whether the latest heartbeat of every peer says that it supports gangs. A peer that has ended
   /// since is assumed to come back with the same version or a later one.
   [[nodiscard]] bool all_understand_gangs() const;
-  /// The same for quota shares between regions.
+  /// Whether the latest heartbeat of every peer says that it supports quota shares between regions.
   [[nodiscard]] bool all_support_quota_shares() const;
   /// Returns the latest time (ms) at which any peer may have answered a worker's heartbeat by
   /// itself.
--- a/src/controller/placement.cpp
+++ b/src/controller/placement.cpp
@@ -22,7 +22,7 @@
 // True if tasks can be started on the machine.
 bool Controller::can_start_tasks(const Machine& machine) const {
   // Starts are sent only in the responses to a machine's own heartbeats. If a machine that answers
-  // inquiries but reaches no controller itself were usable, waiting tasks would be placed on it
+  // probes but reaches no controller itself were usable, waiting tasks would be placed on it
   // again and again without being started.
   return machine.heard_in_epoch && machine.size_known && !machine.cordoned &&
          !machine.terminating && !machine.silent && clock_.now >= machine.quarantined_until &&
--- a/src/controller/preemption.cpp
+++ b/src/controller/preemption.cpp
@@ -333,7 +333,7 @@
 }
 
 // Returns a machine to which a running replica can migrate, or null: one that holds its image and
-// has room for it in addition to the room in `promised` and the migrations of the plan so far.
+// has room for it in addition to the room in `reservations` and the migrations of the plan so far.
 Machine* Controller::find_migration_target(const TaskAttempt& attempt, const Machine& from,
                                            const Reservations& reservations,
                                            const std::vector<PlannedMigration>& plan) {
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -138,8 +138,9 @@
   // The age comes from the stored wall-clock time of submission. Controllers' wall clocks may
   // differ a little, so a negative age counts as 0.
   job.accepted = clock_.now - std::max<Time>(0, clock_.wall_ms - job.record.submitted_wall_ms);
-  // Tasks at or above `started` were never sent to a machine and stay queued. Tasks below it that
-  // aren't done may be running, so they are unknown until reconciliation ends.
+  // Tasks with an index of `committed_started` or above were never sent to a machine and stay
+  // queued. Tasks below it that aren't done may be running, so they are unknown until
+  // reconciliation ends.
   for (std::uint32_t i = 0; i < std::min(job.committed_started, job.spec().tasks); ++i) {
     Task& task = job.tasks[i];
     if (task.state != TaskState::Queued) continue;
