--- a/src/controller/autoscaler.cpp
+++ b/src/controller/autoscaler.cpp
@@ -350,15 +350,15 @@
   const MachineType* type = tables_.type(pool.kind.type);
   if (type == nullptr) return;
   const double needed = std::ceil(machines_for(total, type->size) - kMinMachineFraction);
-  double& coming = supply.pending_in_zone[pool];
-  if (needed > coming && may_scale_out(pool.kind, pool.zone)) {
-    const auto missing = static_cast<std::uint32_t>(needed - coming);
+  double& pending_machines = supply.pending_in_zone[pool];
+  if (needed > pending_machines && may_scale_out(pool.kind, pool.zone)) {
+    const auto missing = static_cast<std::uint32_t>(needed - pending_machines);
     scale_out(pool.kind, pool.zone, missing);
     supply.by_zone[pool.kind][pool.zone] += static_cast<int>(missing);
     supply.pending[pool.kind] += missing;
-    coming += missing;
+    pending_machines += missing;
   }
-  supply.pending[pool.kind] -= std::min(needed, coming);
+  supply.pending[pool.kind] -= std::min(needed, pending_machines);
 }
 
 // Launches the missing machines, each in the zone that has the fewest machines of that kind. Zones
@@ -370,20 +370,20 @@
   const double machines = machines_for(total, type->size);
   int missing = static_cast<int>(std::ceil(machines - kMinMachineFraction)) -
                 static_cast<int>(supply.pending[kind]);
-  std::map<std::string, std::uint32_t> split;
-  auto& have = supply.by_zone[kind];
+  std::map<std::string, std::uint32_t> launches_by_zone;
+  auto& machines_by_zone = supply.by_zone[kind];
   for (; missing > 0; --missing) {
     const std::string* zone = nullptr;
     for (const std::string& other : type->zones)
       if (may_scale_out(kind, other) &&
-          (zone == nullptr || std::pair(zone_unreachable(other), have[other]) <
-                                  std::pair(zone_unreachable(*zone), have[*zone])))
+          (zone == nullptr || std::pair(zone_unreachable(other), machines_by_zone[other]) <
+                                  std::pair(zone_unreachable(*zone), machines_by_zone[*zone])))
         zone = &other;
     if (zone == nullptr) break;
-    ++have[*zone];
-    ++split[*zone];
+    ++machines_by_zone[*zone];
+    ++launches_by_zone[*zone];
   }
-  for (const auto& [zone, count] : split) scale_out(kind, zone, count);
+  for (const auto& [zone, count] : launches_by_zone) scale_out(kind, zone, count);
 }
 
 // Records scale-out requests. Each is sent to the cloud once its record is committed to the
--- a/src/controller/checkpoint_writer.cpp
+++ b/src/controller/checkpoint_writer.cpp
@@ -29,31 +29,31 @@
       listener_(environment.listener),
       shards_(max_value_bytes(kValueFill)) {}
 
-void CheckpointWriter::load(const Snapshot& image) {
-  manifest_seq_ = image.manifest.seq;
-  manifest_version_ = image.manifest_version;
-  load_shards(image);
-  features_written_ = image.features.gangs;
-  gangs_enabled_ = gangs_enabled_ || image.features.gangs;
+void CheckpointWriter::load(const Snapshot& checkpoint) {
+  manifest_seq_ = checkpoint.manifest.seq;
+  manifest_version_ = checkpoint.manifest_version;
+  load_shards(checkpoint);
+  features_written_ = checkpoint.features.gangs;
+  gangs_enabled_ = gangs_enabled_ || checkpoint.features.gangs;
   scale_outs_changed_ = true;
 }
 
 // A shard that is larger than the limits allow to be written, because it was written under higher
 // limits, is not written again, so that its records stay readable. A job of such a shard is
 // assigned another shard when it changes.
-void CheckpointWriter::load_shards(const Snapshot& image) {
+void CheckpointWriter::load_shards(const Snapshot& checkpoint) {
   shards_ = JobShards(max_value_bytes(kValueFill));
-  for (const std::string& key : image.unreadable)
+  for (const std::string& key : checkpoint.unreadable)
     if (const auto shard = shard_number(key)) shards_.close(*shard);
-  for (const auto& [shard, bytes] : image.shard_bytes)
+  for (const auto& [shard, bytes] : checkpoint.shard_bytes)
     if (bytes > max_value_bytes(kShardGrowthFill)) shards_.close(shard);
-  for (const auto& [id, shard] : image.shard_of) {
-    const JobRecord& record = image.jobs.at(id);
+  for (const auto& [id, shard] : checkpoint.shard_of) {
+    const JobRecord& record = checkpoint.jobs.at(id);
     shards_.add(id, shard, record_reserve(record.final, encode_record(record).size()));
   }
   recent_records_.clear();
-  for (const std::string& id : image.manifest_jobs)
-    recent_records_[id] = encode_record(image.jobs.at(id));
+  for (const std::string& id : checkpoint.manifest_jobs)
+    recent_records_[id] = encode_record(checkpoint.jobs.at(id));
 }
 
 void CheckpointWriter::reset() {
--- a/src/controller/checkpoint_writer.hpp
+++ b/src/controller/checkpoint_writer.hpp
@@ -98,9 +98,9 @@
   CheckpointWriter& operator=(const CheckpointWriter&) = delete;
 
   /// Starts from the checkpoint that a new leader has read. Must be called before the jobs are
-  /// moved out of `image`. The next commit is due at once, so that the manifest contains the new
-  /// epoch before anything depends on it.
-  void load(const Snapshot& image);
+  /// moved out of `checkpoint`. The next commit is due at once, so that the manifest contains the
+  /// new epoch before anything depends on it.
+  void load(const Snapshot& checkpoint);
   /// Called when leadership has ended. Rejects all waiting requests, and discards all changes and
   /// the commit in flight. Keeps the count of rejected commits, because the limits of the store
   /// hold for the next term too.
@@ -197,7 +197,7 @@
   [[nodiscard]] bool commit_is_urgent() const;
   [[nodiscard]] bool image_hints_due();
   [[nodiscard]] bool is_leader_in_term(std::uint64_t term) const;
-  void load_shards(const Snapshot& image);
+  void load_shards(const Snapshot& checkpoint);
   void send_commit_in_flight();
   void handle_commit_response(const KvResponse& response);
   void handle_unanswered_commit(int status);
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -145,12 +145,12 @@
   if (now - last_healthy_at_ < worker_lease() / 2) return true;
   // If no peer is better connected, as in an outage of the key-value store, removal from the list
   // helps nobody: it only leaves users without any controller for seconds after the outage ends.
-  bool heard = false;
+  bool any_peer_in_contact = false;
   for (std::size_t i = 0; i < peers_.size(); ++i) {
     if (peers_.reaches_leader(i, clock_.now)) return false;
-    heard = heard || peers_.in_contact(i, clock_.now);
+    any_peer_in_contact = any_peer_in_contact || peers_.in_contact(i, clock_.now);
   }
-  return heard;
+  return any_peer_in_contact;
 }
 
 }  // namespace sailreel
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -115,7 +115,7 @@
   void respond_unknown(const RequestSource& source, bool unreadable, Time valid_until);
   void refresh_snapshot();
   void list_snapshot_keys(const std::string& from, std::uint64_t revision);
-  void finish_lookups(bool ok);
+  void finish_lookups(bool succeeded);
   [[nodiscard]] JobView view(const Job& job) const;
   [[nodiscard]] JobView view(const std::string& id, const FinishedJob& job) const;
   void respond_with_job(const RequestSource& source, int status, const JobView& view);
@@ -166,39 +166,40 @@
     UnknownMachine       // it reports tasks on an unknown machine, which cannot have any
   };
   /// Processes a heartbeat, or the status in the response to a direct request that was sent at
-  /// `asked` (ms); `asked` is empty for a heartbeat.
-  HeartbeatOutcome apply_heartbeat(const Heartbeat& heartbeat, std::optional<Time> asked);
-  [[nodiscard]] static bool is_late(const Machine& m, const Heartbeat& r);
-  void reject_heartbeat(const HeartbeatReceived& in, Machine& m);
+  /// `sent_at` (ms); `sent_at` is empty for a heartbeat.
+  HeartbeatOutcome apply_heartbeat(const Heartbeat& heartbeat, std::optional<Time> sent_at);
+  [[nodiscard]] static bool is_late(const Machine& machine, const Heartbeat& heartbeat);
+  void reject_heartbeat(const HeartbeatReceived& input, Machine& machine);
   [[nodiscard]] bool unknown_with_tasks(const Heartbeat& heartbeat);
-  void apply_first_heartbeat(Machine& m, const Heartbeat& r);
-  void begin_incarnation(Machine& m);
-  void record_address(Machine& m, const std::string& address);
-  void record_heartbeat(Machine& m, const Heartbeat& r);
-  void handle_spot_notice(Machine& m, double notice_s);
+  void apply_first_heartbeat(Machine& machine, const Heartbeat& heartbeat);
+  void begin_incarnation(Machine& machine);
+  void record_address(Machine& machine, const std::string& address);
+  void record_heartbeat(Machine& machine, const Heartbeat& heartbeat);
+  void handle_spot_notice(Machine& machine, double notice_s);
 
   // task_status_handler.cpp
-  void handle_missing_task(Machine& m, std::size_t index, std::uint64_t heartbeat_seq, bool direct);
-  void drop_attempt(Machine& m, std::size_t index);
-  void drop_unsent_on_machine(Machine& m);
-  void quarantine(Machine& m, QuarantineCause cause);
-  void handle_incarnation_loss(Machine& m, IncarnationLossCause cause);
-  void apply_task_status(Machine& m, const TaskStatus& t, std::vector<bool>& seen);
-  TaskAttempt& adopt_attempt(Machine& m, const TaskStatus& t);
-  TaskAttempt& add_orphan(Machine& m, const TaskStatus& t, Job* job);
-  void update_attempt_state(Machine& m, TaskAttempt& p, AttemptState state);
-  void handle_task_exit(Machine& m, TaskAttempt& p);
-  void handle_task_error(Job& job, Machine& m);
-  void check_for_fault(Machine& m);
-  std::vector<Command> commands_for(Machine& m, std::uint64_t heartbeat_seq);
+  void handle_missing_task(Machine& machine, std::size_t index, std::uint64_t heartbeat_seq,
+                           bool direct);
+  void drop_attempt(Machine& machine, std::size_t index);
+  void drop_unsent_on_machine(Machine& machine);
+  void quarantine(Machine& machine, QuarantineCause cause);
+  void handle_incarnation_loss(Machine& machine, IncarnationLossCause cause);
+  void apply_task_status(Machine& machine, const TaskStatus& status, std::vector<bool>& reported);
+  TaskAttempt& adopt_attempt(Machine& machine, const TaskStatus& status);
+  TaskAttempt& add_orphan(Machine& machine, const TaskStatus& status, Job* job);
+  void update_attempt_state(Machine& machine, TaskAttempt& attempt, AttemptState state);
+  void handle_task_exit(Machine& machine, TaskAttempt& attempt);
+  void handle_task_error(Job& job, Machine& machine);
+  void check_for_fault(Machine& machine);
+  std::vector<Command> commands_for(Machine& machine, std::uint64_t heartbeat_seq);
   static std::string zones_known(const Job& job);
-  void handle_machine_gone(Machine& m, IncarnationLossCause cause);
-  void record_completed_task(Job& job, std::uint32_t index, const Machine& m);
+  void handle_machine_gone(Machine& machine, IncarnationLossCause cause);
+  void record_completed_task(Job& job, std::uint32_t index, const Machine& machine);
 
   // image_fetches.cpp
-  void record_image_held(Machine& m, const JobSpec& spec);
-  void record_fetch_started(Machine& m, const JobSpec& spec);
-  void record_fetch_finished(Machine& m, const std::string& image);
+  void record_image_held(Machine& machine, const JobSpec& spec);
+  void record_fetch_started(Machine& machine, const JobSpec& spec);
+  void record_fetch_finished(Machine& machine, const std::string& image);
   [[nodiscard]] std::size_t fetch_limit() const;
 
   // failure_detection.cpp
@@ -210,10 +211,10 @@
   void machine_tick();
   [[nodiscard]] FleetContact fleet_contact() const;
   [[nodiscard]] bool lost_contact_with_workers(const FleetContact& contact) const;
-  void watch_machine(Machine& m, bool few_are_silent);
+  void watch_machine(Machine& machine, bool few_are_silent);
   [[nodiscard]] Time silent_after() const;
   [[nodiscard]] Time unheard_after() const;
-  [[nodiscard]] static bool machines_likely_at_fault(std::size_t silent, std::size_t of);
+  [[nodiscard]] static bool machines_likely_at_fault(std::size_t silent, std::size_t total);
   void detect_dead_machines();
   [[nodiscard]] bool zone_unreachable(const std::string& zone) const;
 
@@ -239,11 +240,11 @@
     std::vector<std::string> types;
     /// True if this request needs at least as much as the other under the same constraints: no
     /// machine that lacks room for the other has room for this one.
-    [[nodiscard]] bool needs_at_least(const ResourceRequest& o) const;
+    [[nodiscard]] bool needs_at_least(const ResourceRequest& other) const;
     bool operator==(const ResourceRequest&) const = default;
   };
-  static ResourceRequest resource_request_of(const JobSpec& s) {
-    return {s.need, s.spot, s.zone, s.any_type, s.types};
+  static ResourceRequest resource_request_of(const JobSpec& spec) {
+    return {spec.need, spec.spot, spec.zone, spec.any_type, spec.types};
   }
   /// Demand of waiting tasks of one kind that found no room in the latest scheduling pass.
   struct UnmetDemand {
@@ -271,22 +272,23 @@
   bool place_job(Job& job);
   bool task_due(Job& job, std::uint32_t index);
   std::optional<std::uint32_t> place_tasks(Job& job, bool one_by_one);
-  bool make_room_at_image_holder(const Job& job, const Machine& m);
-  void bind(Job& job, std::uint32_t index, Machine& m, std::uint64_t attempt);
+  bool make_room_at_image_holder(const Job& job, const Machine& machine);
+  void bind(Job& job, std::uint32_t index, Machine& machine, std::uint64_t attempt);
   void drop_unsent_of_job(Job& job);
   void record_unmet_demand(const Job& job, const TeamQuota& team, std::uint32_t tasks,
                            const std::string& zone);
-  [[nodiscard]] bool fetch_violates_slo(const Job& job, const Machine& m, const char* slo) const;
+  [[nodiscard]] bool fetch_violates_slo(const Job& job, const Machine& machine,
+                                        const char* slo) const;
   std::uint64_t new_attempt_number();
   /// How well a machine suits a task: compared lexicographically, most important criterion first;
   /// lower is better.
   using BinPackingScore = std::array<double, 6>;
   static constexpr std::size_t kScoreFailed = 0, kScoreSameJobReplicas = 4;
   [[nodiscard]] MachineRating<BinPackingScore> bin_packing_score(const JobSpec& spec,
-                                                                 const Machine& m,
+                                                                 const Machine& machine,
                                                                  bool may_queue_fetch) const;
-  [[nodiscard]] static BinPackingScore score_for_job(const Job& job, const Machine& m,
-                                                     BinPackingScore of_kind);
+  [[nodiscard]] static BinPackingScore score_for_job(const Job& job, const Machine& machine,
+                                                     BinPackingScore kind_score);
   /// Identifies the jobs for which a pass ranks machines in the same order, except for the effect
   /// of a job's own tasks.
   struct RankingKey {
@@ -311,23 +313,24 @@
   void end_rankings();
   /// Records that a machine's free room or its tasks have changed during the current pass, so that
   /// rankings rate it again.
-  void machine_changed(Machine& m) { machines_changed_.push_back(&m); }
-  void reserve(Machine& m, const Resources& room);
-  void unreserve(Machine& m, const Resources& room);
+  void machine_changed(Machine& machine) { machines_changed_.push_back(&machine); }
+  void reserve(Machine& machine, const Resources& room);
+  void unreserve(Machine& machine, const Resources& room);
   /// Returns the best machine for one more task of the job, or null if none has room.
   Machine* best_machine(const Job& job, bool may_queue_fetch);
   Machine* take_migration_target(const Job& job, std::uint32_t index);
-  [[nodiscard]] bool can_start_tasks(const Machine& m) const;
+  [[nodiscard]] bool can_start_tasks(const Machine& machine) const;
   /// Whether the machine is usable and not draining, so that any work may be placed on it.
-  [[nodiscard]] bool accepts_new_tasks(const Machine& m) const {
-    return can_start_tasks(m) && !m.draining;
+  [[nodiscard]] bool accepts_new_tasks(const Machine& machine) const {
+    return can_start_tasks(machine) && !machine.draining;
   }
   using Reservations = std::unordered_map<const Machine*, Resources>;
-  /// Returns a machine's free room minus the room that `promised` reserves on it.
-  [[nodiscard]] static Resources unreserved_room(const Reservations& promised, const Machine& m);
+  /// Returns a machine's free room minus the room that `reservations` reserve on it.
+  [[nodiscard]] static Resources unreserved_room(const Reservations& reservations,
+                                                 const Machine& machine);
   /// Returns the room that a machine will have once the tasks being stopped or migrated away are
   /// gone, minus the current pass's reservations.
-  [[nodiscard]] Resources room_after_stops(const Machine& m) const;
+  [[nodiscard]] Resources room_after_stops(const Machine& machine) const;
   /// Clears the failures recorded in this pass. Called when room has grown, as requests that failed
   /// earlier may succeed now.
   void clear_failed_requests();
@@ -347,14 +350,14 @@
   Gang& gang_state(const Job& job);
   [[nodiscard]] static bool is_gang(const Job& job) { return job.spec().kind == JobKind::Gang; }
   [[nodiscard]] GangView gang_view(const Job& job) const;
-  [[nodiscard]] bool start_overdue(const Machine& m) const;
+  [[nodiscard]] bool start_overdue(const Machine& machine) const;
   bool place_gang(Job& job);
   bool gang_due(const Job& job);
   bool place_gang_tasks(Job& job, std::uint64_t attempt);
   [[nodiscard]] std::vector<Machine*> gang_machines(const Job& job) const;
-  [[nodiscard]] GangCandidate gang_candidate(const Job& job, const Machine& m) const;
-  [[nodiscard]] double heartbeat_due_s(const Machine& m) const;
-  [[nodiscard]] double fetch_s(const Job& job, const Machine& m) const;
+  [[nodiscard]] GangCandidate gang_candidate(const Job& job, const Machine& machine) const;
+  [[nodiscard]] double heartbeat_due_s(const Machine& machine) const;
+  [[nodiscard]] double fetch_s(const Job& job, const Machine& machine) const;
   [[nodiscard]] GangZones gang_zones(const Job& job) const;
   void make_room_for_gang(Job& job, const GangPlan& plan, const std::vector<Machine*>& machines);
   [[nodiscard]] Time starvation_timeout() const;
@@ -363,7 +366,7 @@
   static constexpr double kLateBootFactor = 1.3;
   [[nodiscard]] std::string zone_to_scale_out_in(const Job& job, const std::string& best) const;
   /// Stops a task and, if it belongs to a gang, all other tasks of the gang.
-  void stop_with_gang(TaskAttempt& p, double grace_s);
+  void stop_with_gang(TaskAttempt& attempt, double grace_s);
   void stop_gang(Job& job, double grace_s);
 
   // preemption.cpp
@@ -377,24 +380,24 @@
     std::vector<TaskAttempt*> victims;
     double cost = 0;
   };
-  std::optional<PreemptionPlan> preemption_plan_on(Machine& m, const Job& job) const;
+  std::optional<PreemptionPlan> preemption_plan_on(Machine& machine, const Job& job) const;
   MachineRanking<double>& preemption_ranking(const Job& job, bool warm_only,
                                              const std::string& zone);
-  static bool preempted_before(const TaskAttempt* a, const TaskAttempt* b);
-  [[nodiscard]] double preemption_cost(const TaskAttempt& p) const;
+  static bool preempted_before(const TaskAttempt* first, const TaskAttempt* second);
+  [[nodiscard]] double preemption_cost(const TaskAttempt& attempt) const;
   bool migrate_for(const Job& job);
-  [[nodiscard]] bool migratable(const TaskAttempt& p) const;
+  [[nodiscard]] bool migratable(const TaskAttempt& attempt) const;
   /// A replica to be migrated, and the machine that takes it.
   struct PlannedMigration {
     TaskAttempt* attempt_record = nullptr;
     Machine* to = nullptr;
   };
-  std::optional<std::vector<PlannedMigration>> plan_migrations(Machine& m, const Job& job);
-  void migrate_replica(TaskAttempt& p, Machine& from, const Machine& to);
+  std::optional<std::vector<PlannedMigration>> plan_migrations(Machine& machine, const Job& job);
+  void migrate_replica(TaskAttempt& attempt, Machine& from, const Machine& to);
   void migration_tick();
   void stop_tick();
-  [[nodiscard]] bool may_preempt(const Job& job, const TaskAttempt& p) const;
-  void stop_task(TaskAttempt& p, double grace_s);
+  [[nodiscard]] bool may_preempt(const Job& job, const TaskAttempt& attempt) const;
+  void stop_task(TaskAttempt& attempt, double grace_s);
   void stop_job(Job& job);
   [[nodiscard]] double grace_period_s(const Job& job) const;
 
@@ -457,18 +460,18 @@
   [[nodiscard]] OnDemandCapacity on_demand_capacity() const;
   void drain_surplus(OnDemandCapacity on_demand);
   [[nodiscard]] std::vector<Machine*> machines_to_drain() const;
-  bool drain_machine(Machine& m, Reservations& under_way,
+  bool drain_machine(Machine& machine, Reservations& under_way,
                      std::vector<FailedMigration>& failed_migrations);
-  [[nodiscard]] bool is_surplus(const OnDemandCapacity& on_demand, const Machine& m) const;
+  [[nodiscard]] bool is_surplus(const OnDemandCapacity& on_demand, const Machine& machine) const;
   /// Maps each image to the machines that hold it, ordered by machine name.
   using ImageHolders = std::unordered_map<std::string, std::vector<Machine*>>;
   const ImageHolders& image_holders();
-  [[nodiscard]] Machine* find_migration_target(const TaskAttempt& p, const Machine& from,
-                                               const Reservations& promised,
+  [[nodiscard]] Machine* find_migration_target(const TaskAttempt& attempt, const Machine& from,
+                                               const Reservations& reservations,
                                                const std::vector<PlannedMigration>& plan);
   void send_terminations();
-  void terminate_instance(Machine& m, TerminationCause cause);
-  void cordon(Machine& m, CordonCause cause);
+  void terminate_instance(Machine& machine, TerminationCause cause);
+  void cordon(Machine& machine, CordonCause cause);
 
   const Settings settings_;
   const Options options_;
@@ -507,7 +510,7 @@
   };
   /// Handles a forwarded request that the peer has not answered in time, or whose response is no
   /// longer valid.
-  void handle_forward_timeout(const Forwarded& f);
+  void handle_forward_timeout(const Forwarded& forwarded);
   std::map<std::uint64_t, Forwarded> forwarded_;
   std::uint64_t next_forward_ = 1;
   /// The checkpoint as a follower reads it for queries, and as a new leader is loading it.
--- a/src/controller/reconciliation.cpp
+++ b/src/controller/reconciliation.cpp
@@ -151,8 +151,8 @@
   }
 }
 
-void Controller::load_machines(const Snapshot& image) {
-  for (const auto& [shard, list] : image.machines)
+void Controller::load_machines(const Snapshot& checkpoint) {
+  for (const auto& [shard, list] : checkpoint.machines)
     for (const MachineRecord& record : list) {
       Machine& machine = tables_.add_machine(record.name, clock_.now);
       machine.address = record.address;
--- a/src/controller/task_status_handler.cpp
+++ b/src/controller/task_status_handler.cpp
@@ -283,9 +283,9 @@
                                     clock_.now - attempt.running_since > 5 * heartbeat_interval());
     return job->known_to_run;
   };
-  const auto proven = static_cast<std::size_t>(
+  const auto jobs_running_elsewhere = static_cast<std::size_t>(
       std::count_if(machine.error_jobs.begin(), machine.error_jobs.end(), runs_elsewhere));
-  if (proven >= kMinJobsFailedByFaultyMachine)
+  if (jobs_running_elsewhere >= kMinJobsFailedByFaultyMachine)
     cordon(machine, CordonCause::Faulty);
   else if (clock_.now >= machine.quarantined_until)
     quarantine(machine, QuarantineCause::TaskErrors);
--- a/src/federation/share_demands.cpp
+++ b/src/federation/share_demands.cpp
@@ -165,13 +165,13 @@
         continue;
       }
       const Amounts from_unused = wanted.componentwise_min(known_surplus->second.unused);
-      const Amounts urgent_here =
+      const Amounts requested_urgent =
           urgent.componentwise_min(from_unused + known_surplus->second.preemptible).positive();
-      const Amounts here = from_unused.componentwise_max(urgent_here);
-      if (here.none()) continue;
-      demands[index][team] = {team, here, urgent_here};
-      wanted = (wanted - here).positive();
-      urgent = (urgent - urgent_here).positive();
+      const Amounts requested = from_unused.componentwise_max(requested_urgent);
+      if (requested.none()) continue;
+      demands[index][team] = {team, requested, requested_urgent};
+      wanted = (wanted - requested).positive();
+      urgent = (urgent - requested_urgent).positive();
     }
   }
   return demands;
--- a/src/federation/share_manager.hpp
+++ b/src/federation/share_manager.hpp
@@ -180,7 +180,7 @@
   void adjust_limits();
   void serve_demands();
   void serve_region(std::size_t region);
-  Amounts grant(TeamView& team, std::size_t region, const DemandEntry& demand);
+  Amounts grant(TeamView& view, std::size_t region, const DemandEntry& demand);
   void finish_reclaims(std::size_t region, std::map<std::string, Amounts>& given);
   void send_demands();
   [[nodiscard]] std::vector<std::map<std::string, DemandEntry>> plan_demands() const;
