--- a/src/controller/checkpoint_writer.cpp
+++ b/src/controller/checkpoint_writer.cpp
@@ -29,31 +29,31 @@
       listener_(environment.listener),
       shards_(max_value_bytes(kValueFill)) {}
 
-void CheckpointWriter::load(const Snapshot& image) {
-  manifest_seq_ = image.manifest.seq;
-  manifest_version_ = image.manifest_version;
-  load_shards(image);
-  features_written_ = image.features.gangs;
-  gangs_enabled_ = gangs_enabled_ || image.features.gangs;
+void CheckpointWriter::load(const Snapshot& checkpoint) {
+  manifest_seq_ = checkpoint.manifest.seq;
+  manifest_version_ = checkpoint.manifest_version;
+  load_shards(checkpoint);
+  features_written_ = checkpoint.features.gangs;
+  gangs_enabled_ = gangs_enabled_ || checkpoint.features.gangs;
   scale_outs_changed_ = true;
 }
 
 // A shard that is larger than the limits allow to be written, because it was written under higher
 // limits, is not written again, so that its records stay readable. A job of such a shard is
 // assigned another shard when it changes.
-void CheckpointWriter::load_shards(const Snapshot& image) {
+void CheckpointWriter::load_shards(const Snapshot& checkpoint) {
   shards_ = JobShards(max_value_bytes(kValueFill));
-  for (const std::string& key : image.unreadable)
+  for (const std::string& key : checkpoint.unreadable)
     if (const auto shard = shard_number(key)) shards_.close(*shard);
-  for (const auto& [shard, bytes] : image.shard_bytes)
+  for (const auto& [shard, bytes] : checkpoint.shard_bytes)
     if (bytes > max_value_bytes(kShardGrowthFill)) shards_.close(shard);
-  for (const auto& [id, shard] : image.shard_of) {
-    const JobRecord& record = image.jobs.at(id);
+  for (const auto& [id, shard] : checkpoint.shard_of) {
+    const JobRecord& record = checkpoint.jobs.at(id);
     shards_.add(id, shard, record_reserve(record.final, encode_record(record).size()));
   }
   recent_records_.clear();
-  for (const std::string& id : image.manifest_jobs)
-    recent_records_[id] = encode_record(image.jobs.at(id));
+  for (const std::string& id : checkpoint.manifest_jobs)
+    recent_records_[id] = encode_record(checkpoint.jobs.at(id));
 }
 
 void CheckpointWriter::reset() {
@@ -185,7 +185,7 @@
       KvUrgency::Urgent);
 }
 
-// The store rejects the commit as too large, although it is within the known limits.
+// Handles a commit that the store rejects as too large although it is within the known limits.
 void CheckpointWriter::handle_rejected_commit() {
   std::size_t largest = 0;
   std::string key;
@@ -211,9 +211,9 @@
   check_commit_outcome();
 }
 
-// The store was not reached, or could not report the outcome of the commit. Waiting requests are
-// rejected at once, so that clients retry. The commit is repeated nevertheless, and a client's
-// retry finds what it has written.
+// Handles a commit that did not reach the store, or whose outcome the store could not report.
+// Waiting requests are rejected at once, so that clients retry. The commit is repeated
+// nevertheless, and a client's retry finds what it has written.
 void CheckpointWriter::handle_unanswered_commit(int status) {
   commit_retry_at_ = clock_.now + (status == 0 ? 0 : kRetryAfterErrorMs);
   for (auto* responses : {&commit_.pending_responses, &pending_responses_}) {
@@ -285,7 +285,7 @@
     }
 }
 
-// The end of these tasks is committed, so their workers may forget them.
+// Marks the end of these tasks as committed, so that their workers may forget them.
 void CheckpointWriter::mark_finished_tasks_committed(const std::vector<FinishedTask>& finished) {
   for (const FinishedTask& task : finished)
     if (Machine* machine = tables_.machine(task.machine))
