--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -23,7 +23,7 @@
 constexpr std::int64_t kIdleTimeoutMs = 60'000;
 /// The interval at which outgoing requests are checked for timeouts.
 constexpr std::int64_t kSweepIntervalMs = 50;
-/// The server's connections are checked for idleness once in this many checks of requests.
+/// The number of timeout checks from one check for idle client connections to the next.
 constexpr std::uint64_t kSweepsPerServerSweep = 64;
 
 std::uint64_t random_seed() {
@@ -102,8 +102,8 @@
     }
   }
 
-  // A response that can't be decoded is treated like a missing one (status 0): in both cases it is
-  // unknown whether the request was carried out.
+  // The next three functions treat a response that can't be decoded like a missing one (status 0),
+  // because in both cases it is unknown whether the request was carried out.
 
   void execute(const CallKvStore& action) {
     const HttpRequest http = encode_kv_request(action.request);
--- a/src/app/peer_network.cpp
+++ b/src/app/peer_network.cpp
@@ -30,8 +30,8 @@
   return {delay_ms(kMaxBatchesPerHeartbeat), delay_ms(kMinBatchesPerHeartbeat)};
 }
 
-// Workers' heartbeats and users' queries may wait: the sender's next one follows only seconds
-// later, and the effects of this one reach the sender only then. Submissions, cancellations and
+// Workers' heartbeats and users' queries may wait: the sender sends the next one only seconds
+// later, and the effects of one reach the sender only with the next. Submissions, cancellations and
 // controllers' heartbeats are urgent.
 Urgency urgency_of(const PeerMessage& message) {
   if (message.kind != PeerMessage::Kind::Request) return Urgency::Now;
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -40,7 +40,7 @@
   [[nodiscard]] Resources times(double count) const {
     return {cpus * count, gpus * count, memory_gb * count};
   }
-  /// Whether these resources fit into `room`, apart from the rounding errors that sums of decimal
+  /// Whether these resources fit into `room`. Tolerates the rounding errors that sums of decimal
   /// fractions have.
   [[nodiscard]] bool fits_in(const Resources& room) const {
     constexpr double kTolerance = 1e-6;
@@ -71,7 +71,7 @@
   /// checkpoints of a task, or 0 if it writes none. `save_s`: how long a task takes to save its
   /// state when it is stopped.
   double estimate_s = 0, checkpoint_s = 0, save_s = 0;
-  /// Counted from the submission.
+  /// Seconds from the submission to the deadline. Empty means that there is no deadline.
   std::optional<double> deadline_s;
 };
 
@@ -200,7 +200,7 @@
   /// For List: the key after which the page starts. Empty for the first page.
   std::string from;
   std::uint32_t limit = 200;
-  /// For Renew and Revoke.
+  /// For Renew and Revoke: the id of the lease.
   std::uint64_t lease = 0;
   /// For Watch: only changes after this revision are returned.
   std::uint64_t revision = 0;
--- a/src/protocol/region_frames.cpp
+++ b/src/protocol/region_frames.cpp
@@ -99,7 +99,8 @@
   return entry;
 }
 
-/// Moves the entries into the message. Returns false if a message of that kind can't have as many.
+/// Moves the entries into the message. Returns false if a message of that kind can't have that many
+/// entries.
 bool set_entries(RegionMessage& message, std::uint64_t number, std::vector<Entry> entries) {
   switch (message.kind) {
     case RegionMessage::Kind::Transfer:
--- a/src/protocol/region_frames.hpp
+++ b/src/protocol/region_frames.hpp
@@ -69,7 +69,8 @@
   std::vector<TeamAmounts> amounts;
 };
 
-/// Reports that the sender of this message has credited the transfer `number` and committed that.
+/// Reports that the sender of this message has credited the transfer `number` and committed the
+/// credit to its checkpoint.
 struct TransferAcknowledgement {
   std::uint64_t number = 0;
 };
@@ -82,7 +83,8 @@
   /// reserve and preempts work of the same team with a lower priority.
   Amounts urgent;
 };
-/// What the sender asks the receiver for. Replaces the sender's earlier demand to that receiver.
+/// The quota shares that the sender asks the receiver for. Replaces the sender's earlier demand to
+/// that receiver.
 struct ShareDemand {
   /// The number of the receiver's last transfer that the sender has credited. If it is older than
   /// the last transfer that the receiver has sent, that transfer may already satisfy the demand.
@@ -97,7 +99,8 @@
   /// preempted for urgent work of another region.
   Amounts unused, preemptible;
 };
-/// What the sender could give up. Teams whose amounts have not changed may be omitted.
+/// The quota shares that the sender could give up. Teams whose amounts have not changed may be
+/// omitted.
 struct ShareSurplus {
   std::vector<SurplusEntry> entries;
 };
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -72,16 +72,16 @@
 
 namespace {
 
-/// The smallest future limits that checkpoints work with: a commit writes the manifest and a shard
-/// of a few records.
+/// The smallest limits that `settings.state.next` may announce. A checkpoint commit needs at least
+/// these, because it writes the manifest and a shard of a few records.
 constexpr double kMinNextValueKb = 1;
 constexpr std::uint64_t kMinNextOperations = 3;
 /// The defaults of the gang scheduling times, as multiples of the workers' lease.
 constexpr double kDefaultGangWaitLeases = 2;
 constexpr double kDefaultGangPeerLeases = 0.25;
 
-// Lowers the limits to those announced for the key-value store in `state.next`, where these are
-// given.
+/// Lowers each limit of the key-value store to the one that `settings.state.next` announces, if it
+/// announces one.
 void apply_next_limits(const json::Value& state, Settings& settings) {
   const json::Value* next = json::member(state, "next");
   if (next == nullptr) return;
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -91,7 +91,7 @@
 
   [[nodiscard]] bool enabled() const { return !regions.empty(); }
 };
-/// All regions but this one, in the same order.
+/// The names of all regions except this one, in the order of `FederationOptions::regions`.
 std::vector<std::string> other_regions(const FederationOptions& options);
 
 /// The number of low bits in a task attempt's number that count the attempts of one epoch. The
@@ -129,7 +129,7 @@
   using std::runtime_error::runtime_error;
 };
 
-/// Throws SettingsError, which names the invalid field.
+/// Parses the settings file. Throws SettingsError, which names the invalid field.
 Settings parse_settings(std::string_view text);
 /// Throws SettingsError if an option is out of range.
 void check_options(const Options& options);
--- a/src/protocol/worker_codec.hpp
+++ b/src/protocol/worker_codec.hpp
@@ -20,8 +20,8 @@
 /// heartbeat.
 std::string encode_command_request(std::uint64_t fencing_token, std::uint64_t incarnation,
                                    const std::vector<Command>& commands);
-/// The body of a response that redirects a worker to the controller `node`. Names none if `node` is
-/// empty.
+/// The body of a response that redirects a worker to the controller `node`. The body names no
+/// controller if `node` is empty.
 std::string encode_redirect(const std::string& node);
 
 }  // namespace sailreel
--- a/src/storage/bitmap.hpp
+++ b/src/storage/bitmap.hpp
@@ -25,7 +25,8 @@
  public:
   explicit Bitmap(std::size_t size = 0)
       : size_(size), words_((size + kBitsPerWord - 1) / kBitsPerWord) {}
-  /// Sets the bit of a task, whose index must be below the size; false if it was set already.
+  /// Sets the bit of a task, whose index must be below the size. Returns false if the bit was set
+  /// already.
   bool set(std::size_t index) {
     std::uint64_t& word = words_[index / kBitsPerWord];
     const std::uint64_t bit = std::uint64_t{1} << (index % kBitsPerWord);
--- a/src/storage/checkpoint.hpp
+++ b/src/storage/checkpoint.hpp
@@ -8,9 +8,9 @@
 //                    and recent job records, which are flushed to shards later
 //   sr/s/<shard>     jobs: about twenty active or some hundreds of finished ones per shard
 //   sr/b/<job>/<n>   the finished tasks of a large job, one piece of the bitmap per key
-//   sr/c/<job>/<n>   the same in smaller pieces, used where the store's limit on values is too
-//   small
-//                    for sr/b; versions from before gang scheduling don't read these keys
+//   sr/c/<job>/<n>   the finished tasks of a large job in smaller pieces, used where the pieces
+//                    of sr/b exceed the store's limit on values; versions from before gang
+//                    scheduling don't read these keys
 //   sr/features      the features that every controller understands; versions from before gang
 //                    scheduling ignore this key
 //   sr/m/<shard>     machines that may hold tasks, with their addresses and cached images
--- a/src/storage/checkpoint_keys.hpp
+++ b/src/storage/checkpoint_keys.hpp
@@ -24,10 +24,11 @@
 /// fraction is below 1 so that the store doesn't reject a write whose estimated size was a few
 /// bytes too low.
 inline constexpr double kValueFill = 0.85;
-/// How much of the manifest unfinished scale-out requests may take, as a fraction of the same
-/// limit.
+/// How much of the manifest unfinished scale-out requests may take, as a fraction of the store's
+/// limit on the bytes of a value.
 inline constexpr double kScaleOutFill = 0.4;
-/// How large a shard may grow before its jobs are moved to others, as a fraction of the same limit.
+/// How large a shard may grow before its jobs are moved to other shards, as a fraction of the
+/// store's limit on the bytes of a value.
 inline constexpr double kShardGrowthFill = 0.95;
 
 std::string shard_key(std::size_t shard);
--- a/src/storage/incarnation_fence.hpp
+++ b/src/storage/incarnation_fence.hpp
@@ -14,7 +14,7 @@
 /// was closed.
 class IncarnationFence {
  public:
-  /// Closes this incarnation and all before it: since `now`, they are known to have ended.
+  /// Closes `incarnation` and all earlier ones, which are known at `now` to have ended.
   void close(std::uint64_t incarnation, Time now) {
     if (!closed_number_unknown_ && incarnation <= last_closed_) return;
     last_closed_ = incarnation;
--- a/src/storage/job_shards.hpp
+++ b/src/storage/job_shards.hpp
@@ -51,7 +51,7 @@
   Shard& shard_at(std::size_t shard);
 
   std::size_t limit_bytes_;
-  std::size_t first_open_ = 0;  // number above those of all closed shards
+  std::size_t first_open_ = 0;  // the shard after the last closed one
   std::vector<Shard> shards_;
   std::unordered_map<std::string, Location> locations_;
 };
--- a/src/storage/tables.cpp
+++ b/src/storage/tables.cpp
@@ -258,7 +258,8 @@
   orphan.orphan_of = &job;
   orphan.need = job.spec().need;
   orphan.team = job.team;
-  // A team that the settings no longer name has no limit to count against.
+  // `team` is null if the settings no longer name the team. It then has no limit, and its usage is
+  // not counted.
   if (orphan.team != nullptr) orphan.team->used += orphan.need;
   machine.used += orphan.need;
   job.orphans.push_back({orphan.key.index, machine.zone});
@@ -316,9 +317,9 @@
   const JobSpec& spec = job.spec();
   // Tasks whose machine isn't known yet could be in any zone.
   if ((spec.one_zone || spec.spread) && job.unknown > 0) return false;
-  // A job whose tasks are known in two zones gets no place until its tasks are left in only one of
-  // them. Delayed heartbeats once made tasks known in two zones, and either zone was then accepted
-  // as that of the job.
+  // Delayed heartbeats can make tasks of a one-zone job known in two zones. No zone accepts further
+  // tasks of the job until all its known tasks are in the same zone; otherwise tasks could be
+  // placed in either zone.
   if (spec.one_zone && !job.confined_to(zone)) return false;
   return !spec.spread || job.tasks_in(zone) < job.zone_cap();
 }
--- a/src/storage/tables.hpp
+++ b/src/storage/tables.hpp
@@ -36,13 +36,13 @@
 
 struct Task {
   TaskState state = TaskState::Queued;
-  Machine* machine = nullptr;  // that the task is bound to
-  Time not_before = 0;         // not to be placed earlier
+  Machine* machine = nullptr;  // the machine that the task is bound to
+  Time not_before = 0;         // the task is not placed before this time
 };
 
 /// An attempt that is on a machine although its task is bound to another machine, or to none.
 struct OrphanedAttempt {
-  std::uint32_t index = 0;  // of the task
+  std::uint32_t index = 0;  // index of the task
   std::string zone;
 };
 
@@ -50,16 +50,17 @@
 struct Job {
   JobRecord record;
   bool committed = false;                 // the checkpoint contains the job
-  Phase committed_phase = Phase::Active;  // in the checkpoint, which users may be told
+  Phase committed_phase = Phase::Active;  // phase in the checkpoint, which users may be told
   /// `JobRecord::started` in the checkpoint.
   std::uint32_t committed_started = 0;
   bool dirty = false;  // differs from the checkpoint; the next commit includes it
   /// The encoded record in the checkpoint, and the one that the commit in flight would store.
   std::string stored, in_flight_record;
-  std::optional<Phase> in_flight_phase;  // in the commit in flight, if it changes the phase
+  std::optional<Phase> in_flight_phase;  // phase in the commit in flight, if that changes it
   /// Numbers of the small pieces of the bitmap that differ from the checkpoint.
   std::set<std::size_t> dirty_pieces;
-  /// True if pieces of the size may be in the checkpoint. They are deleted once the job is over.
+  /// True if bitmap pieces of the normal size, or small ones, may be in the checkpoint. Pieces are
+  /// deleted once the job is over.
   bool has_pieces = false, has_small_pieces = false;
   std::uint64_t acceptance_order = 0;  // position in the order in which jobs were accepted
   TeamQuota* team = nullptr;
@@ -67,17 +68,17 @@
   bool guaranteed = false;
   Time accepted = 0;
   std::vector<Task> tasks;
-  /// Numbers of tasks.
+  /// Numbers of the job's tasks in each state.
   std::uint32_t queued = 0, unknown = 0, placed = 0, running = 0;
   std::uint32_t next_queued = 0;                  // no task with a lower index is queued
   std::map<std::string, std::uint32_t> per_zone;  // placed tasks by zone
   std::vector<OrphanedAttempt> orphans;
   /// Names of machines that have, or had, an attempt of one of the job's tasks.
   std::set<std::string> machines_used;
-  std::set<std::string> error_machines;  // where tasks of the job have failed
+  std::set<std::string> error_machines;  // machines on which tasks of the job have failed
   std::uint32_t errors = 0;              // attempts that failed
   bool known_to_run = false;  // a task has completed, or has run for several heartbeat intervals
-  Time not_before = 0;        // no task is to be placed earlier
+  Time not_before = 0;        // no task of the job is placed before this time
 
   [[nodiscard]] const JobSpec& spec() const { return record.spec; }
   /// True if the commit in flight may change the phase that users may be told.
@@ -125,14 +126,14 @@
 /// One attempt of a task on a machine.
 struct TaskAttempt {
   Job* job = nullptr;        // null for an orphaned attempt, or if the job is unknown
-  Job* orphan_of = nullptr;  // the job of an orphaned attempt, for as long as that is held
+  Job* orphan_of = nullptr;  // the job of an orphaned attempt, for as long as the attempt is held
   TeamQuota* team = nullptr;
   TaskKey key;
   Resources need;
   std::uint64_t attempt = 0;
   AttemptState state = AttemptState::Reserved;
   ExitCause cause = ExitCause::None;
-  std::uint64_t sent_seq = 0;  // of the heartbeat whose response carried the start command
+  std::uint64_t sent_seq = 0;  // `seq` of the heartbeat whose response carried the start command
   std::uint32_t sends = 0;     // how often the start command was sent
   Time since = 0;              // when the attempt entered its state
   Time running_since = 0;
@@ -165,12 +166,12 @@
   bool heard_in_epoch = false;  // a heartbeat under this epoch's fencing token has been accepted
   bool recorded = false;        // the checkpoint lists it
   bool record_dirty = false;    // a later commit is to add it to the checkpoint
-  std::uint64_t incarnation = 0, seq = 0;  // of the latest heartbeat
+  std::uint64_t incarnation = 0, seq = 0;  // as in the latest heartbeat
   IncarnationFence incarnation_fence;      // incarnations that this leader knows to have ended
   Time launched = 0;                       // when it was launched, or else first known
-  Time last_heartbeat = 0;                 // last heartbeat, or response to an inquiry
+  Time last_heartbeat = 0;                 // last heartbeat, or response to a probe
   Time steady_since = 0;                   // heartbeats have arrived without a gap since then
-  Time last_own_heartbeat = 0;             // last heartbeat that it sent unasked
+  Time last_own_heartbeat = 0;             // last heartbeat, not counting responses to probes
   Time last_response = 0;                  // when a response may last have renewed its lease
   Time idle_since = 0;                     // 0 while it has attempts
   bool cordoned = false;                   // accepts no more work
@@ -179,16 +180,17 @@
   bool terminating = false;                        // its termination was requested, or is to be
   bool silent = false;                             // its heartbeats are overdue
   Time silent_since = 0;
-  bool probing = false;                 // an inquiry is in flight
-  Time probe_at = 0;                    // earliest time of the next inquiry
-  std::uint64_t probe_incarnation = 1;  // incarnation that the next inquiry is addressed to
-  std::uint32_t probe_failures = 0;     // successive inquiries that failed
-  Time probe_failed = 0;                // when the last inquiry that failed was sent
+  bool probing = false;                 // a probe is in flight
+  Time probe_at = 0;                    // earliest time of the next probe
+  std::uint64_t probe_incarnation = 1;  // incarnation that the next probe is addressed to
+  std::uint32_t probe_failures = 0;     // successive probes that failed
+  Time probe_failed = 0;                // when the last probe that failed was sent
   Time notice_until = 0;                // when the cloud preempts it; 0 if there is no notice
-  /// Its heartbeats have not shown our fencing token since then; 0 if they show it.
+  /// Time since which its heartbeats have not shown the leader's fencing token; 0 if they show it.
   Time fencing_token_refused_since = 0;
-  bool lease_expired = false;  // its lease expired before it adopted our fencing token
-  /// Gets no work until then, for example because it doesn't receive our responses.
+  bool lease_expired = false;  // its lease expired before it adopted the leader's fencing token
+  /// The machine gets no work before this time, for example because it doesn't receive the leader's
+  /// responses.
   Time quarantined_until = 0;
   std::set<std::string> error_jobs;  // jobs whose tasks failed on it
   std::vector<TaskAttempt> attempts;
@@ -222,17 +224,17 @@
 /// A team's quotas from the settings, and how much of them it uses.
 struct TeamQuota {
   Team limits;
-  Resources used;  // by all tasks that may be on a machine
+  Resources used;  // sum over all tasks that may be on a machine
   /// This region's part of a limit that spans regions; empty if the whole limit applies.
   std::optional<double> cpus_cap, gpus_cap;
   /// How much the team may use in this region; empty if it may use any amount.
   [[nodiscard]] std::optional<double> cpus_limit() const;
   [[nodiscard]] std::optional<double> gpus_limit() const;
-  /// True if the team may use that total in this region.
+  /// True if the team may use `total` in this region.
   [[nodiscard]] bool within_cap(const Resources& total) const;
   /// True if the team may use `more` in addition to what it uses. A limit of 0 means unlimited.
   [[nodiscard]] bool allows(const Resources& more) const;
-  /// True if that total is within the guaranteed quota; never true for a team without one.
+  /// True if `total` is within the guaranteed quota; never true for a team without one.
   [[nodiscard]] bool within_guarantee(const Resources& total) const;
   /// The fraction of its guaranteed quota that the team uses, of GPUs or CPUs, whichever is larger;
   /// at least 1 for a team without a guaranteed quota. Of the teams' queues, the one with the
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t kMaxUrlBytes = 1024;
-/// A client that sends more bytes than this ahead while its request is open is disconnected.
+/// A client that sends more than this many further bytes while its request is open is disconnected.
 constexpr std::size_t kMaxBufferedBytes = std::size_t{128} * 1024;
 
 const char* reason_phrase(int status) { return http_status_str(static_cast<http_status>(status)); }
--- a/tools/scale/region_process.cpp
+++ b/tools/scale/region_process.cpp
@@ -284,7 +284,8 @@
   users_.close_timed_out();
   for (auto& [machine, sockets] : workers_) sockets.client->close_timed_out();
   timeout_check_timer_.set(kTimeoutCheckIntervalMs);
-  // The main process has ended, so nobody reads further messages. The reset ends the controllers.
+  // If the main process has ended, no process reads further messages. Resetting the region ends its
+  // controllers.
   if (getppid() != main_process_id_) {
     region_.reset();
     std::exit(1);
--- a/tools/scale/relay.cpp
+++ b/tools/scale/relay.cpp
@@ -56,8 +56,8 @@
   bool forward_due(std::int64_t now) {
     if (const Cut* cut = relay_.cut_between(from_, to_)) return cut->hold;
     while (!queue_.empty() && queue_.front().due_ms <= now) {
-      // A failed write closes the receiver, and connection_closed() then changes the queue: the
-      // chunk must be out of it before.
+      // The chunk is removed from the queue before it is written, because a failed write closes the
+      // receiver and connection_closed() then changes the queue.
       Chunk chunk = std::move(queue_.front());
       queue_.pop_front();
       if (Connection* receiver = connection_for(chunk.to_outgoing))
--- a/tools/scale/remote_controller.hpp
+++ b/tools/scale/remote_controller.hpp
@@ -15,14 +15,17 @@
 class RegionSockets {
  public:
   virtual ~RegionSockets() = default;
-  /// Send a heartbeat on the worker's connection, or a user's request on one that all users share.
-  /// `done` gets the status and body of the response; status 0 means that there was none.
+  /// Sends a heartbeat on the worker's own connection. `done` is called with the status and body of
+  /// the response; status 0 means that there was none.
   virtual void send_heartbeat(const std::string& machine, const std::string& address,
                               const std::string& body,
                               std::function<void(int, std::string)> done) = 0;
+  /// Sends a user's request on a connection that all users share. `done` is called with the status
+  /// and body of the response; status 0 means that there was none.
   virtual void send_user_request(const std::string& address, const UserRequest& request,
                                  std::function<void(int, std::string)> done) = 0;
-  /// Hands the outcome of a request to the region's simulation. Status 0: no response.
+  /// Passes the response to a request to the region's simulation. Status 0 means that there was no
+  /// response.
   virtual void response_received(std::size_t node, const Response& response) = 0;
 };
 
--- a/tools/scale/workload.hpp
+++ b/tools/scale/workload.hpp
@@ -24,7 +24,7 @@
   [[nodiscard]] const std::vector<std::uint32_t>& urgent_waits_ms() const {
     return urgent_waits_ms_;
   }
-  /// Number of urgent jobs that haven't started and have waited for longer than `patience`.
+  /// Number of urgent jobs that haven't started and have waited for longer than `max_wait`.
   [[nodiscard]] std::uint32_t urgent_waiting(Time now, Time max_wait) const;
 
  private:
