--- a/src/app/daemon.cpp
+++ b/src/app/daemon.cpp
@@ -22,9 +22,9 @@
 /// Client connections without an open request are closed after this time.
 constexpr std::int64_t kIdleTimeoutMs = 60'000;
 /// The interval at which outgoing requests are checked for timeouts.
-constexpr std::int64_t kSweepIntervalMs = 50;
+constexpr std::int64_t kTimeoutCheckIntervalMs = 50;
 /// The number of timeout checks from one check for idle client connections to the next.
-constexpr std::uint64_t kSweepsPerServerSweep = 64;
+constexpr std::uint64_t kTimeoutChecksPerIdleCheck = 64;
 
 std::uint64_t random_seed() {
   std::random_device device;
@@ -49,12 +49,12 @@
                        },
                        [this](std::size_t peer) { feed(PeerDisconnected{peer}); }}),
         tick_timer_(loop_, [this] { feed(Tick{}); }),
-        sweep_timer_(loop_, [this] { sweep(); }) {}
+        timeout_check_timer_(loop_, [this] { check_timeouts(); }) {}
 
   void run() {
     spdlog::info("event=started node={} zone={} listen={}", settings_.name, settings_.zone,
                  settings_.listen);
-    sweep();
+    check_timeouts();
     feed(Tick{});
     loop_.run();
   }
@@ -67,11 +67,11 @@
       std::visit([this](auto& output) { this->execute(output); }, action);
   }
 
-  void sweep() {
+  void check_timeouts() {
     service_client_.close_timed_out();
     worker_client_.close_timed_out();
-    if (++sweep_count_ % kSweepsPerServerSweep == 0) server_.close_idle();
-    sweep_timer_.set(kSweepIntervalMs);
+    if (++timeout_check_count_ % kTimeoutChecksPerIdleCheck == 0) server_.close_idle();
+    timeout_check_timer_.set(kTimeoutCheckIntervalMs);
   }
 
   // ---- actions ----
@@ -227,8 +227,8 @@
   HttpClient service_client_, worker_client_;
   HttpServer server_;
   PeerNetwork peer_network_;
-  std::uint64_t sweep_count_ = 0;
-  Timer tick_timer_, sweep_timer_;
+  std::uint64_t timeout_check_count_ = 0;
+  Timer tick_timer_, timeout_check_timer_;
 };
 
 Daemon::Daemon(const Settings& settings, const Options& options)
--- a/src/app/options.cpp
+++ b/src/app/options.cpp
@@ -11,18 +11,18 @@
 namespace sailreel {
 namespace {
 
-ShareOption read_share(const config::Federation::Share& in) {
-  return {in.team(), in.region(), in.cpus(), in.gpus()};
+ShareOption read_share(const config::Federation::Share& share) {
+  return {share.team(), share.region(), share.cpus(), share.gpus()};
 }
 
-FederationOptions read_federation(const config::Federation& in) {
+FederationOptions read_federation(const config::Federation& federation) {
   FederationOptions out;
-  out.region = in.region();
-  for (const auto& region : in.regions())
+  out.region = federation.region();
+  for (const auto& region : federation.regions())
     out.regions.push_back({region.name(), {region.address().begin(), region.address().end()}});
-  for (const auto& share : in.share()) out.shares.push_back(read_share(share));
-  for (const auto& share : in.adopted()) out.adopted.push_back(read_share(share));
-  if (in.has_reserve_ratio()) out.reserve_ratio = in.reserve_ratio();
+  for (const auto& share : federation.share()) out.shares.push_back(read_share(share));
+  for (const auto& share : federation.adopted()) out.adopted.push_back(read_share(share));
+  if (federation.has_reserve_ratio()) out.reserve_ratio = federation.reserve_ratio();
   if (!out.enabled()) throw SettingsError("options: federation: no regions");
   return out;
 }
@@ -40,15 +40,16 @@
   FirstErrorCollector errors;
   google::protobuf::TextFormat::Parser parser;
   parser.RecordErrorsTo(&errors);
-  config::OptionsFile in;
-  if (!parser.ParseFromString(text.str(), &in)) throw SettingsError("options: " + errors.message);
+  config::OptionsFile parsed;
+  if (!parser.ParseFromString(text.str(), &parsed))
+    throw SettingsError("options: " + errors.message);
   Options out;
-  if (in.has_leader_lease_ratio()) out.leader_lease_ratio = in.leader_lease_ratio();
-  if (in.has_headroom_ratio()) out.headroom_ratio = in.headroom_ratio();
-  if (in.has_idle_ratio()) out.idle_ratio = in.idle_ratio();
-  if (in.has_state_share()) out.state_share = in.state_share();
-  if (in.has_write_share()) out.write_share = in.write_share();
-  if (in.has_federation()) out.federation = read_federation(in.federation());
+  if (parsed.has_leader_lease_ratio()) out.leader_lease_ratio = parsed.leader_lease_ratio();
+  if (parsed.has_headroom_ratio()) out.headroom_ratio = parsed.headroom_ratio();
+  if (parsed.has_idle_ratio()) out.idle_ratio = parsed.idle_ratio();
+  if (parsed.has_state_share()) out.state_share = parsed.state_share();
+  if (parsed.has_write_share()) out.write_share = parsed.write_share();
+  if (parsed.has_federation()) out.federation = read_federation(parsed.federation());
   check_options(out);
   return out;
 }
--- a/src/protocol/fake_server_codec.cpp
+++ b/src/protocol/fake_server_codec.cpp
@@ -225,14 +225,15 @@
   switch (request.kind) {
     case CloudRequest::Kind::Types:
       object.list("hulls", response.types,
-                  [&](const MachineType& t) { write_machine_type(writer, t); });
+                  [&](const MachineType& type) { write_machine_type(writer, type); });
       break;
     case CloudRequest::Kind::ScaleOut:
-      object.list("vessels", response.names, [&](const std::string& n) { json::put(writer, n); });
+      object.list("vessels", response.names,
+                  [&](const std::string& name) { json::put(writer, name); });
       break;
     case CloudRequest::Kind::List:
       object.list("vessels", response.machines,
-                  [&](const ListedMachine& m) { write_machine(writer, m); });
+                  [&](const ListedMachine& machine) { write_machine(writer, machine); });
       object.boolean("has_next", response.has_more);
       break;
     case CloudRequest::Kind::Terminate:
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -16,7 +16,7 @@
 bool is_ascii(std::string_view text) {
   constexpr unsigned kHighBit = 0x80;
   unsigned bits = 0;
-  for (const char c : text) bits |= static_cast<unsigned char>(c);
+  for (const char character : text) bits |= static_cast<unsigned char>(character);
   return (bits & kHighBit) == 0;
 }
 
--- a/src/protocol/region_frames.hpp
+++ b/src/protocol/region_frames.hpp
@@ -29,8 +29,8 @@
     gpus -= other.gpus;
     return *this;
   }
-  friend Amounts operator+(Amounts a, const Amounts& b) { return a += b; }
-  friend Amounts operator-(Amounts a, const Amounts& b) { return a -= b; }
+  friend Amounts operator+(Amounts left, const Amounts& right) { return left += right; }
+  friend Amounts operator-(Amounts left, const Amounts& right) { return left -= right; }
   /// These amounts with negative values replaced by 0.
   [[nodiscard]] Amounts positive() const {
     return {std::max<std::int64_t>(0, cpus), std::max<std::int64_t>(0, gpus)};
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -87,13 +87,13 @@
   if (next == nullptr) return;
   const std::string path = "settings.state.next";
   if (!next->IsObject()) fail(path, "not an object");
-  const auto lower = [&](const char* name, double& limit) {
+  const auto lower_limit = [&](const char* name, double& limit) {
     if (json::member(*next, name) == nullptr) return;
     limit = std::min(limit, require_number(*next, name, path + "." + name, true));
   };
-  lower("rps", settings.store_limits.rps);
-  lower("write_rps", settings.store_limits.write_rps);
-  lower("value_kb", settings.store_limits.value_kb);
+  lower_limit("rps", settings.store_limits.rps);
+  lower_limit("write_rps", settings.store_limits.write_rps);
+  lower_limit("value_kb", settings.store_limits.value_kb);
   if (settings.store_limits.value_kb < kMinNextValueKb)
     fail(path + ".value_kb", "must be at least 1");
   if (json::member(*next, "txn_ops") == nullptr) return;
@@ -215,9 +215,9 @@
 
 }  // namespace
 
-Settings parse_settings(std::string_view input) {
+Settings parse_settings(std::string_view text) {
   json::Document file;
-  if (!json::parse_object(input, file)) fail("(file)", "not a JSON object");
+  if (!json::parse_object(text, file)) fail("(file)", "not a JSON object");
   Settings out;
   out.name = require_text(file, "label", "label");
   out.zone = require_text(file, "area", "area");
--- a/src/protocol/user_codec.cpp
+++ b/src/protocol/user_codec.cpp
@@ -79,26 +79,26 @@
   if (!json::parse_object(body, doc)) return DecodeError{DecodeErrorKind::NotAnObject, {}};
   JobSpec spec;
   json::FieldReader fields(doc);
-  const auto name = [&](const char* field, std::string& out) {
+  const auto read_name = [&](const char* field, std::string& out) {
     fields.check(field, [&] { return get_name(doc, field, out); });
   };
   fields.check("id", [&] { return json::get(doc, "id", spec.id) && valid_job_id(spec.id); });
-  name("berth", spec.job_class);
-  name("crew", spec.team);
+  read_name("berth", spec.job_class);
+  read_name("crew", spec.team);
   fields.check("rig", [&] { return store_if_present(decode_kind(doc), spec.kind); })
       .check("precedence", [&] { return store_if_present(decode_priority(doc), spec.priority); })
       .check("hands", [&] { return store_if_present(decode_task_count(doc), spec.tasks); })
       .required("cores", spec.need.cpus)
       .required("cards", spec.need.gpus)
       .required("ram_gb", spec.need.memory_gb);
-  name("cargo", spec.image);
+  read_name("cargo", spec.image);
   fields.required("pull_gb", spec.image_gb);
   if (const json::Value* types = json::member(doc, "hulls")) {
     spec.any_type = false;
     fields.check("hulls",
                  [&] { return store_if_present(decode_machine_types(*types), spec.types); });
   }
-  if (json::member(doc, "harbor") != nullptr) name("harbor", spec.zone);
+  if (json::member(doc, "harbor") != nullptr) read_name("harbor", spec.zone);
   fields.required("together", spec.one_zone)
       .required("spread", spec.spread)
       .required("driftwood", spec.spot)
--- a/src/storage/tables.cpp
+++ b/src/storage/tables.cpp
@@ -7,7 +7,7 @@
 
 bool Machine::has_image(const std::string& image) const {
   return std::any_of(images.begin(), images.end(),
-                     [&](const CachedImage& c) { return c.name == image; });
+                     [&](const CachedImage& cached) { return cached.name == image; });
 }
 
 bool Machine::fetching(const std::string& image) const {
@@ -97,9 +97,9 @@
 }
 
 bool TeamQuota::within_cap(const Resources& total) const {
-  constexpr double kSlack = 1e-6;
+  constexpr double kTolerance = 1e-6;
   const auto gpus = gpus_limit(), cpus = cpus_limit();
-  return (!gpus || total.gpus <= *gpus + kSlack) && (!cpus || total.cpus <= *cpus + kSlack);
+  return (!gpus || total.gpus <= *gpus + kTolerance) && (!cpus || total.cpus <= *cpus + kTolerance);
 }
 
 bool TeamQuota::allows(const Resources& more) const {
@@ -109,10 +109,10 @@
 }
 
 bool TeamQuota::within_guarantee(const Resources& total) const {
-  constexpr double kSlack = 1e-6;
+  constexpr double kTolerance = 1e-6;
   if (limits.gpus <= 0 && limits.cpus <= 0) return false;
-  return (limits.gpus <= 0 || total.gpus <= limits.gpus + kSlack) &&
-         (limits.cpus <= 0 || total.cpus <= limits.cpus + kSlack);
+  return (limits.gpus <= 0 || total.gpus <= limits.gpus + kTolerance) &&
+         (limits.cpus <= 0 || total.cpus <= limits.cpus + kTolerance);
 }
 
 double TeamQuota::used_guarantee_fraction() const {
@@ -124,7 +124,7 @@
 }
 
 Tables::Tables(const Settings& settings) {
-  for (const Team& t : settings.teams) teams.push_back({t, {}, {}, {}});
+  for (const Team& limits : settings.teams) teams.push_back({limits, {}, {}, {}});
 }
 
 void Tables::clear() {
@@ -154,8 +154,8 @@
 }
 
 const MachineType* Tables::type(const std::string& name) const {
-  for (const MachineType& t : types)
-    if (t.name == name) return &t;
+  for (const MachineType& candidate : types)
+    if (candidate.name == name) return &candidate;
   return nullptr;
 }
 
--- a/tests/production/production_controller.cpp
+++ b/tests/production/production_controller.cpp
@@ -127,27 +127,29 @@
 
 old::Input translate(const Input& input) {
   return std::visit(
-      [](const auto& in) -> old::Input {
-        using T = std::decay_t<decltype(in)>;
+      [](const auto& new_input) -> old::Input {
+        using T = std::decay_t<decltype(new_input)>;
         if constexpr (std::is_same_v<T, Tick>) {
           return old::Tick{};
         } else if constexpr (std::is_same_v<T, UserRequest>) {
-          return old::UserRequest{translate(in.source), static_cast<old::UserOp>(in.op), in.id,
-                                  in.body};
+          return old::UserRequest{translate(new_input.source),
+                                  static_cast<old::UserOp>(new_input.op), new_input.id,
+                                  new_input.body};
         } else if constexpr (std::is_same_v<T, HeartbeatReceived>) {
-          return old::WorkerReport{translate(in.source), translate(in.heartbeat), in.encoded};
+          return old::WorkerReport{translate(new_input.source), translate(new_input.heartbeat),
+                                   new_input.encoded};
         } else if constexpr (std::is_same_v<T, KvResponseReceived>) {
-          return old::StateAnswer{in.call, translate(in.response)};
+          return old::StateAnswer{new_input.call, translate(new_input.response)};
         } else if constexpr (std::is_same_v<T, CloudResponseReceived>) {
-          return old::CloudAnswer{in.call, translate(in.response)};
+          return old::CloudAnswer{new_input.call, translate(new_input.response)};
         } else if constexpr (std::is_same_v<T, WorkerResponseReceived>) {
-          old::WorkerAnswer out{in.call, in.status, {}};
-          if (in.heartbeat) out.report = translate(*in.heartbeat);
+          old::WorkerAnswer out{new_input.call, new_input.status, {}};
+          if (new_input.heartbeat) out.report = translate(*new_input.heartbeat);
           return out;
         } else if constexpr (std::is_same_v<T, PeerMessageReceived>) {
-          return old::PeerInput{in.peer, translate(in.message)};
+          return old::PeerInput{new_input.peer, translate(new_input.message)};
         } else if constexpr (std::is_same_v<T, PeerDisconnected>) {
-          return old::PeerLost{in.peer};
+          return old::PeerLost{new_input.peer};
         } else {
           throw std::logic_error("the version in production does not have this kind of input");
         }
--- a/tools/capacity/main.cpp
+++ b/tools/capacity/main.cpp
@@ -14,14 +14,14 @@
   app.add_option("--measured", measurements, "Measurements (protobuf text format)")->required();
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kExitInvalidInput;
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? 0 : kExitInvalidInput;
   }
   try {
     std::cout << sailreel::capacity::tables(sailreel::capacity::load_measurements(measurements),
                                             sailreel::scale::load_plan(plan));
-  } catch (const sailreel::scale::PlanError& e) {
-    std::cerr << "sailreel-capacity: " << e.what() << '\n';
+  } catch (const sailreel::scale::PlanError& error) {
+    std::cerr << "sailreel-capacity: " << error.what() << '\n';
     return kExitInvalidInput;
   }
   return 0;
--- a/tools/scale/deployment.cpp
+++ b/tools/scale/deployment.cpp
@@ -158,8 +158,9 @@
   out << "federation {\n  region: \"" << plan.region(region).name() << "\"\n";
   for (int other = 0; other < plan.region_size(); ++other) {
     out << "  regions { name: \"" << plan.region(other).name() << '"';
-    for (std::uint32_t n = 0; other != region && n < plan.region(other).controllers(); ++n)
-      out << " address: \"" << relay_address(region, other, n) << '"';
+    for (std::uint32_t controller = 0;
+         other != region && controller < plan.region(other).controllers(); ++controller)
+      out << " address: \"" << relay_address(region, other, controller) << '"';
     out << " }\n";
   }
   const double equal_share = plan.fleet().team_gpus_max() / plan.region_size();
--- a/tools/scale/main.cpp
+++ b/tools/scale/main.cpp
@@ -92,8 +92,8 @@
   app.add_option("--begin-ms", begin_ms)->group("");
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kExitInvalidPlan;
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? 0 : kExitInvalidPlan;
   }
   std::signal(SIGPIPE, SIG_IGN);
   try {
@@ -107,11 +107,11 @@
     options.plan_path = plan_path;
     options.controller_program = controller;
     return run_plan(plan, std::move(options), report_path, directory);
-  } catch (const scale::PlanError& e) {
-    std::cerr << "sailreel-scale: " << e.what() << '\n';
+  } catch (const scale::PlanError& error) {
+    std::cerr << "sailreel-scale: " << error.what() << '\n';
     return kExitInvalidPlan;
-  } catch (const std::exception& e) {
-    std::cerr << "sailreel-scale: " << e.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "sailreel-scale: " << error.what() << '\n';
     return kExitNotCompleted;
   }
 }
--- a/tools/scale/process_stats.cpp
+++ b/tools/scale/process_stats.cpp
@@ -33,7 +33,7 @@
   std::istringstream fields(stat_line.substr(stat_line.rfind(')') + 1));
   std::string skipped;
   constexpr int kFieldsBeforeTimes = 11;
-  for (int n = 0; n < kFieldsBeforeTimes; ++n) fields >> skipped;
+  for (int field = 0; field < kFieldsBeforeTimes; ++field) fields >> skipped;
   double user = 0, system = 0;
   fields >> user >> system;
   std::ifstream memory(directory + "/statm");
--- a/tools/scale/region_process.cpp
+++ b/tools/scale/region_process.cpp
@@ -315,8 +315,8 @@
   out.set_region(plan_.region(options_.region).name());
   for (const auto& [rule, cases] : checker.violations()) {
     (*out.mutable_rules())[rule] = static_cast<std::uint32_t>(cases.size());
-    for (std::size_t n = 0; n < std::min(cases.size(), kMaxNamedViolations); ++n)
-      out.add_broken(rule + " " + cases[n]);
+    for (std::size_t index = 0; index < std::min(cases.size(), kMaxNamedViolations); ++index)
+      out.add_broken(rule + " " + cases[index]);
   }
   out.set_starts(checker.starts());
   out.set_jobs(checker.jobs());
--- a/tools/scale/relay.cpp
+++ b/tools/scale/relay.cpp
@@ -118,13 +118,14 @@
   if (plan.division() != SHARES) return;
   for (int from = 0; from < plan.region_size(); ++from)
     for (int to = 0; to < plan.region_size(); ++to)
-      for (std::uint32_t n = 0; from != to && n < plan.region(to).controllers(); ++n) {
+      for (std::uint32_t controller = 0; from != to && controller < plan.region(to).controllers();
+           ++controller) {
         auto route = std::make_unique<Route>();
         route->from = from;
         route->to = to;
-        route->target = controller_peer_address(to, n);
+        route->target = controller_peer_address(to, controller);
         route->listener = std::make_unique<Listener>(
-            loop, relay_address(from, to, n), plan.region(from).controllers(),
+            loop, relay_address(from, to, controller), plan.region(from).controllers(),
             [this, route = route.get()](uv_stream_t* server) { accept(*route, server); });
         routes_.push_back(std::move(route));
       }
--- a/tools/scale/report_builder.cpp
+++ b/tools/scale/report_builder.cpp
@@ -183,25 +183,26 @@
   std::map<std::string, const Process*> busiest;
   for (const auto& [pid, process] : processes_) {
     if (process.role != ProcessRole::Controller) continue;
-    const Process*& busiest_here = busiest[process.region];
-    if (busiest_here == nullptr || process.cpu_s > busiest_here->cpu_s) busiest_here = &process;
+    const Process*& busiest_in_region = busiest[process.region];
+    if (busiest_in_region == nullptr || process.cpu_s > busiest_in_region->cpu_s)
+      busiest_in_region = &process;
   }
   const auto add_process_role = [&](const std::string& name, const auto& in_role) {
     Role& role = add_role(report, name);
-    double cores = 0, max_cores = 0, memory = 0, max_memory_mb = 0;
+    double cores = 0, max_cores = 0, combined_memory_mb = 0, max_memory_mb = 0;
     std::uint32_t count = 0;
     for (const auto& [pid, process] : processes_) {
       if (!in_role(process)) continue;
       ++count;
       cores += process.cpu_s / seconds;
       max_cores = std::max(max_cores, process.cpu_s / seconds);
-      memory += process.memory_peak_mb;
+      combined_memory_mb += process.memory_peak_mb;
       max_memory_mb = std::max(max_memory_mb, process.memory_peak_mb);
     }
     role.set_processes(count);
     role.set_cores(cores);
     role.set_cores_of_largest(max_cores);
-    role.set_memory_peak_mb(memory);
+    role.set_memory_peak_mb(combined_memory_mb);
     role.set_memory_peak_mb_of_largest(max_memory_mb);
     return cores;
   };
--- a/tools/scale/workload.cpp
+++ b/tools/scale/workload.cpp
@@ -59,9 +59,10 @@
 void Workload::submit_services(std::uint32_t tasks, Time begin) {
   const std::uint32_t size = plan_.load().tasks_per_service();
   const std::uint32_t jobs = (tasks + size - 1) / size;
-  for (std::uint32_t n = 0; n < jobs; ++n) {
+  for (std::uint32_t index = 0; index < jobs; ++index) {
     const JobSpec spec = next_job(JobKind::Service, Priority::Normal, size);
-    const Time submit_at = begin + ms(plan_.load().ramp_s()) * n / std::max<std::uint32_t>(1, jobs);
+    const Time submit_at =
+        begin + ms(plan_.load().ramp_s()) * index / std::max<std::uint32_t>(1, jobs);
     region_.schedule(submit_at, [this, spec] { region_.submit(spec); });
   }
 }
