--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -72,28 +72,28 @@
 
 namespace {
 
-/// The smallest future limits that checkpoints work with: a commit writes the manifest and a shard
-/// of a few records.
+/// The smallest limits that `settings.state.next` may announce. A checkpoint commit needs at least
+/// these, because it writes the manifest and a shard of a few records.
 constexpr double kMinNextValueKb = 1;
 constexpr std::uint64_t kMinNextOperations = 3;
 /// The defaults of the gang scheduling times, as multiples of the workers' lease.
 constexpr double kDefaultGangWaitLeases = 2;
 constexpr double kDefaultGangPeerLeases = 0.25;
 
-// Lowers the limits to those announced for the key-value store in `state.next`, where these are
-// given.
+/// Lowers each limit of the key-value store to the one that `settings.state.next` announces, if it
+/// announces one.
 void apply_next_limits(const json::Value& state, Settings& settings) {
   const json::Value* next = json::member(state, "next");
   if (next == nullptr) return;
   const std::string path = "settings.state.next";
   if (!next->IsObject()) fail(path, "not an object");
-  const auto lower = [&](const char* name, double& limit) {
+  const auto lower_limit = [&](const char* name, double& limit) {
     if (json::member(*next, name) == nullptr) return;
     limit = std::min(limit, require_number(*next, name, path + "." + name, true));
   };
-  lower("rps", settings.store_limits.rps);
-  lower("write_rps", settings.store_limits.write_rps);
-  lower("value_kb", settings.store_limits.value_kb);
+  lower_limit("rps", settings.store_limits.rps);
+  lower_limit("write_rps", settings.store_limits.write_rps);
+  lower_limit("value_kb", settings.store_limits.value_kb);
   if (settings.store_limits.value_kb < kMinNextValueKb)
     fail(path + ".value_kb", "must be at least 1");
   if (json::member(*next, "txn_ops") == nullptr) return;
@@ -215,9 +215,9 @@
 
 }  // namespace
 
-Settings parse_settings(std::string_view input) {
+Settings parse_settings(std::string_view text) {
   json::Document file;
-  if (!json::parse_object(input, file)) fail("(file)", "not a JSON object");
+  if (!json::parse_object(text, file)) fail("(file)", "not a JSON object");
   Settings out;
   out.name = require_text(file, "label", "label");
   out.zone = require_text(file, "area", "area");
--- a/tools/scale/region_process.cpp
+++ b/tools/scale/region_process.cpp
@@ -284,7 +284,8 @@
   users_.close_timed_out();
   for (auto& [machine, sockets] : workers_) sockets.client->close_timed_out();
   timeout_check_timer_.set(kTimeoutCheckIntervalMs);
-  // The main process has ended, so nobody reads further messages. The reset ends the controllers.
+  // If the main process has ended, no process reads further messages. Resetting the region ends its
+  // controllers.
   if (getppid() != main_process_id_) {
     region_.reset();
     std::exit(1);
@@ -314,8 +315,8 @@
   out.set_region(plan_.region(options_.region).name());
   for (const auto& [rule, cases] : checker.violations()) {
     (*out.mutable_rules())[rule] = static_cast<std::uint32_t>(cases.size());
-    for (std::size_t n = 0; n < std::min(cases.size(), kMaxNamedViolations); ++n)
-      out.add_broken(rule + " " + cases[n]);
+    for (std::size_t index = 0; index < std::min(cases.size(), kMaxNamedViolations); ++index)
+      out.add_broken(rule + " " + cases[index]);
   }
   out.set_starts(checker.starts());
   out.set_jobs(checker.jobs());
--- a/tools/scale/relay.cpp
+++ b/tools/scale/relay.cpp
@@ -56,8 +56,8 @@
   bool forward_due(std::int64_t now) {
     if (const Cut* cut = relay_.cut_between(from_, to_)) return cut->hold;
     while (!queue_.empty() && queue_.front().due_ms <= now) {
-      // A failed write closes the receiver, and connection_closed() then changes the queue: the
-      // chunk must be out of it before.
+      // The chunk is removed from the queue before it is written, because a failed write closes the
+      // receiver and connection_closed() then changes the queue.
       Chunk chunk = std::move(queue_.front());
       queue_.pop_front();
       if (Connection* receiver = connection_for(chunk.to_outgoing))
@@ -118,13 +118,14 @@
   if (plan.division() != SHARES) return;
   for (int from = 0; from < plan.region_size(); ++from)
     for (int to = 0; to < plan.region_size(); ++to)
-      for (std::uint32_t n = 0; from != to && n < plan.region(to).controllers(); ++n) {
+      for (std::uint32_t controller = 0; from != to && controller < plan.region(to).controllers();
+           ++controller) {
         auto route = std::make_unique<Route>();
         route->from = from;
         route->to = to;
-        route->target = controller_peer_address(to, n);
+        route->target = controller_peer_address(to, controller);
         route->listener = std::make_unique<Listener>(
-            loop, relay_address(from, to, n), plan.region(from).controllers(),
+            loop, relay_address(from, to, controller), plan.region(from).controllers(),
             [this, route = route.get()](uv_stream_t* server) { accept(*route, server); });
         routes_.push_back(std::move(route));
       }
