--- a/sim/checker.hpp
+++ b/sim/checker.hpp
@@ -39,7 +39,7 @@
   void state_reported(const std::string& id, const std::string& state, Time now, Time requested_at);
   /// A user got a permanent rejection: 404 to a poll, 400 or 422 to a submission. That is a
   /// violation if the request was sent after the job had been accepted; `requested_at` is the time
-  /// of sending.
+  /// of sending. Without it, the request counts as sent after the acceptance.
   void rejected(const std::string& id, int status, bool poll) {
     rejected(id, status, poll, kNever);
   }
@@ -58,8 +58,9 @@
   /// A worker has accepted a start command.
   void start_accepted(const std::string& id);
 
-  /// Reports regularly whether a job waits although some machine has room for it and its team is
-  /// under its quota limit. After the faults have ended, that may last 90 s at the most.
+  /// Must be called regularly for each job. `possible` tells whether the job waits although some
+  /// machine has room for it and its team is under its quota limit. After the faults have ended, a
+  /// job may wait like this for 90 s at the most.
   void waiting_observed(const std::string& id, bool possible, Time now);
 
   /// A poll of a job failed. The job counts as forgotten if its polls fail for 90 s while other
@@ -70,9 +71,10 @@
   void task_started(const TaskKey& key, const TaskLocation& location, Time now);
   /// A task no longer occupies its machine; `completed` if it ran to its end.
   void task_ended(const TaskKey& key, const std::string& machine, bool completed);
-  /// All tasks of a gang complete together.
+  /// A gang has completed, and with it all of its tasks.
   void gang_completed(const std::string& id);
-  /// Checks the tasks that run at `now`. Must be called after each step of the simulation.
+  /// Checks that no task of a cancelled job runs beyond the time limit. Must be called after each
+  /// step of the simulation; checks at most once every 200 ms.
   void step(Time now);
   /// Checks that at least one task has started. Must be called at the end, when all faults have
   /// ended.
@@ -96,10 +98,12 @@
   [[nodiscard]] std::size_t jobs() const { return jobs_.size(); }
   /// The number of jobs that a user was told to be done or cancelled.
   [[nodiscard]] std::size_t jobs_over() const;
-  /// Accepted arrays and gangs, which end by themselves, whose end no user has been told.
+  /// The accepted arrays and gangs that no user was told to be done or cancelled. Services are left
+  /// out, because they don't end by themselves.
   [[nodiscard]] std::vector<std::string> unfinished_arrays() const;
 
  private:
+  /// What users were told about a job, and what its tasks did.
   struct JobHistory {
     std::optional<JobSpec> spec;
     bool cancel_requested = false, accepted = false, poll_failure_reported = false;
--- a/sim/fake_cloud.hpp
+++ b/sim/fake_cloud.hpp
@@ -25,8 +25,8 @@
   }
 };
 
-/// A launched machine. `up` is set once it has booted; a `broken` one never boots. Times are
-/// in simulated milliseconds: `boots_at` is when the machine comes up.
+/// A launched machine. `up` is set once it has booted; one with `never_boots` never does.
+/// Times are in simulated milliseconds: `boots_at` is when the machine comes up.
 struct CloudMachine {
   std::string name, address, type, zone;
   bool spot = false, up = false, never_boots = false;
@@ -36,10 +36,12 @@
 /// The name that the cloud gives to the `number`th machine that it launches.
 std::string machine_name(std::size_t number);
 
+/// Launches, lists and terminates machines at the request of controllers.
 class FakeCloud {
  public:
   explicit FakeCloud(std::uint64_t seed) : random_(seed) {}
 
+  /// The machine types that the cloud offers.
   std::vector<MachineType> types;
   /// The largest number of machines in each pool.
   std::map<InstancePool, std::uint32_t> capacity;
@@ -51,7 +53,9 @@
   std::uint32_t one_in_never_up = 25;
   /// Start of the address that each machine gets for itself; empty: addresses are made up.
   std::string address_prefix;
+  /// Called for each machine that is launched, also for one that never boots.
   std::function<void(const CloudMachine&)> on_launched;
+  /// Called with the name of each machine that a request terminates.
   std::function<void(const std::string&)> on_terminated;
 
   /// Executes a request and returns its response.
--- a/sim/fake_kv_store.hpp
+++ b/sim/fake_kv_store.hpp
@@ -13,6 +13,7 @@
 
 namespace sailreel::sim {
 
+/// Holds the keys, leases and watches of all controllers of a region.
 class FakeKvStore {
  public:
   using Reply = std::function<void(KvResponse)>;
@@ -21,16 +22,16 @@
   bool outage = false;
   /// Limits of a value in bytes and of the operations in a transaction.
   std::size_t value_limit = std::size_t{8} * 1024, ops_limit = 16;
-  std::size_t largest_watch_response_bytes =
-      0;                                  // bytes of values in the largest response to a watch
+  /// Size of the values in the largest response to a watch.
+  std::size_t largest_watch_response_bytes = 0;
   std::uint64_t over_limit_requests = 0;  // requests beyond the limits; controllers must send none
   std::uint64_t refused_writes = 0;       // requests that got 429 because of the rate of writes
 
   /// Requests above these rates get 429. Both rates allow bursts of one second's worth.
   void limit_rates(double requests_per_second, double writes_per_second);
 
-  /// Responds at once; a watch gets its response when a key changes or its wait is over. A request
-  /// that is to be `rejected` gets 503, and a watch no response.
+  /// Responds at once; a watch gets its response when a key changes or its wait is over. If
+  /// `rejected` is set, the request gets 503; a watch then gets no response.
   void handle(const KvRequest& request, bool rejected, Time now, Reply reply);
 
   /// Replaces a stored value by an unreadable one; false if the key doesn't exist.
--- a/sim/fault_injection.cpp
+++ b/sim/fault_injection.cpp
@@ -22,7 +22,7 @@
   BlockInbound,
   PreemptMachines,
   CutMachine,
-  CutMachineAgain,  // the same fault once more, so that it is drawn twice as often as the others
+  CutMachineAgain,  // the same as CutMachine, which is thus drawn twice as often as the others
   CutZone,
   FreezeController
 };
@@ -287,7 +287,7 @@
 
 // In operation, rules were broken where faults overlapped. Each simulation therefore has four
 // combinations of two or three faults that begin within 2.5 s of each other, while users poll
-// closely and cancel jobs.
+// intensively and cancel jobs.
 void SimulatedRegion::plan_overlapping_faults() {
   const Time span = plan_.faults_until - plan_.faults_from;
   schedule(plan_.faults_from, [this, span] {
--- a/sim/gangs.cpp
+++ b/sim/gangs.cpp
@@ -40,8 +40,8 @@
   run.completes_at = now_ + progress.total_ms - progress.saved_ms;
 }
 
-// Ends an attempt of which a running task is gone. Of the progress, only that up to the last
-// periodic checkpoint is kept.
+// Ends an attempt that has lost a running task. The gang keeps only the progress up to its last
+// periodic checkpoint.
 void SimulatedRegion::end_gang_attempt(const User& user, GangRun& run) {
   if (run.ended_at > 0) return;
   run.ended_at = now_;
--- a/sim/network_cuts.hpp
+++ b/sim/network_cuts.hpp
@@ -44,8 +44,8 @@
 
   /// The cut between two hosts that ends last; it may already be over.
   [[nodiscard]] NetworkCut between(const std::string& a, const std::string& b) const;
-  /// When a held message that is ready at `earliest` arrives: not before the messages that were
-  /// held earlier between the same sender and receiver.
+  /// Returns the time at which a held message arrives: `earliest`, or later if a message that was
+  /// held before between the same sender and receiver arrives later.
   Time arrival_of_held(const std::string& from, const std::string& to, Time earliest);
 
  private:
--- a/sim/simulated_region.hpp
+++ b/sim/simulated_region.hpp
@@ -50,12 +50,13 @@
   FakeKvStore& kv_store() { return kv_store_; }
   [[nodiscard]] const FakeKvStore& kv_store() const { return kv_store_; }
   FakeCloud& cloud() { return cloud_; }
-  /// The controller that runs on the node; null while it is down or runs the version in production.
+  /// The controller that runs on the node; null while it is down, runs the version in production or
+  /// runs in another process.
   [[nodiscard]] const Controller* controller(std::size_t node) const {
     return nodes_[node].controller ? nodes_[node].controller->controller() : nullptr;
   }
 
-  // --- What reaches the region from outside ---
+  // --- Inputs from outside of the region ---
 
   /// Delivers a message of another region to all controllers.
   void receive_region(const RegionMessage& message);
@@ -66,11 +67,12 @@
   void deliver_response(std::size_t node, const Response& response) {
     handle_node_response(node, response);
   }
-  /// Executes a direct command on a worker; `then` gets the response. There is none if the worker
-  /// is down or unreachable.
+  /// Executes a direct command on a worker; `then` gets the response. A worker that is down
+  /// or unreachable sends no response.
   void send_command(const std::string& machine, const std::string& body,
                     const std::function<void(int, const Heartbeat&)>& then);
-  /// Requests a worker's status; `then` gets the response, under the same conditions.
+  /// Requests a worker's status; `then` gets the response. A worker that is down or unreachable
+  /// sends no response.
   void inspect(const std::string& machine, const std::function<void(int, const Heartbeat&)>& then);
 
   // --- Faults of controllers ---
@@ -79,24 +81,26 @@
   void kill(std::size_t node, Time for_ms);
   /// Ends the node's controller, which restarts with the present version after `for_ms`.
   void upgrade(std::size_t node, Time for_ms);
-  /// Pauses the controller. Inputs that reach it meanwhile wait.
+  /// Pauses the controller. Inputs that arrive meanwhile reach it after the pause.
   void freeze(std::size_t node, Time for_ms);
   /// Makes each step of the controller take `factor` times as long.
   void slow_down(std::size_t node, double factor, Time for_ms);
 
   // --- Faults of the key-value store ---
 
-  /// Lowers the store's limits to the plan's next limits, without telling the controllers.
+  /// Lowers the store's limits to the plan's `lowered_*` values, without telling the
+  /// controllers.
   void lower_store_limits();
   /// Makes the store reject all requests.
   void kv_store_outage(Time for_ms);
   /// Makes the store reject all requests of one node.
   void reject_kv_requests(std::size_t node, Time for_ms);
   /// Loses the response to that share of compare-and-swap requests. The store applies the requests
-  /// either at once or 2 to 12 s late.
+  /// at once if `at_once` is set, and otherwise 2 to 12 s late.
   void lose_write_responses(double share, Time for_ms, bool at_once);
 
-  // --- Faults of the network: messages that a cut holds arrive after it, others are lost ---
+  // --- Faults of the network: messages sent during a cut arrive after it if `hold` is set, and are
+  // otherwise lost ---
 
   /// Cuts two hosts off from each other.
   void cut(const std::string& a, const std::string& b, Time for_ms, bool hold);
@@ -152,7 +156,8 @@
   void send_request(const std::string& id, std::size_t node, RequestOp op) {
     send_request_then(id, node, op, {});
   }
-  /// Does the same; `then` gets the status of the response.
+  /// Sends one request to that node, in addition to those that the job's user sends; `then` gets
+  /// the status of the response.
   void send_request_then(const std::string& id, std::size_t node, RequestOp op,
                          const std::function<void(int)>& then);
   /// Makes the users of `count` running jobs cancel them within 200 ms. If `hang_ms` is positive, a
@@ -208,7 +213,7 @@
   std::function<void(std::size_t region, const RegionMessage&)> on_region_message;
   /// Called when a task has its image and begins to occupy its machine; not called for gangs.
   std::function<void(const TaskKey&)> on_started;
-  /// Called when a worker has completed a task, before any controller hears of it.
+  /// Called when a worker has completed a task, before any controller is told.
   std::function<void(const TaskKey&, const std::string& machine)> on_completed;
   /// Called when a task that had begun no longer occupies its machine.
   std::function<void(const TaskKey&, const std::string& machine)> on_ended;
@@ -232,7 +237,8 @@
     bool busy = false;
     double slowdown_factor = 1;
     Time slow_until = 0;
-    std::set<std::uint64_t> direct_calls;  // waiting for a response, each on a socket of its own
+    /// Direct commands that wait for a response; each uses a socket of its own.
+    std::set<std::uint64_t> direct_calls;
   };
   /// One attempt of a task on a worker.
   struct TaskAttempt {
@@ -323,7 +329,8 @@
     Time until = 0;
   };
 
-  /// Updates the fake services every 20 ms, and the cloud's lists every second.
+  /// Updates the key-value store and delivers kept heartbeats every 20 ms. Every second, also
+  /// updates the cloud's lists and reports waiting jobs to the checker.
   void housekeeping();
 
   // --- Network (simulated_region.cpp) ---
@@ -344,7 +351,8 @@
   [[nodiscard]] std::size_t node_index(const std::string& name) const;
   /// The index of `other` in the list of peers of the controller on `node`.
   [[nodiscard]] std::optional<std::size_t> peer_index(std::size_t node, std::size_t other) const;
-  /// The node's steady clock. Each runs up to 0.05 % fast, because real clocks drift apart.
+  /// The node's steady clock. The clock of each process runs up to 0.05 % fast, because real clocks
+  /// drift apart.
   [[nodiscard]] Time steady_clock(std::size_t node) const;
   /// Returns a function that tells whether the process that now runs on the node still does.
   [[nodiscard]] std::function<bool()> still_alive(std::size_t node) const;
@@ -414,7 +422,7 @@
   [[nodiscard]] static bool gang_could_start(const JobSpec& spec, const Occupancy& current);
   [[nodiscard]] bool within_team_limit(const JobSpec& spec, const Occupancy& current) const;
 
-  // --- Users (users.cpp): `user` is an index ---
+  // --- Users (users.cpp), most of which are passed by their index in `users_` ---
 
   [[nodiscard]] const User* user_of(const std::string& job) const;
   void user_tick(std::size_t user);
--- a/sim/simulation_plan.hpp
+++ b/sim/simulation_plan.hpp
@@ -66,12 +66,12 @@
       make_controller;
   /// The operator's options for the controllers of the present version.
   Options options;
-  /// Messages cross real sockets, which delay and lose them, so that the simulation doesn't.
+  /// Whether messages cross real sockets. The simulation then adds no delays or random losses.
   bool over_sockets = false;
-  std::uint32_t scale = 1;  // of the capacity and the teams; 12 machines at 1
+  std::uint32_t scale = 1;  // factor on the capacity and the team limits; 12 machines at 1
   double loss = 0.002;      // share of messages that are lost
-  double late_heartbeat_copies =
-      0.01;  // share of heartbeats of which a copy is sent 1 to 41 s later
+  /// Share of heartbeats of which a copy is sent 1 to 41 s later.
+  double late_heartbeat_copies = 0.01;
   double heartbeat_interval_s = 1, lease_s = 10, cancel_s = 30;
   /// The processor of each controller. Inputs that reach a controller while it is busy wait, and
   /// its timers fire late.
--- a/sim/users.cpp
+++ b/sim/users.cpp
@@ -135,7 +135,7 @@
 }
 
 // A response of one node binds the responses of all nodes to later requests, so the checker gets
-// each of them.
+// every response.
 void SimulatedRegion::send_request_then(const std::string& id, std::size_t node, RequestOp op,
                                         const std::function<void(int)>& then) {
   const auto it = user_by_job_.find(id);
--- a/sim/workers.cpp
+++ b/sim/workers.cpp
@@ -282,7 +282,8 @@
   }
 }
 
-// Carries a direct command, or its response, which may be delayed by seconds.
+// Carries a direct command or its response. While `slow_commands` is in effect, half of them are
+// delayed by up to six seconds.
 void SimulatedRegion::transmit_command(const std::string& from, const std::string& to,
                                        std::function<void()> arrive) {
   if (affects_next(slow_commands_))
@@ -346,7 +347,7 @@
   then(200, make_heartbeat(it->second));
 }
 
-// Delivers a copy of a heartbeat to all controllers at once; its responses go nowhere.
+// Delivers a copy of a heartbeat to all controllers at once and discards their responses.
 void SimulatedRegion::deliver_to_all_controllers(const std::string& raw) {
   for (std::size_t node = 0; node < nodes_.size(); ++node)
     if (auto decoded = decode_heartbeat(raw)) feed(node, HeartbeatReceived{{}, *decoded, raw});
--- a/tests/support/controller_driver.hpp
+++ b/tests/support/controller_driver.hpp
@@ -46,7 +46,7 @@
   [[nodiscard]] const std::vector<std::string>& warnings() const { return warnings_; }
   const Controller& controller() const { return controller_; }
 
-  /// Writes a key of the checkpoint, as an earlier leader would have.
+  /// Writes a key of the checkpoint, as an earlier leader does.
   void write(const std::string& key, std::string value) {
     KvRequest request;
     request.kind = KvRequest::Kind::Txn;
@@ -103,7 +103,7 @@
     return responses_[call].status;
   }
 
-  /// Reads the checkpoint from the store, as another controller would.
+  /// Reads the checkpoint from the store, as another controller does.
   Snapshot checkpoint() {
     KvRequest list;
     list.kind = KvRequest::Kind::List;
--- a/tests/support/count_allocations.cpp
+++ b/tests/support/count_allocations.cpp
@@ -1,6 +1,6 @@
 // Counts the program's allocations. The program is linked with `--wrap` for the functions below, so
-// that calls from its object files and static libraries come here; calls from shared libraries
-// don't.
+// that calls from its object files and static libraries are counted; calls from shared
+// libraries are not.
 #include <cstdlib>
 #include <new>
 
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -60,6 +60,7 @@
 struct Scenario {
   const char* name;
   std::function<void(SimulatedRegion&, std::uint64_t seed)> run;
+  /// `SimulationPlan::boot_ms` of the simulation.
   Time boots_ms = 0;
 };
 // NOLINTNEXTLINE(readability-identifier-naming): GoogleTest looks for this name
@@ -116,7 +117,8 @@
   expect_rules_kept_and_nothing_left(region, seed);
 }
 
-/// The machines that hold tasks according to the present leader, which has heard from them.
+/// The machines that hold tasks according to the present leader, if it has accepted a heartbeat
+/// from them in its epoch.
 inline std::vector<std::string> busy_machines(const SimulatedRegion& region) {
   std::vector<std::string> out;
   if (region.leader() < 0) return out;
