--- a/sim/checker.cpp
+++ b/sim/checker.cpp
@@ -198,9 +198,9 @@
 }
 
 std::size_t Checker::jobs_over() const {
-  std::size_t n = 0;
-  for (const auto& [id, job] : jobs_) n += job.final_state.empty() ? 0 : 1;
-  return n;
+  std::size_t count = 0;
+  for (const auto& [id, job] : jobs_) count += job.final_state.empty() ? 0 : 1;
+  return count;
 }
 
 std::vector<std::string> Checker::unfinished_arrays() const {
--- a/sim/fake_cloud.cpp
+++ b/sim/fake_cloud.cpp
@@ -100,8 +100,8 @@
 
 void FakeCloud::launch(const CloudRequest& request, Time now, CloudResponse& response) {
   CloudMachine machine;
-  machine.name = machine_name(next_number_++);
-  machine.address = address_of(next_number_);
+  machine.name = machine_name(next_machine_number_++);
+  machine.address = address_of(next_machine_number_);
   machine.type = request.scale_out.type;
   machine.zone = request.scale_out.zone;
   machine.spot = request.scale_out.spot;
--- a/sim/fake_cloud.hpp
+++ b/sim/fake_cloud.hpp
@@ -78,7 +78,7 @@
   void launch(const CloudRequest& request, Time now, CloudResponse& response);
 
   pcg32 random_;
-  std::size_t next_number_ = 1;
+  std::size_t next_machine_number_ = 1;
   /// The machines launched for each scale-out request; a repeated request gets the same ones.
   std::map<std::string, std::vector<std::string>> names_by_request_;
   std::list<ListSnapshot> snapshots_;
--- a/sim/fault_injection.cpp
+++ b/sim/fault_injection.cpp
@@ -100,8 +100,9 @@
   kv_store_.limit_rates(settings_[0].store_limits.rps, plan_.lowered_write_rps);
 }
 
-void SimulatedRegion::cut(const std::string& a, const std::string& b, Time for_ms, bool hold) {
-  cuts_.cut(a, b, {now_ + for_ms, hold});
+void SimulatedRegion::cut(const std::string& host_a, const std::string& host_b, Time for_ms,
+                          bool hold) {
+  cuts_.cut(host_a, host_b, {now_ + for_ms, hold});
 }
 
 void SimulatedRegion::cut_zone(const std::string& zone, Time for_ms, bool hold) {
@@ -166,12 +167,12 @@
            });
 }
 
-void SimulatedRegion::block_inbound(const std::string& name, Time for_ms) {
-  workers_[name].inbound_blocked_until = now_ + for_ms;
+void SimulatedRegion::block_inbound(const std::string& machine, Time for_ms) {
+  workers_[machine].inbound_blocked_until = now_ + for_ms;
 }
 
-void SimulatedRegion::block_outbound(const std::string& name, Time for_ms) {
-  workers_[name].outbound_blocked_until = now_ + for_ms;
+void SimulatedRegion::block_outbound(const std::string& machine, Time for_ms) {
+  workers_[machine].outbound_blocked_until = now_ + for_ms;
 }
 
 void SimulatedRegion::isolate(std::size_t node, Time for_ms, bool hold) {
@@ -185,7 +186,7 @@
 }
 
 void SimulatedRegion::lose_write_responses(double share, Time for_ms, bool at_once) {
-  (at_once ? lost_responses_ : late_writes_) = {share, now_ + for_ms};
+  (at_once ? lost_write_responses_ : delayed_writes_) = {share, now_ + for_ms};
 }
 
 void SimulatedRegion::keep_heartbeats_for_next_leader(double share, Time for_ms) {
@@ -199,10 +200,10 @@
 void SimulatedRegion::slow_commands(Time for_ms) { slow_commands_ = {0.5, now_ + for_ms}; }
 
 void SimulatedRegion::cancel_on_completion(double share, Time for_ms) {
-  cancel_at_end_ = {share, now_ + for_ms};
+  cancel_on_completion_ = {share, now_ + for_ms};
 }
 
-void SimulatedRegion::poll_intensively(Time for_ms) { poll_closely_until_ = now_ + for_ms; }
+void SimulatedRegion::poll_intensively(Time for_ms) { poll_intensively_until_ = now_ + for_ms; }
 
 void SimulatedRegion::send_unusual_requests(Time for_ms) { send_unusual_request(now_ + for_ms); }
 
@@ -236,14 +237,14 @@
 
 void SimulatedRegion::plan_jobs() {
   std::set<std::string> ids;
-  for (std::uint32_t n = 0; n < plan_.jobs; ++n) {
+  for (std::uint32_t job_index = 0; job_index < plan_.jobs; ++job_index) {
     JobSpec spec;
     // IDs are unique and in random order, so that no code can rely on ascending ones.
     do spec.id = "job-" + std::to_string(100'000 + random_(900'000));
     while (!ids.insert(spec.id).second);
-    spec.job_class = n % 3 == 0 ? "batch" : "serve";
+    spec.job_class = job_index % 3 == 0 ? "batch" : "serve";
     spec.team = random_(3) == 0 ? "blue" : "red";
-    spec.kind = n % 3 == 0 ? JobKind::Array : JobKind::Service;
+    spec.kind = job_index % 3 == 0 ? JobKind::Array : JobKind::Service;
     spec.priority = spec.kind == JobKind::Array ? Priority::Low : static_cast<Priority>(random_(2));
     spec.tasks = spec.kind == JobKind::Array ? 1 + random_(8) : 1 + random_(2);
     if (plan_.scale > 1) spec.tasks *= 4;
@@ -259,8 +260,8 @@
       spec.checkpoint_s = 5;
       spec.save_s = 1;
     }
-    if (plan_.gangs && n % 3 == 1) make_gang(spec);
-    const Time when = n < plan_.jobs / 3
+    if (plan_.gangs && job_index % 3 == 1) make_gang(spec);
+    const Time when = job_index < plan_.jobs / 3
                           ? 500 + random_(2000)
                           : 5'000 + random_(static_cast<std::uint32_t>(plan_.length * 6 / 10));
     const bool cancelled = spec.kind == JobKind::Service || random_(6) == 0;
@@ -309,8 +310,8 @@
 }
 
 void SimulatedRegion::inject_overlapping_fault(std::uint32_t kind) {
-  const int lead = leader();
-  const std::size_t target = lead >= 0 ? static_cast<std::size_t>(lead) : random_(3);
+  const int leader_node = leader();
+  const std::size_t target = leader_node >= 0 ? static_cast<std::size_t>(leader_node) : random_(3);
   const auto up = machines_up();
   const std::string machine = up.empty() ? "" : up[random_(static_cast<std::uint32_t>(up.size()))];
   const Time lease = ms(plan_.lease_s);
@@ -373,8 +374,9 @@
 
 void SimulatedRegion::inject_single_fault(std::uint32_t kind) {
   const auto node = random_(3);
-  const int lead = leader();
-  const std::size_t target = lead >= 0 && random_(2) == 0 ? static_cast<std::size_t>(lead) : node;
+  const int leader_node = leader();
+  const std::size_t target =
+      leader_node >= 0 && random_(2) == 0 ? static_cast<std::size_t>(leader_node) : node;
   const auto up = machines_up();
   const std::string machine = up.empty() ? "" : up[random_(static_cast<std::uint32_t>(up.size()))];
   const Time span_ms = 2'000 + random_(25'000);
--- a/sim/gangs.cpp
+++ b/sim/gangs.cpp
@@ -80,7 +80,7 @@
   if (!run.done && run.stopped_at == 0 && run.ended_at == 0 && now_ >= run.completes_at) {
     run.done = progress.done = true;
     checker_.gang_completed(user.spec.id);
-    for (std::uint32_t i = 0; i < user.spec.tasks; ++i) completed({user.spec.id, i});
+    for (std::uint32_t i = 0; i < user.spec.tasks; ++i) record_completion({user.spec.id, i});
   }
   if (run.done) {
     end_task(worker, task, ExitCause::Done);
--- a/sim/network_cuts.hpp
+++ b/sim/network_cuts.hpp
@@ -38,12 +38,12 @@
   explicit NetworkCuts(ZoneOf zone_of) : zone_of_(std::move(zone_of)) {}
 
   /// Cuts two hosts off from each other. Replaces an earlier cut between them.
-  void cut(const std::string& a, const std::string& b, NetworkCut cut);
+  void cut(const std::string& host_a, const std::string& host_b, NetworkCut cut);
   /// Cuts a zone off from everything outside of it. Replaces an earlier cut of the zone.
-  void cut_zone(const std::string& zone, NetworkCut cut) { zones_[zone] = cut; }
+  void cut_zone(const std::string& zone, NetworkCut cut) { cuts_by_zone_[zone] = cut; }
 
   /// The cut between two hosts that ends last; it may already be over.
-  [[nodiscard]] NetworkCut between(const std::string& a, const std::string& b) const;
+  [[nodiscard]] NetworkCut between(const std::string& host_a, const std::string& host_b) const;
   /// Returns the time at which a held message arrives: `earliest`, or later if a message that was
   /// held before between the same sender and receiver arrives later.
   Time arrival_of_held(const std::string& from, const std::string& to, Time earliest);
@@ -51,15 +51,15 @@
  private:
   using HostPair = std::pair<std::string, std::string>;
   /// Sorts the hosts, because a cut works in both directions and their order doesn't matter.
-  static HostPair unordered(const std::string& a, const std::string& b) {
-    return std::minmax(a, b);
+  static HostPair sorted_pair(const std::string& host_a, const std::string& host_b) {
+    return std::minmax(host_a, host_b);
   }
 
   ZoneOf zone_of_;
-  std::map<HostPair, NetworkCut> hosts_;
-  std::map<std::string, NetworkCut> zones_;
+  std::map<HostPair, NetworkCut> cuts_by_hosts_;
+  std::map<std::string, NetworkCut> cuts_by_zone_;
   /// When the last held message arrives, by sender and receiver.
-  std::map<HostPair, Time> last_held_;
+  std::map<HostPair, Time> last_held_arrival_;
 };
 
 }  // namespace sailreel::sim
--- a/sim/simulated_federation.cpp
+++ b/sim/simulated_federation.cpp
@@ -21,7 +21,7 @@
   FederationOptions federation;
   federation.reserve_ratio = plan.reserve_ratio;
   for (std::size_t region = 0; region < plan.regions; ++region) {
-    names_.push_back(region_name(region));
+    region_names_.push_back(region_name(region));
     federation.regions.push_back({region_name(region), {"10.0.0.1:1"}});
     if (region == 0) continue;
     for (const auto& [team, gpus] : plan.initial_gpus)
@@ -56,7 +56,7 @@
   while (now_ < time) {
     now_ = std::min(time, now_ + kStepMs);
     for (auto& region : regions_) region->run_until(now_);
-    deliver_due();
+    deliver_due_messages();
     while (!fault_times_.empty() && fault_times_.back() <= now_) {
       fault_times_.pop_back();
       inject_fault();
@@ -88,7 +88,7 @@
   messages_due_.insert({arrives, {to, bytes}});
 }
 
-void SimulatedFederation::deliver_due() {
+void SimulatedFederation::deliver_due_messages() {
   while (!messages_due_.empty() && messages_due_.begin()->first <= now_) {
     const MessageInTransit arrived = std::move(messages_due_.begin()->second);
     messages_due_.erase(messages_due_.begin());
@@ -98,8 +98,8 @@
   }
 }
 
-void SimulatedFederation::cut(std::size_t a, std::size_t b, Time for_ms, bool hold) {
-  cuts_[std::minmax(a, b)] = {now_ + for_ms, hold};
+void SimulatedFederation::cut(std::size_t region_a, std::size_t region_b, Time for_ms, bool hold) {
+  cuts_[std::minmax(region_a, region_b)] = {now_ + for_ms, hold};
 }
 
 void SimulatedFederation::cut_off(std::size_t region, Time for_ms, bool hold) {
@@ -114,7 +114,7 @@
     if (auto value = decode_quota_share_value(key, store.value_of(key))) out.add(std::move(*value));
   };
   for (const auto& [team, limit] : limits_) add(share_key(team));
-  for (const std::string& name : names_) add(transfer_key(name));
+  for (const std::string& name : region_names_) add(transfer_key(name));
   return out;
 }
 
@@ -130,8 +130,8 @@
   for (std::size_t from = 0; from < regions_.size(); ++from)
     for (std::size_t to = 0; to < regions_.size(); ++to) {
       if (from == to) continue;
-      const TransferRecord sent = ledger(from).regions[names_[to]];
-      if (sent.sent <= ledger(to).regions[names_[from]].credited) continue;
+      const TransferRecord sent = ledger(from).regions[region_names_[to]];
+      if (sent.sent <= ledger(to).regions[region_names_[from]].credited) continue;
       for (const TeamAmounts& entry : sent.in_transit)
         if (entry.team == team) sum += entry.amounts;
     }
@@ -164,8 +164,8 @@
     if (record == own_ledger.teams.end()) return;
     const double share = static_cast<double>(record->second.share.gpus) / 1000;
     if (regions_[region]->checker().used_by(team).gpus > share + 1e-6)
-      violations_.try_emplace("share",
-                              team + " in " + names_[region] + " at " + std::to_string(now_));
+      violations_.try_emplace(
+          "share", team + " in " + region_names_[region] + " at " + std::to_string(now_));
   }
   const Amounts excess = ledger(0).teams[team].excess;
   const double sum = static_cast<double>((held(team) + in_transit(team) - excess).gpus) / 1000;
@@ -181,7 +181,7 @@
     out.append(rule).append(" (").append(what).append(") ");
   for (std::size_t region = 0; region < regions_.size(); ++region)
     if (const std::string summary = regions_[region]->checker().summary(); !summary.empty())
-      out.append(names_[region]).append(": ").append(summary);
+      out.append(region_names_[region]).append(": ").append(summary);
   return out;
 }
 
@@ -198,8 +198,8 @@
   SimulatedRegion& region = *regions_[target];
   const Time span = 3'000 + random_(20'000);
   const bool hold = random_(2) == 0;
-  const int lead = region.leader();
-  const std::size_t node = lead >= 0 ? static_cast<std::size_t>(lead) : random_(3);
+  const int leader_node = region.leader();
+  const std::size_t node = leader_node >= 0 ? static_cast<std::size_t>(leader_node) : random_(3);
   switch (random_(9)) {
     case 0:
     case 1:
--- a/sim/simulated_federation.hpp
+++ b/sim/simulated_federation.hpp
@@ -50,7 +50,7 @@
 
   /// Cuts two regions off from each other. Messages sent meanwhile are held until the cut ends if
   /// `hold` is set, and otherwise lost.
-  void cut(std::size_t a, std::size_t b, Time for_ms, bool hold);
+  void cut(std::size_t region_a, std::size_t region_b, Time for_ms, bool hold);
   /// Cuts a region off from all others.
   void cut_off(std::size_t region, Time for_ms, bool hold);
   /// Sets the limit of a team over all regions, in GPUs, that is checked from now on.
@@ -75,7 +75,7 @@
     std::string bytes;
   };
   void send(std::size_t from, std::size_t to, const RegionMessage& message);
-  void deliver_due();
+  void deliver_due_messages();
   void check();
   void check_shares(const std::string& team, double limit);
   void plan_faults();
@@ -84,7 +84,7 @@
   FederationPlan plan_;
   pcg32 random_;
   std::vector<std::unique_ptr<SimulatedRegion>> regions_;
-  std::vector<std::string> names_;
+  std::vector<std::string> region_names_;
   std::map<std::string, double> limits_;
   std::multimap<Time, MessageInTransit> messages_due_;
   std::map<std::pair<std::size_t, std::size_t>, NetworkCut> cuts_;
--- a/sim/simulated_region.cpp
+++ b/sim/simulated_region.cpp
@@ -40,7 +40,7 @@
   };
   for (std::size_t node = 0; node < nodes_.size(); ++node) nodes_[node].name = settings_[node].name;
   for (std::size_t node = 0; node < nodes_.size(); ++node) start_node(node);
-  housekeeping();
+  periodic_update();
   plan_jobs();
   if (plan.fault_pairs)
     plan_overlapping_faults();
@@ -50,14 +50,14 @@
 
 SimulatedRegion::~SimulatedRegion() = default;
 
-void SimulatedRegion::housekeeping() {
+void SimulatedRegion::periodic_update() {
   kv_store_.tick(now_);
   if (now_ % 1000 == 0) {
     cloud_.tick(now_, ms(settings_[0].cloud_limits.list_lag_s));
     report_waiting_jobs();
   }
   deliver_kept_heartbeats();
-  schedule(now_ + 20, [this] { housekeeping(); });
+  schedule(now_ + 20, [this] { periodic_update(); });
 }
 
 void SimulatedRegion::schedule(Time time, std::function<void()> run) {
@@ -185,13 +185,13 @@
   };
   schedule(now_ + call.timeout_ms, [finish] { finish(KvResponse{}); });
   const bool is_write = call.request.kind == KvRequest::Kind::Txn;
-  if (is_write && affects_next(late_writes_)) {
+  if (is_write && affects_next(delayed_writes_)) {
     schedule(now_ + 2'000 + random_(10'000), [this, request = call.request] {
       kv_store_.handle(request, false, now_, [](const KvResponse&) {});
     });
     return;
   }
-  const bool lost = is_write && affects_next(lost_responses_);
+  const bool lost = is_write && affects_next(lost_write_responses_);
   transmit(nodes_[node].name, kKvStoreHost, [this, node, lost, request = call.request, finish] {
     const bool refused = now_ < nodes_[node].kv_rejected_until;
     kv_store_.handle(request, refused, now_, [this, node, lost, finish](const KvResponse& reply) {
@@ -237,24 +237,25 @@
     feed(node, RegionMessageReceived{message});
 }
 
-void SimulatedRegion::change_team_limit(const std::string& name, double gpus_max) {
+void SimulatedRegion::change_team_limit(const std::string& team_name, double gpus_max) {
   constexpr Time kRestartIntervalMs = 4'000, kDowntimeMs = 300;
   for (std::size_t node = 0; node < nodes_.size(); ++node)
-    schedule(now_ + static_cast<Time>(node) * kRestartIntervalMs, [this, node, name, gpus_max] {
-      for (Team& team : settings_[node].teams)
-        if (team.name == name) team.gpus_max = gpus_max;
-      kill(node, kDowntimeMs);
-    });
+    schedule(now_ + static_cast<Time>(node) * kRestartIntervalMs,
+             [this, node, team_name, gpus_max] {
+               for (Team& team : settings_[node].teams)
+                 if (team.name == team_name) team.gpus_max = gpus_max;
+               kill(node, kDowntimeMs);
+             });
 }
 
 // Encodes and decodes the message as between real controllers, so that simulations cover the codec
 // too.
-void SimulatedRegion::perform(std::size_t node, const SendToPeer& peer) {
-  const std::string to = settings_[node].peers[peer.peer].name;
+void SimulatedRegion::perform(std::size_t node, const SendToPeer& send) {
+  const std::string to = settings_[node].peers[send.peer].name;
   const std::size_t receiver = node_index(to);
   // A link ends with the sending process, so its number encodes the node and its incarnation.
   const std::uint64_t link = nodes_[node].incarnation * nodes_.size() + node;
-  transmit(nodes_[node].name, to, [this, node, receiver, link, bytes = encode_peer(peer.message)] {
+  transmit(nodes_[node].name, to, [this, node, receiver, link, bytes = encode_peer(send.message)] {
     PeerReader reader;
     reader.feed(bytes);
     if (const auto message = reader.next()) receive(node, receiver, link, *message);
--- a/sim/simulated_region.hpp
+++ b/sim/simulated_region.hpp
@@ -62,7 +62,7 @@
   void receive_region(const RegionMessage& message);
   /// Changes a team's quota limit in the settings and restarts the controllers with them, one every
   /// 4 s.
-  void change_team_limit(const std::string& team, double gpus_max);
+  void change_team_limit(const std::string& team_name, double gpus_max);
   /// Delivers a response of a controller that runs in another process.
   void deliver_response(std::size_t node, const Response& response) {
     handle_node_response(node, response);
@@ -103,7 +103,7 @@
   // otherwise lost ---
 
   /// Cuts two hosts off from each other.
-  void cut(const std::string& a, const std::string& b, Time for_ms, bool hold);
+  void cut(const std::string& host_a, const std::string& host_b, Time for_ms, bool hold);
   /// Cuts the zone's controllers and machines off from everything outside of the zone.
   void cut_zone(const std::string& zone, Time for_ms, bool hold);
   /// Cuts the machine off from all controllers.
@@ -137,7 +137,7 @@
   /// Makes the cloud terminate the machine `in_ms` after a notice, as it does with spot instances.
   void preempt_machine(const std::string& name, Time in_ms);
   /// Makes every task that runs on the machine fail.
-  void make_faulty(const std::string& machine) { faulty_.insert(machine); }
+  void make_faulty(const std::string& machine) { faulty_machines_.insert(machine); }
 
   // --- Users ---
 
@@ -145,7 +145,7 @@
   void submit(const JobSpec& spec, Time cancel_at = 0);
   /// Submits a job whose tasks fail on every machine, until its user cancels it.
   void submit_failing(const JobSpec& spec, Time cancel_at) {
-    failing_.insert(spec.id);
+    failing_jobs_.insert(spec.id);
     submit(spec, cancel_at);
   }
   /// Submits the job once, to that node, without repetition; `then` gets the response's status.
@@ -331,7 +331,7 @@
 
   /// Updates the key-value store and delivers kept heartbeats every 20 ms. Every second, also
   /// updates the cloud's lists and reports waiting jobs to the checker.
-  void housekeeping();
+  void periodic_update();
 
   // --- Network (simulated_region.cpp) ---
 
@@ -370,7 +370,7 @@
   void perform(std::size_t node, const CallKvStore& call);
   void perform(std::size_t node, const CallCloud& call);
   void perform(std::size_t node, const CallWorker& call);
-  void perform(std::size_t node, const SendToPeer& peer);
+  void perform(std::size_t node, const SendToPeer& send);
   void perform(std::size_t node, const SendToRegion& send) const;
   void receive(std::size_t from, std::size_t to, std::uint64_t link, const PeerMessage& message);
   void receive_from_peer(std::size_t to, std::size_t from, const PeerMessage& message);
@@ -387,14 +387,14 @@
   Heartbeat make_heartbeat(Worker& worker);
   void send_heartbeat(Worker& worker);
   void deliver_heartbeat(Worker& worker, std::function<void()> arrive);
-  void handle_heartbeat_response(Worker& worker, std::uint64_t heartbeat_number, Time sent,
+  void handle_heartbeat_response(Worker& worker, std::uint64_t heartbeat_number, Time sent_at,
                                  std::uint64_t incarnation, int status, const std::string& body);
   /// Delivers the kept heartbeats to all controllers once a leader with a higher epoch is elected.
   void deliver_kept_heartbeats();
   void deliver_to_all_controllers(const std::string& raw);
   void execute(Worker& worker, const Command& command);
   void start_task(Worker& worker, const Command& command);
-  void stop_work(Worker& worker, TaskAttempt& task, const Command& command);
+  void stop_task(Worker& worker, TaskAttempt& task, const Command& command);
   void send_direct_command(std::size_t node, std::uint64_t call, const std::string& address,
                            const std::string& body);
   void execute_direct_command(std::size_t node, std::uint64_t call, const std::string& name,
@@ -425,17 +425,17 @@
   // --- Users (users.cpp), most of which are passed by their index in `users_` ---
 
   [[nodiscard]] const User* user_of(const std::string& job) const;
-  void user_tick(std::size_t user);
-  void schedule_user_tick(std::size_t user, Time when);
+  void user_tick(std::size_t index);
+  void schedule_user_tick(std::size_t index, Time when);
   /// Sends a request and returns the number of the call; `then` gets the response, unless it is
   /// lost or late.
   std::uint64_t request(std::size_t node, RequestOp op, const std::string& id,
                         const std::string& body, std::function<void(int, const std::string&)> then);
-  void handle_user_response(std::size_t user, RequestOp op, int status, const std::string& body);
-  void poll_all_nodes(std::size_t user);
+  void handle_user_response(std::size_t index, RequestOp op, int status, const std::string& body);
+  void poll_all_nodes(std::size_t index);
   void send_unusual_request(Time until);
-  void cancel_job_of(std::size_t user);
-  void completed(const TaskKey& key);
+  void cancel_job_of(std::size_t index);
+  void record_completion(const TaskKey& key);
 
   // --- Seeded plans (fault_injection.cpp) ---
 
@@ -472,14 +472,14 @@
   std::vector<std::unique_ptr<User>> users_;
   std::unordered_map<std::string, std::size_t> user_by_job_;
   NetworkCuts cuts_{[this](const std::string& host) { return zone_of(host); }};
-  PartialFault late_writes_, lost_responses_, kept_for_next_leader_, delayed_heartbeats_,
-      cancel_at_end_, slow_commands_;
-  Time poll_closely_until_ = 0;
+  PartialFault delayed_writes_, lost_write_responses_, kept_for_next_leader_, delayed_heartbeats_,
+      cancel_on_completion_, slow_commands_;
+  Time poll_intensively_until_ = 0;
   std::vector<std::string> kept_heartbeats_;
-  std::set<std::string> failing_, faulty_;
+  std::set<std::string> failing_jobs_, faulty_machines_;
   std::map<GangAttempt, GangRun> gang_runs_;
   std::map<std::string, GangProgress> gang_progress_;
-  std::uint64_t delivered_epoch_ = 0;
+  std::uint64_t kept_heartbeats_epoch_ = 0;
   std::uint64_t next_unusual_job_ = 1;
   std::uint64_t next_call_ = 1;
   std::map<std::uint64_t, std::function<void(int, const std::string&)>> response_handlers_;
--- a/sim/users.cpp
+++ b/sim/users.cpp
@@ -11,7 +11,7 @@
   return op == RequestOp::Query ? kQueryTimeoutMs : kSubmitTimeoutMs;
 }
 
-bool accepted(int status) { return status == 200 || status == 201; }
+bool is_success(int status) { return status == 200 || status == 201; }
 
 }  // namespace
 
@@ -90,7 +90,7 @@
                   return handle_user_response(index, op, status, body);
                 // The user has sent a newer request since; later responses must agree with this one
                 // all the same.
-                if (accepted(status))
+                if (is_success(status))
                   checker_.state_reported(users_[index]->spec.id, decode_job_state(body), now_,
                                           requested_at);
               });
@@ -109,7 +109,7 @@
   user.call = 0;
   if (op == RequestOp::Submit && status == 0) ++unanswered_submissions_;
   if (op == RequestOp::Cancel && status == 0) ++unanswered_cancellations_;
-  if (accepted(status)) {
+  if (is_success(status)) {
     const std::string state = decode_job_state(body);
     if (state.empty()) {
       ++malformed_responses_;
@@ -121,16 +121,16 @@
       checker_.state_reported(user.spec.id, state, now_, user.requested_at);
       const bool just_ended = !user.ended && (state == "done" || state == "cancelled");
       user.ended = user.ended || just_ended;
-      if ((first || just_ended) && now_ < poll_closely_until_) poll_all_nodes(index);
+      if ((first || just_ended) && now_ < poll_intensively_until_) poll_all_nodes(index);
     }
   } else if (op == RequestOp::Query && status != 404) {
     checker_.poll_failed(user.spec.id, now_);
   } else if (status == 404 || status == 400 || status == 422) {
     checker_.rejected(user.spec.id, status, op != RequestOp::Submit, user.requested_at);
   }
-  const Time pause =
-      accepted(status) ? (user.ended ? 20'000 : kPollIntervalMs) + static_cast<Time>(random_(1000))
-                       : 1000 + static_cast<Time>(random_(200));
+  const Time pause = is_success(status) ? (user.ended ? 20'000 : kPollIntervalMs) +
+                                              static_cast<Time>(random_(1000))
+                                        : 1000 + static_cast<Time>(random_(200));
   schedule_user_tick(index, now_ + pause);
 }
 
@@ -144,9 +144,9 @@
   if (op == RequestOp::Cancel) checker_.cancel_requested(id);
   request(node, op, id, body, [=, this](int status, const std::string& text) {
     if (then) then(status);
-    if (op == RequestOp::Cancel && accepted(status))
+    if (op == RequestOp::Cancel && is_success(status))
       checker_.cancel_state_reported(id, decode_job_state(text));
-    if (accepted(status))
+    if (is_success(status))
       checker_.state_reported(id, decode_job_state(text), now_, requested_at);
     else if (status == 404 || status == 400 || status == 422)
       checker_.rejected(id, status, op != RequestOp::Submit, requested_at);
@@ -173,7 +173,7 @@
 
 void SimulatedRegion::cancel(const std::string& id) { cancel_job_of(user_by_job_.at(id)); }
 
-void SimulatedRegion::completed(const TaskKey& key) {
+void SimulatedRegion::record_completion(const TaskKey& key) {
   if (const auto it = user_by_job_.find(key.job); it != user_by_job_.end())
     users_[it->second]->completed.insert(key.index);
 }
@@ -202,7 +202,7 @@
   if (kind == 2) body.replace(body.find("\"ram_gb\""), 8, "\"ram_xx\"");
   const RequestOp op = kind == 3 ? RequestOp::Query : RequestOp::Submit;
   request(node, op, spec.id, body, [this, id = spec.id](int status, const std::string&) {
-    if (accepted(status)) checker_.accepted_unfit(id);
+    if (is_success(status)) checker_.accepted_unfit(id);
   });
 }
 
--- a/sim/workers.cpp
+++ b/sim/workers.cpp
@@ -71,14 +71,15 @@
   const User* user = user_of(status.key.job);
   if (is_gang(user)) return advance_gang(worker, task, *user);
   if (status.state == RunState::Fetching && now_ >= task.image_ready_at) begin_task(worker, task);
-  const bool fails = failing_.contains(status.key.job) || faulty_.contains(worker.machine.name);
+  const bool fails =
+      failing_jobs_.contains(status.key.job) || faulty_machines_.contains(worker.machine.name);
   if (status.state == RunState::Running && now_ >= task.image_ready_at + 300 && fails) {
     end_task(worker, task, ExitCause::Error);
   } else if (status.state == RunState::Running && task.completes_at > 0 &&
              now_ >= task.completes_at) {
     worker.done.insert(task_name(status.key));
     end_task(worker, task, ExitCause::Done);
-    completed(status.key);
+    record_completion(status.key);
     if (on_completed) on_completed(status.key, worker.machine.name);
   }
   if (status.state == RunState::Saving && now_ >= task.save_done_at) {
@@ -104,7 +105,7 @@
         worker.done.contains(task_name(status.key))
             ? now_
             : now_ + static_cast<Time>(user->spec.estimate_s * (500 + random_(1000)));
-  if (task.completes_at > 0 && affects_next(cancel_at_end_))
+  if (task.completes_at > 0 && affects_next(cancel_on_completion_))
     schedule(task.completes_at - 50 + random_(200),
              [this, id = user->spec.id] { cancel_job_of(user_by_job_.at(id)); });
 }
@@ -120,7 +121,7 @@
 void SimulatedRegion::send_heartbeat(Worker& worker) {
   const std::string name = worker.machine.name;
   const Heartbeat heartbeat = make_heartbeat(worker);
-  const Time sent = now_;
+  const Time sent_at = now_;
   const std::uint64_t heartbeat_number = ++worker.heartbeat_number,
                       incarnation = worker.incarnation;
   worker.heartbeat_in_flight = true;
@@ -131,13 +132,13 @@
                           static_cast<Time>(random_(static_cast<std::uint32_t>(interval / 2)));
   const std::size_t node = worker.node;
   const std::uint64_t call = next_call_++;
-  const auto finish = [this, name, heartbeat_number, sent, incarnation](int status,
-                                                                        const std::string& body) {
+  const auto finish = [this, name, heartbeat_number, sent_at, incarnation](
+                          int status, const std::string& body) {
     const auto it = workers_.find(name);
     if (it == workers_.end() || !it->second.alive || now_ < it->second.inbound_blocked_until)
       return;
     if (now_ < it->second.outbound_blocked_until) return;
-    handle_heartbeat_response(it->second, heartbeat_number, sent, incarnation, status, body);
+    handle_heartbeat_response(it->second, heartbeat_number, sent_at, incarnation, status, body);
   };
   response_handlers_[call] = [this, node, name, finish](int status, const std::string& body) {
     transmit(nodes_[node].name, name, [finish, status, body] { finish(status, body); });
@@ -159,11 +160,11 @@
   if (affects_next(delayed_heartbeats_))
     schedule(now_ + 2'000 + random_(static_cast<std::uint32_t>(2'500 * plan_.lease_s)),
              [this, raw] { deliver_to_all_controllers(raw); });
-  schedule(now_ + kHeartbeatTimeoutMs, [this, name, call, heartbeat_number, sent, incarnation] {
+  schedule(now_ + kHeartbeatTimeoutMs, [this, name, call, heartbeat_number, sent_at, incarnation] {
     response_handlers_.erase(call);
     const auto it = workers_.find(name);
     if (it != workers_.end() && it->second.alive)
-      handle_heartbeat_response(it->second, heartbeat_number, sent, incarnation, 0, "");
+      handle_heartbeat_response(it->second, heartbeat_number, sent_at, incarnation, 0, "");
   });
 }
 
@@ -179,7 +180,7 @@
 }
 
 void SimulatedRegion::handle_heartbeat_response(Worker& worker, std::uint64_t heartbeat_number,
-                                                Time sent, std::uint64_t incarnation, int status,
+                                                Time sent_at, std::uint64_t incarnation, int status,
                                                 const std::string& body) {
   if (!worker.heartbeat_in_flight || worker.heartbeat_number != heartbeat_number) return;
   worker.heartbeat_in_flight = false;
@@ -192,7 +193,7 @@
       return;
     if (batch->fencing_token > worker.fencing_token) worker.status_changed = true;
     worker.fencing_token = batch->fencing_token;
-    worker.last_accepted_sent_at = std::max(worker.last_accepted_sent_at, sent);
+    worker.last_accepted_sent_at = std::max(worker.last_accepted_sent_at, sent_at);
     for (const Command& command : batch->commands) execute(worker, command);
     return;
   }
@@ -208,7 +209,7 @@
   worker.next_heartbeat = now_ + 1000;
 }
 
-void SimulatedRegion::stop_work(Worker& worker, TaskAttempt& task, const Command& command) {
+void SimulatedRegion::stop_task(Worker& worker, TaskAttempt& task, const Command& command) {
   if (task.status.state == RunState::Exited) return;
   const User* user = user_of(command.key.job);
   if (is_gang(user)) return stop_gang_task(task, *user, command.grace_s, worker);
@@ -271,7 +272,7 @@
       if (attempt == attempts.end()) start_task(worker, command);
       return;
     case Command::Op::Stop:
-      if (attempt != attempts.end()) stop_work(worker, *attempt, command);
+      if (attempt != attempts.end()) stop_task(worker, *attempt, command);
       return;
     case Command::Op::Forget:
       if (attempt != attempts.end() && attempt->status.state == RunState::Exited) {
@@ -315,13 +316,13 @@
   });
 }
 
-void SimulatedRegion::send_command(const std::string& name, const std::string& body,
+void SimulatedRegion::send_command(const std::string& machine, const std::string& body,
                                    const std::function<void(int, const Heartbeat&)>& then) {
-  const auto it = workers_.find(name);
+  const auto it = workers_.find(machine);
   if (it == workers_.end() || !it->second.alive || now_ < it->second.inbound_blocked_until) return;
   Worker& worker = it->second;
   if (now_ < worker.hang_until)  // a hung worker executes the command once it recovers
-    return schedule(worker.hang_until + 5, [=, this] { send_command(name, body, then); });
+    return schedule(worker.hang_until + 5, [=, this] { send_command(machine, body, then); });
   int status = 400;
   const auto batch = decode_commands(body);
   if (batch && batch->incarnation) {
@@ -338,12 +339,12 @@
   then(status, make_heartbeat(worker));
 }
 
-void SimulatedRegion::inspect(const std::string& name,
+void SimulatedRegion::inspect(const std::string& machine,
                               const std::function<void(int, const Heartbeat&)>& then) {
-  const auto it = workers_.find(name);
+  const auto it = workers_.find(machine);
   if (it == workers_.end() || !it->second.alive || now_ < it->second.inbound_blocked_until) return;
   if (now_ < it->second.hang_until)
-    return schedule(it->second.hang_until + 5, [=, this] { inspect(name, then); });
+    return schedule(it->second.hang_until + 5, [=, this] { inspect(machine, then); });
   then(200, make_heartbeat(it->second));
 }
 
@@ -354,11 +355,11 @@
 }
 
 void SimulatedRegion::deliver_kept_heartbeats() {
-  const int lead = leader();
-  if (lead < 0) return;
-  const std::uint64_t epoch = nodes_[static_cast<std::size_t>(lead)].controller->epoch();
-  if (epoch <= delivered_epoch_) return;
-  delivered_epoch_ = epoch;
+  const int leader_node = leader();
+  if (leader_node < 0) return;
+  const std::uint64_t epoch = nodes_[static_cast<std::size_t>(leader_node)].controller->epoch();
+  if (epoch <= kept_heartbeats_epoch_) return;
+  kept_heartbeats_epoch_ = epoch;
   for (const std::string& raw : kept_heartbeats_)
     schedule(now_ + random_(300), [this, raw] { deliver_to_all_controllers(raw); });
   kept_heartbeats_.clear();
--- a/tests/support/behaviour_digest.cpp
+++ b/tests/support/behaviour_digest.cpp
@@ -19,7 +19,7 @@
       add_number(controller);
       add_number(static_cast<std::uint64_t>(action.index()));
     }
-    std::visit([this](const auto& a) { add_action(a); }, action);
+    std::visit([this](const auto& chosen) { add_action(chosen); }, action);
   }
 }
 
--- a/tests/support/scenarios.hpp
+++ b/tests/support/scenarios.hpp
@@ -69,7 +69,7 @@
   return info.param.name;
 }
 
-inline std::string job_id(std::size_t n) { return "job-" + std::to_string(n); }
+inline std::string job_id(std::size_t number) { return "job-" + std::to_string(number); }
 
 /// Submits `count` jobs, numbered from `first`, within half a minute: services that keep running,
 /// and arrays of one to three tasks with run times that differ widely. The jobs belong to two
@@ -77,10 +77,10 @@
 inline void submit_mixed_jobs(SimulatedRegion& region, std::size_t first, std::size_t count,
                               std::uint64_t seed) {
   pcg32 random(seed * 77 + first);
-  for (std::size_t n = first; n < first + count; ++n) {
-    JobSpec spec = n % 2 == 0 ? service_job(job_id(n), 1 + random(2))
-                              : array_job(job_id(n), 1 + random(3), 6 + random(50));
-    spec.team = n % 3 == 0 ? "blue" : "red";
+  for (std::size_t number = first; number < first + count; ++number) {
+    JobSpec spec = number % 2 == 0 ? service_job(job_id(number), 1 + random(2))
+                                   : array_job(job_id(number), 1 + random(3), 6 + random(50));
+    spec.team = number % 3 == 0 ? "blue" : "red";
     spec.image = "img-" + std::to_string(random(3));
     spec.priority = spec.kind == JobKind::Array ? Priority::Low : static_cast<Priority>(random(2));
     spec.spread = spec.kind == JobKind::Service && random(2) == 0;
