--- a/sim/gangs.cpp
+++ b/sim/gangs.cpp
@@ -40,8 +40,8 @@
   run.completes_at = now_ + progress.total_ms - progress.saved_ms;
 }
 
-// Ends an attempt of which a running task is gone. Of the progress, only that up to the last
-// periodic checkpoint is kept.
+// Ends an attempt that has lost a running task. The gang keeps only the progress up to its last
+// periodic checkpoint.
 void SimulatedRegion::end_gang_attempt(const User& user, GangRun& run) {
   if (run.ended_at > 0) return;
   run.ended_at = now_;
@@ -80,7 +80,7 @@
   if (!run.done && run.stopped_at == 0 && run.ended_at == 0 && now_ >= run.completes_at) {
     run.done = progress.done = true;
     checker_.gang_completed(user.spec.id);
-    for (std::uint32_t i = 0; i < user.spec.tasks; ++i) completed({user.spec.id, i});
+    for (std::uint32_t i = 0; i < user.spec.tasks; ++i) record_completion({user.spec.id, i});
   }
   if (run.done) {
     end_task(worker, task, ExitCause::Done);
--- a/sim/simulated_region.hpp
+++ b/sim/simulated_region.hpp
@@ -50,27 +50,29 @@
   FakeKvStore& kv_store() { return kv_store_; }
   [[nodiscard]] const FakeKvStore& kv_store() const { return kv_store_; }
   FakeCloud& cloud() { return cloud_; }
-  /// The controller that runs on the node; null while it is down or runs the version in production.
+  /// The controller that runs on the node; null while it is down, runs the version in production or
+  /// runs in another process.
   [[nodiscard]] const Controller* controller(std::size_t node) const {
     return nodes_[node].controller ? nodes_[node].controller->controller() : nullptr;
   }
 
-  // --- What reaches the region from outside ---
+  // --- Inputs from outside of the region ---
 
   /// Delivers a message of another region to all controllers.
   void receive_region(const RegionMessage& message);
   /// Changes a team's quota limit in the settings and restarts the controllers with them, one every
   /// 4 s.
-  void change_team_limit(const std::string& team, double gpus_max);
+  void change_team_limit(const std::string& team_name, double gpus_max);
   /// Delivers a response of a controller that runs in another process.
   void deliver_response(std::size_t node, const Response& response) {
     handle_node_response(node, response);
   }
-  /// Executes a direct command on a worker; `then` gets the response. There is none if the worker
-  /// is down or unreachable.
+  /// Executes a direct command on a worker; `then` gets the response. A worker that is down
+  /// or unreachable sends no response.
   void send_command(const std::string& machine, const std::string& body,
                     const std::function<void(int, const Heartbeat&)>& then);
-  /// Requests a worker's status; `then` gets the response, under the same conditions.
+  /// Requests a worker's status; `then` gets the response. A worker that is down or unreachable
+  /// sends no response.
   void inspect(const std::string& machine, const std::function<void(int, const Heartbeat&)>& then);
 
   // --- Faults of controllers ---
@@ -79,27 +81,29 @@
   void kill(std::size_t node, Time for_ms);
   /// Ends the node's controller, which restarts with the present version after `for_ms`.
   void upgrade(std::size_t node, Time for_ms);
-  /// Pauses the controller. Inputs that reach it meanwhile wait.
+  /// Pauses the controller. Inputs that arrive meanwhile reach it after the pause.
   void freeze(std::size_t node, Time for_ms);
   /// Makes each step of the controller take `factor` times as long.
   void slow_down(std::size_t node, double factor, Time for_ms);
 
   // --- Faults of the key-value store ---
 
-  /// Lowers the store's limits to the plan's next limits, without telling the controllers.
+  /// Lowers the store's limits to the plan's `lowered_*` values, without telling the
+  /// controllers.
   void lower_store_limits();
   /// Makes the store reject all requests.
   void kv_store_outage(Time for_ms);
   /// Makes the store reject all requests of one node.
   void reject_kv_requests(std::size_t node, Time for_ms);
   /// Loses the response to that share of compare-and-swap requests. The store applies the requests
-  /// either at once or 2 to 12 s late.
+  /// at once if `at_once` is set, and otherwise 2 to 12 s late.
   void lose_write_responses(double share, Time for_ms, bool at_once);
 
-  // --- Faults of the network: messages that a cut holds arrive after it, others are lost ---
+  // --- Faults of the network: messages sent during a cut arrive after it if `hold` is set, and are
+  // otherwise lost ---
 
   /// Cuts two hosts off from each other.
-  void cut(const std::string& a, const std::string& b, Time for_ms, bool hold);
+  void cut(const std::string& host_a, const std::string& host_b, Time for_ms, bool hold);
   /// Cuts the zone's controllers and machines off from everything outside of the zone.
   void cut_zone(const std::string& zone, Time for_ms, bool hold);
   /// Cuts the machine off from all controllers.
@@ -133,7 +137,7 @@
   /// Makes the cloud terminate the machine `in_ms` after a notice, as it does with spot instances.
   void preempt_machine(const std::string& name, Time in_ms);
   /// Makes every task that runs on the machine fail.
-  void make_faulty(const std::string& machine) { faulty_.insert(machine); }
+  void make_faulty(const std::string& machine) { faulty_machines_.insert(machine); }
 
   // --- Users ---
 
@@ -141,7 +145,7 @@
   void submit(const JobSpec& spec, Time cancel_at = 0);
   /// Submits a job whose tasks fail on every machine, until its user cancels it.
   void submit_failing(const JobSpec& spec, Time cancel_at) {
-    failing_.insert(spec.id);
+    failing_jobs_.insert(spec.id);
     submit(spec, cancel_at);
   }
   /// Submits the job once, to that node, without repetition; `then` gets the response's status.
@@ -152,7 +156,8 @@
   void send_request(const std::string& id, std::size_t node, RequestOp op) {
     send_request_then(id, node, op, {});
   }
-  /// Does the same; `then` gets the status of the response.
+  /// Sends one request to that node, in addition to those that the job's user sends; `then` gets
+  /// the status of the response.
   void send_request_then(const std::string& id, std::size_t node, RequestOp op,
                          const std::function<void(int)>& then);
   /// Makes the users of `count` running jobs cancel them within 200 ms. If `hang_ms` is positive, a
@@ -208,7 +213,7 @@
   std::function<void(std::size_t region, const RegionMessage&)> on_region_message;
   /// Called when a task has its image and begins to occupy its machine; not called for gangs.
   std::function<void(const TaskKey&)> on_started;
-  /// Called when a worker has completed a task, before any controller hears of it.
+  /// Called when a worker has completed a task, before any controller is told.
   std::function<void(const TaskKey&, const std::string& machine)> on_completed;
   /// Called when a task that had begun no longer occupies its machine.
   std::function<void(const TaskKey&, const std::string& machine)> on_ended;
@@ -232,7 +237,8 @@
     bool busy = false;
     double slowdown_factor = 1;
     Time slow_until = 0;
-    std::set<std::uint64_t> direct_calls;  // waiting for a response, each on a socket of its own
+    /// Direct commands that wait for a response; each uses a socket of its own.
+    std::set<std::uint64_t> direct_calls;
   };
   /// One attempt of a task on a worker.
   struct TaskAttempt {
@@ -323,8 +329,9 @@
     Time until = 0;
   };
 
-  /// Updates the fake services every 20 ms, and the cloud's lists every second.
-  void housekeeping();
+  /// Updates the key-value store and delivers kept heartbeats every 20 ms. Every second, also
+  /// updates the cloud's lists and reports waiting jobs to the checker.
+  void periodic_update();
 
   // --- Network (simulated_region.cpp) ---
 
@@ -344,7 +351,8 @@
   [[nodiscard]] std::size_t node_index(const std::string& name) const;
   /// The index of `other` in the list of peers of the controller on `node`.
   [[nodiscard]] std::optional<std::size_t> peer_index(std::size_t node, std::size_t other) const;
-  /// The node's steady clock. Each runs up to 0.05 % fast, because real clocks drift apart.
+  /// The node's steady clock. The clock of each process runs up to 0.05 % fast, because real clocks
+  /// drift apart.
   [[nodiscard]] Time steady_clock(std::size_t node) const;
   /// Returns a function that tells whether the process that now runs on the node still does.
   [[nodiscard]] std::function<bool()> still_alive(std::size_t node) const;
@@ -362,7 +370,7 @@
   void perform(std::size_t node, const CallKvStore& call);
   void perform(std::size_t node, const CallCloud& call);
   void perform(std::size_t node, const CallWorker& call);
-  void perform(std::size_t node, const SendToPeer& peer);
+  void perform(std::size_t node, const SendToPeer& send);
   void perform(std::size_t node, const SendToRegion& send) const;
   void receive(std::size_t from, std::size_t to, std::uint64_t link, const PeerMessage& message);
   void receive_from_peer(std::size_t to, std::size_t from, const PeerMessage& message);
@@ -379,14 +387,14 @@
   Heartbeat make_heartbeat(Worker& worker);
   void send_heartbeat(Worker& worker);
   void deliver_heartbeat(Worker& worker, std::function<void()> arrive);
-  void handle_heartbeat_response(Worker& worker, std::uint64_t heartbeat_number, Time sent,
+  void handle_heartbeat_response(Worker& worker, std::uint64_t heartbeat_number, Time sent_at,
                                  std::uint64_t incarnation, int status, const std::string& body);
   /// Delivers the kept heartbeats to all controllers once a leader with a higher epoch is elected.
   void deliver_kept_heartbeats();
   void deliver_to_all_controllers(const std::string& raw);
   void execute(Worker& worker, const Command& command);
   void start_task(Worker& worker, const Command& command);
-  void stop_work(Worker& worker, TaskAttempt& task, const Command& command);
+  void stop_task(Worker& worker, TaskAttempt& task, const Command& command);
   void send_direct_command(std::size_t node, std::uint64_t call, const std::string& address,
                            const std::string& body);
   void execute_direct_command(std::size_t node, std::uint64_t call, const std::string& name,
@@ -414,20 +422,20 @@
   [[nodiscard]] static bool gang_could_start(const JobSpec& spec, const Occupancy& current);
   [[nodiscard]] bool within_team_limit(const JobSpec& spec, const Occupancy& current) const;
 
-  // --- Users (users.cpp): `user` is an index ---
+  // --- Users (users.cpp), most of which are passed by their index in `users_` ---
 
   [[nodiscard]] const User* user_of(const std::string& job) const;
-  void user_tick(std::size_t user);
-  void schedule_user_tick(std::size_t user, Time when);
+  void user_tick(std::size_t index);
+  void schedule_user_tick(std::size_t index, Time when);
   /// Sends a request and returns the number of the call; `then` gets the response, unless it is
   /// lost or late.
   std::uint64_t request(std::size_t node, RequestOp op, const std::string& id,
                         const std::string& body, std::function<void(int, const std::string&)> then);
-  void handle_user_response(std::size_t user, RequestOp op, int status, const std::string& body);
-  void poll_all_nodes(std::size_t user);
+  void handle_user_response(std::size_t index, RequestOp op, int status, const std::string& body);
+  void poll_all_nodes(std::size_t index);
   void send_unusual_request(Time until);
-  void cancel_job_of(std::size_t user);
-  void completed(const TaskKey& key);
+  void cancel_job_of(std::size_t index);
+  void record_completion(const TaskKey& key);
 
   // --- Seeded plans (fault_injection.cpp) ---
 
@@ -464,14 +472,14 @@
   std::vector<std::unique_ptr<User>> users_;
   std::unordered_map<std::string, std::size_t> user_by_job_;
   NetworkCuts cuts_{[this](const std::string& host) { return zone_of(host); }};
-  PartialFault late_writes_, lost_responses_, kept_for_next_leader_, delayed_heartbeats_,
-      cancel_at_end_, slow_commands_;
-  Time poll_closely_until_ = 0;
+  PartialFault delayed_writes_, lost_write_responses_, kept_for_next_leader_, delayed_heartbeats_,
+      cancel_on_completion_, slow_commands_;
+  Time poll_intensively_until_ = 0;
   std::vector<std::string> kept_heartbeats_;
-  std::set<std::string> failing_, faulty_;
+  std::set<std::string> failing_jobs_, faulty_machines_;
   std::map<GangAttempt, GangRun> gang_runs_;
   std::map<std::string, GangProgress> gang_progress_;
-  std::uint64_t delivered_epoch_ = 0;
+  std::uint64_t kept_heartbeats_epoch_ = 0;
   std::uint64_t next_unusual_job_ = 1;
   std::uint64_t next_call_ = 1;
   std::map<std::uint64_t, std::function<void(int, const std::string&)>> response_handlers_;
