--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -12,9 +12,11 @@
 enum class LostAccess {
   /// The key-value store rejects the requests of the leader alone.
   Refused,
-  /// As `Refused`; the leader has also lost the other controllers.
+  /// The key-value store rejects the leader alone, and the leader can't reach the other
+  /// controllers.
   RefusedNoPeers,
-  /// As `RefusedNoPeers`; only the leader and one peer reach the machines.
+  /// The key-value store rejects the leader and one peer, which reach each other and the machines.
+  /// The third controller, which is the successor, reaches neither of them and no machine.
   RefusedUnreached,
   /// The leader is partitioned from the key-value store and the other controllers; messages between
   /// them are delayed.
@@ -279,7 +281,7 @@
        for (int round = 0; round < 4; ++round) {
          region.cancel_running_jobs(4, 0);
          if (round == 2) region.kill(leader_index(region), 1'000);
-         // Work of higher priority preempts the rest.
+         // These services preempt running tasks of lower priority.
          for (std::size_t n = 0; n < 3; ++n) {
            JobSpec spec = service_job(job_id(500 + static_cast<std::size_t>(round) * 10 + n), 2);
            spec.priority = Priority::Production;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -133,8 +133,8 @@
       region.run_until(region.now() + 5'000);
     }
     region.run_until(region.now() + 30'000);
-    // A start may have to wait for one machine to boot (12 s, sometimes half as long again), but
-    // not for more.
+    // A start may have to wait for one machine to boot (12 s, sometimes 1.5 times as long), but
+    // not for a second one.
     for (const auto& [id, submitted] : submitted_at) {
       ASSERT_TRUE(started_at.contains(id)) << seed << " " << id;
       EXPECT_LE(started_at[id] - submitted, 25'000) << seed << " " << id;
@@ -160,7 +160,7 @@
       for (const auto& [name, m] : region.cloud().machines)
         if (m.never_boots) longest_boot = std::max(longest_boot, t - m.launched_at);
     }
-    // Three boot times of 12 s, plus a lease and a call to the cloud.
+    // The bound is three boot times of 12 s, plus a lease and a call to the cloud.
     EXPECT_GT(longest_boot, 30'000) << seed << ": no machine failed to come up";
     EXPECT_LE(longest_boot, 60'000) << seed;
     const Tables& tables = region.controller(leader_index(region))->tables();
@@ -313,9 +313,9 @@
 }
 
 // Fault combination: workers can't open connections to any controller, while direct commands still
-// reach them. Since such a machine answers inquiries, it used to look usable again and again, and
-// attracted the waiting work. A start command may only be sent with the response to a machine's own
-// heartbeat.
+// reach them. Since such a machine responds to probes, it was repeatedly considered usable, and
+// waiting tasks were placed on it. A start command may only be sent with the response to a
+// machine's own heartbeat.
 TEST(Capacity, AMachineThatReachesNoControllerGetsNoWork) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = plan_without_faults(seed + 600);
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -206,7 +206,8 @@
   checker_.state_reported("job-1", "pending", 0);
   checker_.task_started({"job-1", 0}, in_zone_a_, 10);
   checker_.check_end_and_service();
-  // The array began and never ended. It counts for its class, its team and the largest jobs.
+  // The array started and never ended, which is reported once each for its class, its team and the
+  // largest jobs.
   EXPECT_TRUE(is_only_violation("not_served"));
   EXPECT_EQ(checker_.violations().at("not_served").size(), 3U);
 }
--- a/tests/delayed_heartbeats_test.cpp
+++ b/tests/delayed_heartbeats_test.cpp
@@ -154,8 +154,8 @@
   expect_rules_kept_and_nothing_left(region, seed);
 }
 
-// The number of days to play: `usual` in CI, or the value of SAILREEL_SOAK_DAYS in a long run by
-// hand.
+// Returns the number of seeds to simulate: `usual` in CI, or the value of SAILREEL_SOAK_DAYS in a
+// long run that is started manually.
 std::uint64_t day_count(std::uint64_t usual) {
   const char* wanted = std::getenv("SAILREEL_SOAK_DAYS");
   return wanted == nullptr ? usual : std::strtoull(wanted, nullptr, 10);
--- a/tests/federation_test.cpp
+++ b/tests/federation_test.cpp
@@ -135,7 +135,7 @@
   EXPECT_EQ(federation.violations(), "");
 }
 
-/// Numbers of the last transfers from region 0 to region 1 and back.
+/// Returns the numbers of the last transfers from region 0 to region 1 and back.
 std::pair<std::uint64_t, std::uint64_t> transfer_numbers(const SimulatedFederation& federation) {
   const TransferRecord record = federation.ledger(0).regions["region-1"];
   return {record.sent, record.credited};
--- a/tests/incarnation_fence_test.cpp
+++ b/tests/incarnation_fence_test.cpp
@@ -24,7 +24,7 @@
   IncarnationFence fence;
   fence.close(3, 1'000);
   fence.response_received(3, 999);
-  EXPECT_FALSE(fence.admits(3)) << "the inquiry was sent before the incarnation was closed";
+  EXPECT_FALSE(fence.admits(3)) << "the probe was sent before the incarnation was closed";
   fence.response_received(3, 1'000);
   EXPECT_TRUE(fence.admits(3));
   EXPECT_FALSE(fence.admits(2));
@@ -58,7 +58,7 @@
 }
 
 /// A leader after a failover, with four machines, m-1 to m-4. Only m-4 keeps sending heartbeats,
-/// and it responds to no inquiry. Too many machines are silent at once for them to be terminated.
+/// and it responds to no probe. Too many machines are silent at once for them to be terminated.
 class IncarnationFenceAfterFailover : public ::testing::Test {
  protected:
   IncarnationFenceAfterFailover() : driver_(settings_without_peers()) {
@@ -138,7 +138,7 @@
   EXPECT_EQ(silent_machine.last_heartbeat, heard_at);
   EXPECT_EQ(silent_machine.last_response, answered_at);
   EXPECT_EQ(job("job-2").tasks[0].state, TaskState::Queued);
-  // The same holds while the leader's own lease may have expired.
+  // An old heartbeat is also rejected while the leader's own lease may have expired.
   driver_.kv_store().outage = true;
   driver_.run_for(3'000);
   ASSERT_TRUE(driver_.controller().leading());
@@ -157,8 +157,8 @@
       << "m-1 was sent no start command";
 }
 
-// If the incarnation has not ended after all, the worker's response to an inquiry shows that. One
-// inquiry is enough to admit the incarnation; the machine keeps the task that was not started
+// If the incarnation has not ended after all, the worker's response to a probe shows that. One
+// probe is enough to admit the incarnation; the machine keeps the task that was not started
 // elsewhere, and is told to stop the other.
 TEST_F(SilentBeyondItsLease, ALiveIncarnationIsAdmittedAgainAfterAnInquiry) {
   driver_.on_direct = [](const std::string& address) -> std::optional<Heartbeat> {
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -126,8 +126,8 @@
   const Time reconciliation_ms = time_to_reconcile(region, 20'000);
   std::printf("machines %zu, reconciled after %lld ms\n", region.machines_up().size(),
               static_cast<long long>(reconciliation_ms));
-  // The leader's lease, which is a tenth of a worker's, the time to read the checkpoint, and one
-  // inquiry to each machine.
+  // Reconciliation takes the leader's lease, which is a tenth of a worker's, the time to read the
+  // checkpoint, and one probe of each machine.
   EXPECT_LT(reconciliation_ms, 5'000);
   for (const std::string& name : region.machines_up())
     if (const auto it = region.cloud().machines.find(name);
--- a/tests/leader_election_test.cpp
+++ b/tests/leader_election_test.cpp
@@ -79,7 +79,7 @@
   /// at which the lease was requested.
   void campaign() {
     tick_after(1'000);
-    EXPECT_EQ(answer(ok()).key, kLeaderKey);  // nobody leads
+    EXPECT_EQ(answer(ok()).key, kLeaderKey);  // there is no leader
     tick_after(30);                           // the maximum jitter
     ASSERT_EQ(election_.role(), Role::Candidate);
     requested_at_ = clock_.now;
@@ -134,7 +134,7 @@
   EXPECT_EQ(elections_, 0);
   const KvRequest claim = answer(ok());
   EXPECT_EQ(claim.kind, KvRequest::Kind::Txn);
-  // The conditions: nobody holds the leader's key, and the epoch hasn't changed since it was read.
+  // The conditions: the leader's key doesn't exist, and the epoch hasn't changed since it was read.
   ASSERT_EQ(claim.conditions.size(), 2U);
   EXPECT_EQ(claim.conditions[0].key, kLeaderKey);
   EXPECT_EQ(claim.conditions[0].version, 0U);
@@ -230,7 +230,8 @@
   EXPECT_EQ(election_.lease_expiry(), resigned);
   tick_after(0);
   EXPECT_EQ(answer(ok()).kind, KvRequest::Kind::Revoke);
-  // Although nobody leads, the controller doesn't campaign for the length of a worker's lease.
+  // Although there is no leader, the controller doesn't campaign for the length of a worker's
+  // lease.
   tick_after(100);
   EXPECT_EQ(answer(ok()).key, kLeaderKey);
   clock_.now = resigned + worker_lease - 1;
@@ -262,8 +263,8 @@
 
 TEST_F(Election, AHigherEpochOfALeaderEndsTheLeadership) {
   become_leader();
-  election_.observe_peer_epoch(9,
-                               false);  // the peer doesn't lead under it, so this lease still holds
+  // The peer isn't the leader of epoch 9, so the lease remains valid.
+  election_.observe_peer_epoch(9, false);
   election_.observe_peer_epoch(7, true);
   EXPECT_TRUE(election_.is_leader());
   EXPECT_EQ(election_.epoch(), 7U);
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -86,8 +86,8 @@
   const std::uint64_t link_;
 };
 
-// Guards the processor time of forwarded heartbeats: without batching, 20 of them take 20 writes;
-// in a batch, they take one.
+// Guards against a write for each forwarded heartbeat, which costs processor time: without
+// batching, 20 of them take 20 writes; in a batch, they take one.
 TEST(PeerLink, FramesThatMayWaitAreSentInOneWrite) {
   PeerLinkPair links({30, 30});
   std::string sent;
--- a/tests/peer_table_test.cpp
+++ b/tests/peer_table_test.cpp
@@ -83,7 +83,7 @@
   second.acknowledged_clock = 3'990;
   peers.process_heartbeat(0, second, 4'000);
   EXPECT_EQ(peers.latest_possible_keep_alive(4'010), 4'000);
-  // The peer is lost since then: it may keep tasks alive for as long as its latest heartbeat
+  // The peer has not been heard since: it may keep tasks alive for as long as its latest heartbeat
   // allows.
   EXPECT_EQ(peers.latest_possible_keep_alive(4'000 + kWorkerLeaseMs),
             4'000 + with_clock_drift(kKeepAliveSpanMs));
--- a/tests/scaling_limits_test.cpp
+++ b/tests/scaling_limits_test.cpp
@@ -38,8 +38,8 @@
       << region.cloud().machines.size() << " machines still cost money";
 }
 
-// More machines are unreachable than inquiries have sockets. A machine that dies elsewhere must
-// still be asked in its turn, and be terminated well before its lease expires.
+// More machines are unreachable than there are sockets for probes. A machine that dies in another
+// zone must still be probed in its turn, and be terminated well before its lease expires.
 TEST(FixedLimits, ADeadMachineIsDetectedAmongManyUnreachableOnes) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationPlan plan = plan_without_faults(seed + 40);
@@ -63,10 +63,10 @@
       unreachable_machines += unreachable ? 1 : 0;
       if (!unreachable) machine_to_kill = name;
     }
-    ASSERT_GT(unreachable_machines, 6U) << "inquiries have a fifth of the 30 sockets";
+    ASSERT_GT(unreachable_machines, 6U) << "probes may use a fifth of the 30 sockets";
     ASSERT_FALSE(machine_to_kill.empty());
     region.kill_machine(machine_to_kill);
-    // Enough time for two failed inquiries, each after two rounds of inquiries to the other
+    // This is enough time for two failed probes, each after two rounds of probes to the other
     // machines, and a call to the cloud.
     region.run_until(region.now() + 14'000);
     const Controller* leader = region.controller(leader_index(region));
@@ -139,7 +139,8 @@
   EXPECT_NEAR(tightest_limit(settings, {}, 40).machines, 3'600, 100);
   settings.store_limits.write_rps = 5;
   EXPECT_STREQ(tightest_limit(settings, {}, 40).name, "state_writes");
-  // Eight machines per write, at nine tenths of five writes a second, within a boot time of 40 s.
+  // The limit is eight machines per write, at nine tenths of five writes a second, within a boot
+  // time of 40 s.
   EXPECT_NEAR(tightest_limit(settings, {}, 40).machines, 1'440, 1);
   settings.process_limits.memory_mb = 1;
   EXPECT_EQ(tightest_limit(settings, {}, 40).machines, 0);
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -145,14 +145,13 @@
   }
 }
 
-// Limits what APartitionedZoneKeepsItsTasks requires: the tasks of a zone that stays partitioned
-// are replaced elsewhere, but only once nothing can run in the zone any more. The checker reports a
-// task that runs twice.
+// The tasks of a zone that stays partitioned are replaced elsewhere, but only once nothing can run
+// in the zone any more. The checker reports a task that runs twice.
 TEST(Incident, TasksOfAZoneThatStaysPartitionedAreReplaced) {
   SimulationPlan plan = plan_without_faults(19);
   plan.length = 160'000;
-  // Without random message loss: the heartbeats of a reachable machine may pass through the
-  // partitioned controller, so two lost messages would expire its lease as well. TCP would
+  // No messages are lost at random: the heartbeats of a reachable machine may pass through the
+  // partitioned controller, so two lost messages would let its lease expire as well. TCP would
   // retransmit them.
   plan.loss = 0;
   SimulatedRegion region(plan);
@@ -249,9 +248,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// While the key-value store is down, no controller is better off than another, so all must stay on
-// the load balancer's list. When they were taken off it, users found no controller for seconds
-// after the outage had ended. A controller that alone has lost the store and its peers must leave
+// While the key-value store is down for all controllers, all of them must stay on the load
+// balancer's list. When they were removed from it, users found no controller for seconds after the
+// outage had ended. A controller that alone has lost the store and its peers must leave
 // the list.
 TEST(Incident, NodesAreHealthyInAnOutageButNotWhenIsolated) {
   const auto healthy = [](const SimulatedRegion& region, std::size_t node) {
@@ -401,7 +400,7 @@
   std::printf("examined per heartbeat: %.1f with 120 jobs, %.1f with 960\n", with_few_jobs,
               with_many_jobs);
   ASSERT_GT(with_few_jobs, 0);
-  // The second run has eight times as many jobs, and may take less than four times the work.
+  // The second run has eight times as many jobs, and must take less than four times the work.
   EXPECT_LT(with_many_jobs, 4 * with_few_jobs);
 }
 
@@ -494,9 +493,9 @@
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
 
-// Guards against counting an inquiry that found no free socket as failed. With more machines than
-// sockets for inquiries, a failover took a second longer, and the machines that were not asked came
-// one step closer to being considered dead.
+// Guards against counting a probe that found no free socket as failed. With more machines than
+// sockets for probes, a failover took a second longer, and the machines that were not probed came
+// one failure closer to being considered dead.
 TEST(Size, AFailoverWithManyMachinesIsReconciledAtOnce) {
   SimulationPlan plan = plan_without_faults(17);
   plan.scale = 17;
--- a/tests/seeded_simulation_test.cpp
+++ b/tests/seeded_simulation_test.cpp
@@ -34,7 +34,7 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, SeededDay, ::testing::Range<std::uint64_t>(1, 81),
                          ::testing::PrintToStringParamName());
 
-// Like SeededDay, but a third of the jobs are gangs, whose tasks wait, start and stop together.
+// Simulations in which a third of the jobs are gangs, whose tasks wait, start and stop together.
 class GangDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(GangDay, KeepsTheRules) {
--- a/tests/slow_processor_test.cpp
+++ b/tests/slow_processor_test.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::uint64_t kSeeds = 4;
 constexpr std::size_t kJobs = 16;
-/// In ms. The longest wait of an input must exceed this while the fleet comes up, and again in each
-/// scenario with a fault; otherwise the simulated processor is not slow enough.
+/// A lower bound (ms) on the longest wait of an input while the fleet comes up, and again in each
+/// scenario with a fault. Below it, the simulated processor is not slow enough for the test.
 constexpr Time kMinInputWaitMs = 100;
-/// In ms. The fleet is up and full by this time.
+/// The simulated time (ms) by which the fleet is up and full.
 constexpr Time kFleetFullMs = 55'000;
 /// With steps slowed down by this factor, leases of the usual length expire before controllers
 /// renew them.
--- a/tests/work_cost_test.cpp
+++ b/tests/work_cost_test.cpp
@@ -162,7 +162,7 @@
               static_cast<unsigned long long>(after.count - before.count),
               static_cast<unsigned long long>(after.bytes - before.bytes));
   EXPECT_LE(after.count - before.count, 8U);      // 7; 13 if strings are not read in place
-  EXPECT_LE(after.bytes - before.bytes, 3'000U);  // 1,986; 67,262 likewise
+  EXPECT_LE(after.bytes - before.bytes, 3'000U);  // 1,986; 67,262 if strings are not read in place
 }
 
 }  // namespace
