--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -120,8 +120,6 @@
   EXPECT_EQ(plan_gang(machines, 7, zones).missing, 1U);
 }
 
-// ---- scenarios ----
-
 constexpr std::uint64_t kSeeds = 6;
 
 class GangScenarioTest : public ::testing::TestWithParam<Scenario> {};
@@ -433,7 +431,7 @@
   plan.length = 600'000;
   SimulatedRegion region(plan);
   region.run_until(1'000);
-  // Slightly more tasks than the machines can run.
+  // The jobs need slightly more capacity than the machines have.
   constexpr std::size_t kFirstJob = 10, kEndJob = 150, kGangAfterJob = 60;
   for (std::size_t job_number = kFirstJob; job_number < kEndJob; ++job_number) {
     JobSpec single = array_job(job_id(job_number), 8, 8);
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -323,8 +323,9 @@
   }
   region.run_until(3'000);
   region.submit(array_job("job-1", 8, 20));
-  // State before any machine is up. The services' 90 x 0.2 GPUs need three machines of 8 GPUs,
-  // including headroom. The array has the lowest priority and needs a spot instance.
+  // The instances are counted before any machine is up. The services' 90 x 0.2 GPUs need three
+  // machines of 8 GPUs, including headroom. The array has the lowest priority and needs a spot
+  // instance.
   region.run_until(6'000);
   std::size_t on_demand_instances = 0, spot_instances = 0;
   for (const auto& [name, m] : region.cloud().machines)
@@ -376,7 +377,7 @@
     plan.scale = 17;
     SimulatedRegion region(plan);
     region.run_until(1'000);
-    // Enough jobs to fill every machine, so that some of them wait.
+    // There are enough jobs to fill every machine, so that some of them wait.
     for (int n = 0; n < jobs; ++n) {
       JobSpec spec = array_job("job-" + std::to_string(1'000 + n), 20, 30);
       spec.image = "img-" + std::to_string(n % 4);
