--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -7,8 +7,9 @@
 namespace sailreel::sim {
 namespace {
 
-void ask_everywhere(SimulatedRegion& region, std::size_t jobs, Time from, Time until, Time every) {
-  for (Time when = from; when < until; when += every) {
+void query_all_controllers(SimulatedRegion& region, std::size_t jobs, Time from, Time until,
+                           Time interval) {
+  for (Time when = from; when < until; when += interval) {
     region.run_until(when);
     for (std::size_t job = 0; job < jobs; ++job)
       for (std::size_t node = 0; node < 3; ++node)
@@ -32,10 +33,10 @@
     region.run_until(40'000);
     ASSERT_GE(region.leader(), 0);
     region.cut_peers(leader_index(region), 12'000, false);
-    ask_everywhere(region, kJobs, 40'000, 42'000, 200);
+    query_all_controllers(region, kJobs, 40'000, 42'000, 200);
     region.lose_write_responses(0.9, 9'000, true);
     for (std::size_t n = 0; n < kJobs; n += 2) region.cancel(job_id(n));
-    ask_everywhere(region, kJobs, 42'000, 51'000, 60);
+    query_all_controllers(region, kJobs, 42'000, 51'000, 60);
     region.run();
     EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
     EXPECT_EQ(region.checker().jobs_over(), kJobs) << seed;
@@ -59,12 +60,12 @@
     }
     region.run_until(40'000);
     region.cut_peers(leader_index(region), 20'000, false);
-    ask_everywhere(region, 1, 40'000, 42'000, 500);
+    query_all_controllers(region, 1, 40'000, 42'000, 500);
     // All jobs are cancelled at once while most responses of the key-value store are lost, so that
     // a commit takes a second or two.
     region.lose_write_responses(0.7, 15'000, true);
     for (std::size_t n = 0; n < kJobs; ++n) region.cancel(job_id(n));
-    ask_everywhere(region, kJobs, 42'000, 56'000, 350);
+    query_all_controllers(region, kJobs, 42'000, 56'000, 350);
     region.run();
     EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
     EXPECT_EQ(region.checker().jobs_over(), kJobs) << seed;
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -36,7 +36,7 @@
 // the store is down for all controllers for longer than cancel_s. Meanwhile workers go on sending
 // heartbeats to the old leader, or to a peer that keeps their tasks alive. This combination of
 // faults has caused the most failures.
-void play_outage_after_lost_access(const OutageAfterLostAccess& fault, std::uint64_t seed) {
+void simulate_outage_after_lost_access(const OutageAfterLostAccess& fault, std::uint64_t seed) {
   SimulationPlan plan = plan_without_faults(seed);
   plan.lease_s = fault.lease_s;
   plan.cancel_s = fault.cancel_s;
@@ -58,37 +58,37 @@
   const std::size_t connected_peer = (leader + 1) % 3, successor = (leader + 2) % 3;
   const Time lease_ms = ms(fault.lease_s);
   const Time outage_ms = ms(fault.cancel_s) + 2 * lease_ms;
-  const Time lost_access_ms = fault.outage_after + outage_ms / 2;
+  const Time lost_access_duration_ms = fault.outage_after + outage_ms / 2;
   if (fault.lost_access == LostAccess::Isolated)
-    region.isolate(leader, lost_access_ms, true);
+    region.isolate(leader, lost_access_duration_ms, true);
   else
-    region.reject_kv_requests(leader, lost_access_ms);
+    region.reject_kv_requests(leader, lost_access_duration_ms);
   if (fault.lost_access == LostAccess::RefusedNoPeers ||
       fault.lost_access == LostAccess::RefusedUnreached)
     for (const std::size_t other : {connected_peer, successor})
-      region.cut(node_name(leader), node_name(other), lost_access_ms, false);
+      region.cut(node_name(leader), node_name(other), lost_access_duration_ms, false);
   if (fault.lost_access == LostAccess::RefusedUnreached) {
     // One peer hears the machines and the old leader, and keeps tasks alive by itself when the old
     // leader ends. The other peer hears neither, and is the successor.
     region.cut(node_name(leader), node_name(connected_peer), 0, false);
-    region.reject_kv_requests(connected_peer, lost_access_ms);
-    if (seed % 3 == 0) region.kill(leader, lost_access_ms);
-    region.cut(node_name(connected_peer), node_name(successor), lost_access_ms, false);
+    region.reject_kv_requests(connected_peer, lost_access_duration_ms);
+    if (seed % 3 == 0) region.kill(leader, lost_access_duration_ms);
+    region.cut(node_name(connected_peer), node_name(successor), lost_access_duration_ms, false);
     for (const auto& machine : region.machines_up())
-      region.cut(node_name(successor), machine, lost_access_ms, false);
+      region.cut(node_name(successor), machine, lost_access_duration_ms, false);
   }
   // Users cancel their jobs one after another: the first before the old leader's lease expires, the
   // last well into the outage.
-  const Time from = region.now();
+  const Time lost_access_at = region.now();
   for (std::size_t n = 0; n < kJobs; ++n) {
-    const Time when =
-        from + fault.outage_after * static_cast<Time>(n) / static_cast<Time>(kJobs - 2);
-    region.run_until(when);
+    const Time cancel_at =
+        lost_access_at + fault.outage_after * static_cast<Time>(n) / static_cast<Time>(kJobs - 2);
+    region.run_until(cancel_at);
     region.cancel(job_id(n));
-    if (when >= from + fault.outage_after && !region.kv_store().outage)
+    if (cancel_at >= lost_access_at + fault.outage_after && !region.kv_store().outage)
       region.kv_store_outage(outage_ms);
   }
-  region.run_until(from + fault.outage_after + outage_ms + 4 * lease_ms);
+  region.run_until(lost_access_at + fault.outage_after + outage_ms + 4 * lease_ms);
   region.run();
   EXPECT_TRUE(region.checker().violations().empty()) << seed << " " << region.checker().summary();
   EXPECT_EQ(region.checker().jobs_over(), kJobs) << seed;
@@ -100,10 +100,10 @@
 
 TEST_P(OutageAfterLostAccessTest, TasksOfCancelledJobsAreGone) {
   const auto [lost_access, outage_after, ratio] = GetParam();
-  constexpr std::pair<double, double> kRatios[] = {{10, 30}, {10, 12}, {6, 9}};
-  const auto [lease_s, cancel_s] = kRatios[ratio];
+  constexpr std::pair<double, double> kLeaseAndCancelSeconds[] = {{10, 30}, {10, 12}, {6, 9}};
+  const auto [lease_s, cancel_s] = kLeaseAndCancelSeconds[ratio];
   for (std::uint64_t seed = 1; seed <= 3; ++seed)
-    play_outage_after_lost_access({lost_access, outage_after, lease_s, cancel_s}, seed);
+    simulate_outage_after_lost_access({lost_access, outage_after, lease_s, cancel_s}, seed);
 }
 
 std::string outage_name(
@@ -175,24 +175,24 @@
   ASSERT_FALSE(unreachable.empty());
   cut_off(region, unreachable, 8'000, true);
   region.run_until(40'500);
-  const auto cancel = [&](std::size_t n) {
-    const Time asked = region.now();
+  const auto cancel = [&](std::size_t job_number) {
+    const Time requested_at = region.now();
     int status = 0;
-    Time took = 0;
-    region.send_request_then(job_id(n), leader_index(region), RequestOp::Cancel,
+    Time response_time = 0;
+    region.send_request_then(job_id(job_number), leader_index(region), RequestOp::Cancel,
                              [&](int response_status) {
                                status = response_status;
-                               took = region.now() - asked;
+                               response_time = region.now() - requested_at;
                              });
-    region.run_until(asked + 2'000);
-    return std::pair(status, took);
+    region.run_until(requested_at + 2'000);
+    return std::pair(status, response_time);
   };
-  const auto [unreachable_status, unreachable_took] = cancel(0);
+  const auto [unreachable_status, unreachable_response_time] = cancel(0);
   EXPECT_EQ(unreachable_status, 503);
-  EXPECT_LE(unreachable_took, 600);
-  const auto [reachable_status, reachable_took] = cancel(2);
+  EXPECT_LE(unreachable_response_time, 600);
+  const auto [reachable_status, reachable_response_time] = cancel(2);
   EXPECT_EQ(reachable_status, 200);
-  EXPECT_LE(reachable_took, 700);
+  EXPECT_LE(reachable_response_time, 700);
   region.run();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
 }
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -78,13 +78,14 @@
     region.on_completed = [&](const TaskKey&, const std::string&) { ++done; };
     region.submit(array_job("job-1", 80, 4));
     std::size_t most_on_demand = 0;
-    for (Time t = 2'000; t < 200'000; t += 1'000) {
-      region.run_until(t);
+    for (Time time = 2'000; time < 200'000; time += 1'000) {
+      region.run_until(time);
       // Stops counting before the remaining tasks fit into the guaranteed quota, because those may
       // use machines of any kind.
       if (done >= 60) continue;
       std::size_t on_demand = 0;
-      for (const auto& [name, m] : region.cloud().machines) on_demand += m.up && !m.spot ? 1 : 0;
+      for (const auto& [name, machine] : region.cloud().machines)
+        on_demand += machine.up && !machine.spot ? 1 : 0;
       most_on_demand = std::max(most_on_demand, on_demand);
     }
     // The array may get one on-demand machine, and another one in place of a machine that boots
@@ -122,8 +123,8 @@
     // Machines with cached images are up by now, and these requests fit into red's guaranteed
     // quota.
     std::map<std::string, Time> submitted_at, started_at;
-    region.on_command = [&](const std::string&, const Command& c) {
-      if (c.op == Command::Op::Start) started_at.try_emplace(c.key.job, region.now());
+    region.on_command = [&](const std::string&, const Command& command) {
+      if (command.op == Command::Op::Start) started_at.try_emplace(command.key.job, region.now());
     };
     for (std::size_t n = 0; n < 6; ++n) {
       submitted_at[job_id(n)] = region.now();
@@ -155,10 +156,10 @@
     region.run_until(1'000);
     for (std::size_t n = 0; n < 10; ++n) region.submit(service_job(job_id(n), 2));
     Time longest_boot = 0;
-    for (Time t = 2'000; t < 160'000; t += 1'000) {
-      region.run_until(t);
-      for (const auto& [name, m] : region.cloud().machines)
-        if (m.never_boots) longest_boot = std::max(longest_boot, t - m.launched_at);
+    for (Time time = 2'000; time < 160'000; time += 1'000) {
+      region.run_until(time);
+      for (const auto& [name, machine] : region.cloud().machines)
+        if (machine.never_boots) longest_boot = std::max(longest_boot, time - machine.launched_at);
     }
     // The bound is three boot times of 12 s, plus a lease and a call to the cloud.
     EXPECT_GT(longest_boot, 30'000) << seed << ": no machine failed to come up";
@@ -184,9 +185,9 @@
     const auto busy_before = busy_machines(region);
     const std::set<std::string> healthy(busy_before.begin(), busy_before.end());
     std::size_t failing_starts = 0;
-    region.on_command = [&](const std::string&, const Command& c) {
-      const bool failing = c.key.job.starts_with("job-3") && c.key.job.size() == 6;
-      failing_starts += c.op == Command::Op::Start && failing ? 1 : 0;
+    region.on_command = [&](const std::string&, const Command& command) {
+      const bool failing = command.key.job.starts_with("job-3") && command.key.job.size() == 6;
+      failing_starts += command.op == Command::Op::Start && failing ? 1 : 0;
     };
     for (std::size_t n = 30; n < 34; ++n)
       region.submit_failing(n % 2 == 0 ? service_job(job_id(n), 2) : array_job(job_id(n), 8, 20),
@@ -325,19 +326,19 @@
     submit_mixed_jobs(region, 0, 8, seed);
     region.run_until(50'000);
     std::set<std::string> blocked_machines;
-    for (const auto& m : busy_machines(region))
-      if (blocked_machines.size() < 2) blocked_machines.insert(m);
-    for (const auto& m : blocked_machines) region.block_outbound(m, 70'000);
+    for (const auto& machine : busy_machines(region))
+      if (blocked_machines.size() < 2) blocked_machines.insert(machine);
+    for (const auto& machine : blocked_machines) region.block_outbound(machine, 70'000);
     if (seed % 2 == 0) region.kill(leader_index(region), 3'000);
     region.run_until(58'000);  // these machines have missed heartbeats by now
     for (std::size_t n = 20; n < 28; ++n) region.submit(service_job(job_id(n), 1), 140'000);
     std::size_t reserved = 0;
-    for (Time t = 59'000; t < 100'000; t += 500) {
-      region.run_until(t);
+    for (Time time = 59'000; time < 100'000; time += 500) {
+      region.run_until(time);
       if (region.leader() < 0) continue;
-      for (const auto& [name, m] : region.controller(leader_index(region))->tables().machines)
+      for (const auto& [name, machine] : region.controller(leader_index(region))->tables().machines)
         if (blocked_machines.contains(name))
-          for (const TaskAttempt& attempt : m->attempts)
+          for (const TaskAttempt& attempt : machine->attempts)
             reserved += attempt.state == AttemptState::Reserved && attempt.key.job >= "job-20" &&
                                 attempt.key.job <= "job-27" && attempt.key.job.size() == 6
                             ? 1
--- a/tests/delayed_heartbeats_test.cpp
+++ b/tests/delayed_heartbeats_test.cpp
@@ -117,7 +117,7 @@
 // Machines are cut off from the network again and again, each time for longer than a lease, and
 // what they sent arrives when the cut ends; meanwhile leaders are killed. Arrays that are bound to
 // one zone are rescheduled all the time.
-void play_machine_cuts(std::uint64_t seed, const MachineCutOptions& options) {
+void simulate_machine_cuts(std::uint64_t seed, const MachineCutOptions& options) {
   SimulationPlan plan = plan_without_faults(seed * 31);
   plan.length = 480'000;
   plan.scale = 2;
@@ -138,12 +138,14 @@
   for (int round = 0; round < 5; ++round) {
     submit_jobs(3);
     const Time span = ms(plan.lease_s) * (13 + random(9)) / 10;
-    const auto some_time = [&] { return region.now() + random(static_cast<std::uint32_t>(span)); };
+    const auto random_time = [&] {
+      return region.now() + random(static_cast<std::uint32_t>(span));
+    };
     region.cut_machines(0.3 + 0.1 * random(5), span, true);
     if (random(2) == 0)
-      region.schedule(some_time(), [&region] { region.kill(leader_index(region), 4'000); });
+      region.schedule(random_time(), [&region] { region.kill(leader_index(region), 4'000); });
     if (options.more_faults)
-      region.schedule(some_time(),
+      region.schedule(random_time(),
                       [&region, &random, span] { inject_second_fault(region, random, span); });
     region.run_until(region.now() + span + 4'000 + random(12'000));
   }
@@ -154,20 +156,20 @@
   expect_rules_kept_and_nothing_left(region, seed);
 }
 
-// Returns the number of seeds to simulate: `usual` in CI, or the value of SAILREEL_SOAK_DAYS in a
-// long run that is started manually.
-std::uint64_t day_count(std::uint64_t usual) {
-  const char* wanted = std::getenv("SAILREEL_SOAK_DAYS");
-  return wanted == nullptr ? usual : std::strtoull(wanted, nullptr, 10);
+// Returns the number of seeds to simulate: `default_count` in CI, or the value of
+// SAILREEL_SOAK_DAYS in a long run that is started manually.
+std::uint64_t seed_count(std::uint64_t default_count) {
+  const char* soak_days = std::getenv("SAILREEL_SOAK_DAYS");
+  return soak_days == nullptr ? default_count : std::strtoull(soak_days, nullptr, 10);
 }
 
 TEST(DelayedHeartbeats, DaysOfMachineCuts) {
-  for (std::uint64_t seed = 1; seed <= day_count(12); ++seed) play_machine_cuts(seed, {});
+  for (std::uint64_t seed = 1; seed <= seed_count(12); ++seed) simulate_machine_cuts(seed, {});
 }
 
 TEST(DelayedHeartbeats, DaysOfMachineCutsAndOtherFaults) {
-  for (std::uint64_t seed = 1; seed <= day_count(24); ++seed)
-    play_machine_cuts(seed, {.mixed_jobs = true, .more_faults = true});
+  for (std::uint64_t seed = 1; seed <= seed_count(24); ++seed)
+    simulate_machine_cuts(seed, {.mixed_jobs = true, .more_faults = true});
 }
 
 }  // namespace
--- a/tests/federation_test.cpp
+++ b/tests/federation_test.cpp
@@ -270,8 +270,9 @@
                                                                     const Settings& settings,
                                                                     std::uint64_t seed) {
         static int started = 0;
-        const bool forgotten = ++started > 3 && node != 3;
-        return std::make_unique<CurrentController>(settings, forgotten ? Options{} : options, seed);
+        const bool omits_options = ++started > 3 && node != 3;
+        return std::make_unique<CurrentController>(settings, omits_options ? Options{} : options,
+                                                   seed);
       };
   };
   SimulatedFederation federation(plan);
--- a/tests/incarnation_fence_test.cpp
+++ b/tests/incarnation_fence_test.cpp
@@ -20,7 +20,7 @@
   EXPECT_EQ(fence.closed_at(), 1'000);
 }
 
-TEST(IncarnationFence, AResponseToALaterInquiryReopensAnIncarnation) {
+TEST(IncarnationFence, AResponseToALaterProbeReopensAnIncarnation) {
   IncarnationFence fence;
   fence.close(3, 1'000);
   fence.response_received(3, 999);
@@ -38,10 +38,10 @@
   EXPECT_FALSE(fence.admits(7));
   EXPECT_FALSE(fence.admits(7));
   EXPECT_TRUE(fence.admits(8));
-  IncarnationFence inquired;
-  inquired.close_unknown_number(1'000);
-  inquired.response_received(7, 1'500);
-  EXPECT_TRUE(inquired.admits(7));
+  IncarnationFence probed;
+  probed.close_unknown_number(1'000);
+  probed.response_received(7, 1'500);
+  EXPECT_TRUE(probed.admits(7));
 }
 
 TaskStatus running_task(const std::string& job, std::uint32_t index, std::uint64_t attempt = 1) {
@@ -160,7 +160,7 @@
 // If the incarnation has not ended after all, the worker's response to a probe shows that. One
 // probe is enough to admit the incarnation; the machine keeps the task that was not started
 // elsewhere, and is told to stop the other.
-TEST_F(SilentBeyondItsLease, ALiveIncarnationIsAdmittedAgainAfterAnInquiry) {
+TEST_F(SilentBeyondItsLease, ALiveIncarnationIsAdmittedAgainAfterAProbe) {
   driver_.on_direct = [](const std::string& address) -> std::optional<Heartbeat> {
     if (address != "10.1.0.1:1") return {};
     return incarnation_heartbeat("m-1", 1, 10, former_tasks());
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -81,8 +81,9 @@
   const BurstWork middle = measure_burst(2'000);
   const BurstWork large = measure_burst(8'000);
   ASSERT_GT(large.machines, 5'000);
-  const auto slope = [](const BurstWork& a, const BurstWork& b) {
-    return std::log(b.examined / a.examined) / std::log(b.machines / a.machines);
+  const auto slope = [](const BurstWork& smaller, const BurstWork& larger) {
+    return std::log(larger.examined / smaller.examined) /
+           std::log(larger.machines / smaller.machines);
   };
   std::printf("slopes %.2f, %.2f\n", slope(small, middle), slope(middle, large));
   EXPECT_LT(slope(small, middle), 1.25);
@@ -90,7 +91,7 @@
 }
 
 /// The running controller that leads and has finished reconciliation; null if there is none.
-const Controller* settled_leader(const SimulatedRegion& region) {
+const Controller* reconciled_leader(const SimulatedRegion& region) {
   if (region.leader() < 0) return nullptr;
   const Controller* controller = region.controller(leader_index(region));
   return controller != nullptr && controller->holds_valid_lease(region.now()) &&
@@ -102,10 +103,10 @@
 /// The simulated time (ms) until a leader has finished reconciliation; at least `time_limit_ms` if
 /// none does.
 Time time_to_reconcile(SimulatedRegion& region, Time time_limit_ms) {
-  constexpr Time kStep = 50;
+  constexpr Time kStepMs = 50;
   const Time began_at = region.now();
-  while (settled_leader(region) == nullptr && region.now() - began_at < time_limit_ms)
-    region.run_until(region.now() + kStep);
+  while (reconciled_leader(region) == nullptr && region.now() - began_at < time_limit_ms)
+    region.run_until(region.now() + kStepMs);
   return region.now() - began_at;
 }
 
@@ -136,7 +137,7 @@
   region.run_until(110'000);
   region.faults_ended();
   region.run();
-  const Controller* leader = settled_leader(region);
+  const Controller* leader = reconciled_leader(region);
   ASSERT_NE(leader, nullptr);
   std::uint32_t running = 0;
   for (const auto& [id, job] : leader->tables().jobs) running += job->running;
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -202,8 +202,8 @@
   PeerMessage response;
   response.kind = PeerMessage::Kind::Response;
   response.response = {78, 503, 1, 2'500, "{}"};
-  PeerMessage lasting = response;
-  lasting.response.valid_ms.reset();
+  PeerMessage response_without_expiry = response;
+  response_without_expiry.response.valid_ms.reset();
   PeerMessage heartbeat;
   heartbeat.heartbeat.node = "node-0";
   heartbeat.heartbeat.epoch = 5;
@@ -216,8 +216,8 @@
   heartbeat.heartbeat.acknowledged_clock = 900;
   heartbeat.heartbeat.keep_alive_ms = 35'000;
   heartbeat.heartbeat.last_kept_alive_ms_ago = 0;
-  const std::string bytes =
-      encode_peer(request) + encode_peer(response) + encode_peer(heartbeat) + encode_peer(lasting);
+  const std::string bytes = encode_peer(request) + encode_peer(response) + encode_peer(heartbeat) +
+                            encode_peer(response_without_expiry);
   pcg32 random(3);
   PeerReader reader;
   std::vector<PeerMessage> out;
@@ -251,29 +251,29 @@
   heartbeat.heartbeat.epoch = 5;
   heartbeat.heartbeat.leading = true;
   heartbeat.heartbeat.hears_leader = false;
-  const std::string good = encode_peer(heartbeat);
+  const std::string valid_frame = encode_peer(heartbeat);
   pcg32 random(4);
-  for (std::size_t length = 0; length < good.size(); ++length) {
+  for (std::size_t length = 0; length < valid_frame.size(); ++length) {
     PeerReader truncated;
-    truncated.feed(std::string_view(good).substr(0, length));
+    truncated.feed(std::string_view(valid_frame).substr(0, length));
     EXPECT_FALSE(truncated.next());
     EXPECT_FALSE(truncated.broken());
   }
   // Changes the magic, the version, the kind, the frame's length, and the name's length, which then
   // contradicts the frame's length.
   for (const std::size_t byte : {0U, 4U, 5U, 8U, 11U, 62U}) {
-    std::string bad = good;
-    bad[byte] = static_cast<char>(bad[byte] ^ 0x41);
+    std::string corrupted_frame = valid_frame;
+    corrupted_frame[byte] = static_cast<char>(corrupted_frame[byte] ^ 0x41);
     PeerReader reader;
-    reader.feed(bad + std::string(100, '\0'));
+    reader.feed(corrupted_frame + std::string(100, '\0'));
     EXPECT_FALSE(reader.next()) << byte;
     EXPECT_TRUE(reader.broken()) << byte;
   }
   const auto error_at = [&](std::size_t byte) {
-    std::string bad = good;
-    bad[byte] = static_cast<char>(bad[byte] ^ 0x41);
+    std::string corrupted_frame = valid_frame;
+    corrupted_frame[byte] = static_cast<char>(corrupted_frame[byte] ^ 0x41);
     PeerReader reader;
-    reader.feed(bad + std::string(100, '\0'));
+    reader.feed(corrupted_frame + std::string(100, '\0'));
     EXPECT_FALSE(reader.next());
     return reader.error();
   };
@@ -283,11 +283,12 @@
   EXPECT_EQ(error_at(11), (DecodeError{DecodeErrorKind::Unsupported, "length"}));
   EXPECT_EQ(error_at(62), (DecodeError{DecodeErrorKind::InvalidField, "node"}));
   for (int i = 0; i < 2000; ++i) {
-    std::string noise = good;
+    std::string corrupted_frame = valid_frame;
     for (int k = 0; k < 3; ++k)
-      noise[random(static_cast<std::uint32_t>(noise.size()))] = static_cast<char>(random(256));
+      corrupted_frame[random(static_cast<std::uint32_t>(corrupted_frame.size()))] =
+          static_cast<char>(random(256));
     PeerReader reader;
-    reader.feed(noise);
+    reader.feed(corrupted_frame);
     if (const auto message = reader.next()) {
       EXPECT_LE(message->heartbeat.node.size(), 256U);
     }
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 void count_starts(SimulatedRegion& region, int& starts) {
-  region.on_command = [&starts](const std::string&, const Command& c) {
-    starts += c.op == Command::Op::Start ? 1 : 0;
+  region.on_command = [&starts](const std::string&, const Command& command) {
+    starts += command.op == Command::Op::Start ? 1 : 0;
   };
 }
 
@@ -21,17 +21,17 @@
 TEST(Interleaving, FinishThenLeaderLossThenLateAcknowledgement) {
   constexpr int kInjections = 200;
   int injected = 0, violations = 0, unfinished = 0;
-  for (int i = 0; i < kInjections; ++i) {
-    SimulationPlan plan = plan_without_faults(1000 + static_cast<std::uint64_t>(i));
+  for (int injection = 0; injection < kInjections; ++injection) {
+    SimulationPlan plan = plan_without_faults(1000 + static_cast<std::uint64_t>(injection));
     plan.late_heartbeat_copies = 1.0;
     SimulatedRegion region(plan);
     int completions = 0;
     region.on_completed = [&](const TaskKey&, const std::string&) {
-      if (completions++ != i % 4) return;
+      if (completions++ != injection % 4) return;
       const int leader = region.leader();
       if (leader < 0) return;
       ++injected;
-      region.kill(static_cast<std::size_t>(leader), i % 2 == 0 ? 200 : 6'000);
+      region.kill(static_cast<std::size_t>(leader), injection % 2 == 0 ? 200 : 6'000);
     };
     region.run_until(1'000);
     region.submit(array_job("job-1", 4, 8));
@@ -134,8 +134,8 @@
     std::size_t lost = 0, running = 0;
     region.on_ended = [&](const TaskKey&, const std::string&) { ++lost; };
     const Controller* controller = region.controller(static_cast<std::size_t>(region.leader()));
-    for (const auto& [name, m] : controller->tables().machines)
-      if (m->zone == zone) running += m->attempts.size();
+    for (const auto& [name, machine] : controller->tables().machines)
+      if (machine->zone == zone) running += machine->attempts.size();
     ASSERT_GE(running, 6U);
     region.cut_zone(zone, 24'000, hold);
     region.run_until(73'000);
@@ -166,12 +166,12 @@
   const std::string partitioned_zone =
       sample_settings(static_cast<std::size_t>(region.leader())).zone == "za" ? "zb" : "za";
   std::size_t attempts_in_zone = 0;
-  for (const auto& [name, m] : controller->tables().machines)
-    if (m->zone == partitioned_zone) attempts_in_zone += m->attempts.size();
+  for (const auto& [name, machine] : controller->tables().machines)
+    if (machine->zone == partitioned_zone) attempts_in_zone += machine->attempts.size();
   ASSERT_GE(attempts_in_zone, 1U);
   std::size_t starts = 0;
-  region.on_command = [&](const std::string&, const Command& c) {
-    starts += c.op == Command::Op::Start ? 1 : 0;
+  region.on_command = [&](const std::string&, const Command& command) {
+    starts += command.op == Command::Op::Start ? 1 : 0;
   };
   std::size_t lost_elsewhere = 0;
   region.on_ended = [&](const TaskKey&, const std::string& machine) {
@@ -295,16 +295,17 @@
   region.submit(service_job("job-1", 2));
   region.run_until(30'000);
   std::string blocked_machine;
-  region.on_command = [&](const std::string& machine, const Command& c) {
-    if (c.op == Command::Op::Start) blocked_machine = machine;
+  region.on_command = [&](const std::string& machine, const Command& command) {
+    if (command.op == Command::Op::Start) blocked_machine = machine;
   };
   region.submit(service_job("job-2", 1));
   region.run_until(40'000);
   ASSERT_FALSE(blocked_machine.empty());
   region.block_inbound(blocked_machine, 80'000);
   std::set<std::string> jobs_elsewhere;
-  region.on_command = [&](const std::string& machine, const Command& c) {
-    if (c.op == Command::Op::Start && machine != blocked_machine) jobs_elsewhere.insert(c.key.job);
+  region.on_command = [&](const std::string& machine, const Command& command) {
+    if (command.op == Command::Op::Start && machine != blocked_machine)
+      jobs_elsewhere.insert(command.key.job);
   };
   region.run();
   EXPECT_TRUE(jobs_elsewhere.contains("job-2"));
@@ -328,8 +329,8 @@
   // instance.
   region.run_until(6'000);
   std::size_t on_demand_instances = 0, spot_instances = 0;
-  for (const auto& [name, m] : region.cloud().machines)
-    ++(m.spot ? spot_instances : on_demand_instances);
+  for (const auto& [name, machine] : region.cloud().machines)
+    ++(machine.spot ? spot_instances : on_demand_instances);
   EXPECT_GE(on_demand_instances, 3U);
   EXPECT_GE(spot_instances, 1U);
 }
@@ -350,10 +351,10 @@
   std::map<std::string, Time> stopped_at;
   std::size_t migrations = 0;
   Time longest_downtime = 0;
-  region.on_command = [&](const std::string&, const Command& c) {
-    const auto task = task_name(c.key);
-    if (c.op == Command::Op::Stop) stopped_at.try_emplace(task, region.now());
-    if (c.op != Command::Op::Start) return;
+  region.on_command = [&](const std::string&, const Command& command) {
+    const auto task = task_name(command.key);
+    if (command.op == Command::Op::Stop) stopped_at.try_emplace(task, region.now());
+    if (command.op != Command::Op::Start) return;
     const auto it = stopped_at.find(task);
     if (it == stopped_at.end()) return;
     ++migrations;
@@ -444,18 +445,19 @@
   // Cuts off all machines of one zone: if no other machine of the zone responds, they are not
   // considered dead.
   std::vector<std::string> partitioned;
-  for (const auto& [name, m] : controller->tables().machines)
-    if (m->heard_in_epoch && !m->empty() && m->zone == "za") partitioned.push_back(name);
+  for (const auto& [name, machine] : controller->tables().machines)
+    if (machine->heard_in_epoch && !machine->empty() && machine->zone == "za")
+      partitioned.push_back(name);
   ASSERT_GE(partitioned.size(), 2U);
   for (const auto& name : partitioned)
     for (int i = 0; i < 3; ++i) region.cut("node-" + std::to_string(i), name, 16'000, true);
   region.run_until(70'000);
   ASSERT_EQ(region.leader(), leader);
   for (const auto& name : partitioned) {
-    const auto m = controller->tables().machines.find(name);
-    ASSERT_NE(m, controller->tables().machines.end()) << name;
-    EXPECT_GT(m->second->incarnation, 1U);
-    EXPECT_EQ(m->second->quarantined_until, 0) << name;
+    const auto found = controller->tables().machines.find(name);
+    ASSERT_NE(found, controller->tables().machines.end()) << name;
+    EXPECT_GT(found->second->incarnation, 1U);
+    EXPECT_EQ(found->second->quarantined_until, 0) << name;
   }
   region.run();
   EXPECT_TRUE(region.checker().violations().empty()) << region.checker().summary();
@@ -475,8 +477,8 @@
   ASSERT_GE(leader, 0);
   const Controller* controller = region.controller(static_cast<std::size_t>(leader));
   std::vector<std::string> machines_za, machines_zb;
-  for (const auto& [name, m] : controller->tables().machines)
-    if (!m->empty()) (m->zone == "za" ? machines_za : machines_zb).push_back(name);
+  for (const auto& [name, machine] : controller->tables().machines)
+    if (!machine->empty()) (machine->zone == "za" ? machines_za : machines_zb).push_back(name);
   ASSERT_GE(machines_za.size(), 6U);
   ASSERT_GE(machines_zb.size(), 6U);
   // Two machines of zone za die while the machines of zone zb are unreachable for less than a
