--- a/tests/federation_test.cpp
+++ b/tests/federation_test.cpp
@@ -135,7 +135,7 @@
   EXPECT_EQ(federation.violations(), "");
 }
 
-/// Numbers of the last transfers from region 0 to region 1 and back.
+/// Returns the numbers of the last transfers from region 0 to region 1 and back.
 std::pair<std::uint64_t, std::uint64_t> transfer_numbers(const SimulatedFederation& federation) {
   const TransferRecord record = federation.ledger(0).regions["region-1"];
   return {record.sent, record.credited};
@@ -270,8 +270,9 @@
                                                                     const Settings& settings,
                                                                     std::uint64_t seed) {
         static int started = 0;
-        const bool forgotten = ++started > 3 && node != 3;
-        return std::make_unique<CurrentController>(settings, forgotten ? Options{} : options, seed);
+        const bool omits_options = ++started > 3 && node != 3;
+        return std::make_unique<CurrentController>(settings, omits_options ? Options{} : options,
+                                                   seed);
       };
   };
   SimulatedFederation federation(plan);
